--- a/crates/rookferry_relay/src/broken_runs.rs
+++ b/crates/rookferry_relay/src/broken_runs.rs
@@ -1,4 +1,4 @@
-//! Runs that broke here, and whoever waits for word of their servers.
+//! Runs that broke at this instance, until it is known whether their servers crashed.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -11,7 +11,7 @@
 
 use crate::mutex::lock;
 
-/// The runs that broke lately.
+/// The recently broken runs, with a notification for decided ones.
 #[derive(Debug, Default)]
 pub(crate) struct BrokenRunTable {
     inner: Mutex<BrokenRuns>,
@@ -19,24 +19,26 @@
 }
 
 impl BrokenRunTable {
-    /// What is known, to be changed.
+    /// Locks the table.
     pub(crate) fn lock(&self) -> MutexGuard<'_, BrokenRuns> {
         lock(&self.inner)
     }
 
-    /// A server answers: its broken runs have another cause.
+    /// Clears the runs of a server that answers: it hasn't crashed, so they have
+    /// another cause.
     pub(crate) fn server_answered(&self, server: ServerKey) {
         if !self.lock().server_answered(server).is_empty() {
             self.tell_decided();
         }
     }
 
-    /// It is known of more servers whether they have ended.
+    /// Wakes requests that wait for a decision.
     pub(crate) fn tell_decided(&self) {
         self.decided.notify_waiters();
     }
 
-    /// Waits until it is known of all servers at which a request's runs broke.
+    /// Waits until each server at which the request's runs broke is known to have
+    /// crashed or to be alive.
     pub(crate) async fn decided(&self, signature: RequestSignature) {
         until(&self.decided, || !self.lock().is_undecided(signature)).await;
     }
--- a/crates/rookferry_relay/src/door.rs
+++ b/crates/rookferry_relay/src/door.rs
@@ -1,4 +1,8 @@
-//! Where streams wait for room on the engines, and are turned away.
+//! Admission queues for streams that wait for free cache on the engines.
+//!
+//! Each service has a queue, ordered by urgency. A stream is refused when it can't
+//! be expected to start within its latency objective; the refusal carries a retry
+//! time that grows with the length of the overload.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,7 +20,7 @@
 
 use crate::mutex::lock;
 
-/// Those who wait for room, by service.
+/// The queues by service, and the state of the overload.
 #[derive(Debug, Default)]
 pub(crate) struct Door {
     queues: Mutex<HashMap<ServiceId, RoomQueue>>,
@@ -24,7 +28,7 @@
     changed: Notify,
 }
 
-/// A request's place in the queue, until it is dropped.
+/// A request's entry in a queue; dropping it leaves the queue.
 #[derive(Debug)]
 pub(crate) struct Place {
     door: Arc<Door>,
@@ -37,12 +41,12 @@
         Self::default()
     }
 
-    /// Whether others wait that a request of some urgency may not pass.
+    /// Whether a request of this urgency has to wait behind queued ones.
     pub(crate) fn is_behind(&self, service: &ServiceId, urgency: Urgency) -> bool {
         self.with(service, |queue| queue.is_behind(urgency))
     }
 
-    /// Has a request wait.
+    /// Adds a request to the queue of a service.
     pub(crate) fn join(self: &Arc<Self>, service: &ServiceId, urgency: Urgency) -> Place {
         Place {
             door: self.clone(),
@@ -51,23 +55,23 @@
         }
     }
 
-    /// A stream has left its room.
+    /// Records that a stream has ended and freed its cache.
     pub(crate) fn note_freed(&self, service: &ServiceId) {
         self.with(service, |queue| queue.note_freed(clock::now()));
         self.note_change();
     }
 
-    /// There may be room where there was none.
+    /// Wakes the waiting requests after a change that may have freed cache.
     pub(crate) fn note_change(&self) {
         self.changed.notify_waiters();
     }
 
-    /// A stream's first event came some time after it was sent.
+    /// Records the time from sending a stream to its first event.
     pub(crate) fn note_first_event(&self, service: &ServiceId, took: Duration) {
         self.with(service, |queue| queue.note_first_event(took));
     }
 
-    /// A request is turned away.
+    /// Records a refusal; returns the overload's length and the retry time.
     pub(crate) fn turn_away(&self) -> Overloaded {
         lock(&self.overload).refused(clock::now(), rand::random())
     }
@@ -80,28 +84,28 @@
 }
 
 impl Place {
-    /// Whether it is the first.
+    /// Whether the request is first in its queue.
     pub(crate) fn is_next(&self) -> bool {
         self.door
             .with(&self.service, |queue| queue.is_next(self.ticket))
     }
 
-    /// How many wait, this one included.
+    /// Length of the queue, including this request.
     pub(crate) fn waiting(&self) -> usize {
         self.door.with(&self.service, |queue| queue.len())
     }
 
-    /// Whether the request can be expected to be sent in time for its
-    /// objective, having waited for some time.
+    /// Whether the request, having waited for `waited`, is expected to be sent in
+    /// time for its latency objective.
     pub(crate) fn is_hopeful(&self, objective: Duration, waited: Duration) -> bool {
         self.door.with(&self.service, |queue| {
             queue.expected_wait(self.ticket) + waited <= queue.patience(objective)
         })
     }
 
-    /// Waits until there may be room, for some time at the most.
+    /// Waits for a change that may have freed cache, at most for `longest`.
     pub(crate) async fn changed(&self, longest: Duration) {
-        // A change that is missed is looked for when the time is over.
+        // A missed change is found by the caller's check after the timeout.
         let _ = tokio::time::timeout(longest, self.door.changed.notified()).await;
     }
 }
--- a/crates/rookferry_relay/src/events.rs
+++ b/crates/rookferry_relay/src/events.rs
@@ -1,23 +1,24 @@
-//! Splits a stream's bytes into whole events.
+//! Splits the bytes of a server-sent event stream into whole events.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Largest event that is put together, in bytes.
+/// Largest event that is buffered, in bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Puts events together from the pieces that arrive.
+/// Buffers bytes until they complete an event, and tracks the last event's id.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
     pending: BytesMut,
     last_id: Option<u64>,
 }
 
-/// More bytes without an end of event than any event has.
+/// More than [`MAX_EVENT_BYTES`] without the end of an event.
 #[derive(Debug)]
 pub(crate) struct EventTooLong;
 
 impl EventSplitter {
+    /// Starts after the event with this id, or at the beginning.
     pub(crate) fn resuming_after(last_id: Option<u64>) -> Self {
         Self {
             pending: BytesMut::new(),
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Takes bytes in; gives back the whole events that they complete.
+    /// Adds bytes; returns the whole events that they complete, if any.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, EventTooLong> {
         self.pending.extend_from_slice(bytes);
         let Some(end) = last_event_end(&self.pending) else {
@@ -41,23 +42,23 @@
         Ok(Some(events))
     }
 
-    /// The id of the last whole event.
+    /// The id of the last whole event, if any had one.
     pub(crate) const fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whether part of an event is left over.
+    /// Whether an incomplete event is buffered.
     pub(crate) fn has_partial(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Drops the part of an event that a broken stream left.
+    /// Drops the incomplete event of a broken stream.
     pub(crate) fn drop_partial(&mut self) {
         self.pending.clear();
     }
 }
 
-/// One past the blank line that ends the last whole event.
+/// The offset behind the blank line that ends the last whole event.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     let lf = find_last(bytes, b"\n\n").map(|at| at + 2);
     let crlf = find_last(bytes, b"\r\n\r\n").map(|at| at + 4);
--- a/crates/rookferry_relay/src/exchange.rs
+++ b/crates/rookferry_relay/src/exchange.rs
@@ -1,4 +1,8 @@
-//! Exchanges with backend servers: all that reaches one goes through here.
+//! All HTTP exchanges with backend servers: callers' requests and the relay's own
+//! calls.
+//!
+//! Before sending, backoffs and permits are checked. Each answer is read for what the
+//! server states about itself: a backoff, a request limit, or that it is leaving.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -25,43 +29,43 @@
 use crate::upstream::UpstreamError;
 use crate::upstream::WholeAnswer;
 
-/// What an answer says of its server, beside what it answers.
+/// What an answer's head states about its server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct ServerNotice {
-    /// The backoff that it asks this instance for.
+    /// The backoff that the server asks this instance for.
     backoff: Option<Duration>,
-    /// Whether it takes no new work any more.
+    /// Whether the server is leaving and takes no new work.
     is_leaving: bool,
-    /// What it says of the requests that it takes.
+    /// The server's request limit.
     limit: LimitNotice,
 }
 
-/// What an answer says of the requests a second that its server takes of all
+/// An answer's statement of the requests per second that its server takes from all
 /// instances together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum LimitNotice {
-    /// Nothing that reads.
+    /// The header is invalid.
     #[default]
     Unclear,
-    /// It names none.
+    /// No limit is stated.
     None,
     Named(RequestRate),
 }
 
-/// For whom something is sent to a server.
+/// Why something is sent to a server, which decides whether it needs permits.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Purpose<'a> {
-    /// A caller, whose request passes servers with these permits.
+    /// A caller's request, with the permits of its path.
     CallerRequest(&'a PathPermits),
-    /// The instance itself; servers with a limit are told of it, not asked.
+    /// A call of the relay's own; it needs no permit, and is reported to the granter.
     OwnCall,
 }
 
 impl Relay {
-    /// Sends a request and waits for the answer's head.
+    /// Sends a request, waits for the answer's head and applies its notices.
     ///
-    /// `may_send` is asked when a connection is there, right before the first
-    /// byte leaves. What servers said meanwhile holds for it too.
+    /// `may_send` is called with a connection at hand, right before the first byte is
+    /// sent. Backoffs and permits are checked again at that point.
     pub(crate) async fn send(
         &self,
         upstream: Upstream,
@@ -86,7 +90,7 @@
         Ok(answer)
     }
 
-    /// Whether servers take something now, by what they said.
+    /// Fails if a backoff holds for the server or a permit is missing.
     fn check_wanted(&self, server: ServerKey, purpose: Purpose<'_>) -> Result<(), UpstreamError> {
         if let Some(left) = self.beliefs.backoff_left(server) {
             let addr = server.addr;
@@ -102,8 +106,8 @@
         }
     }
 
-    /// Something leaves for a server; what has no permit is told to its granter once
-    /// there is a limit.
+    /// Records a send without a permit, which is reported to the granter once the
+    /// server has a limit.
     fn note_sent(&self, server: ServerKey, purpose: Purpose<'_>) {
         match purpose {
             Purpose::OwnCall => self.permits.book().note_sent(server, clock::now()),
@@ -111,7 +115,7 @@
         }
     }
 
-    /// A request passes servers.
+    /// Records that a request passes the servers of its path without a valid permit.
     pub(crate) fn note_passed(&self, permits: &PathPermits) {
         let now = clock::now();
         let mut book = self.permits.book();
@@ -120,7 +124,7 @@
         }
     }
 
-    /// Sends a call of the relay's own and reads the whole answer.
+    /// Sends a call of the relay's own and reads the whole answer within `wait`.
     pub(crate) async fn call(
         &self,
         upstream: Upstream,
@@ -135,13 +139,13 @@
             answer.collect(addr).await
         };
         let Ok(answer) = tokio::time::timeout(wait, whole).await else {
-            let message = format!("nothing within {} ms", wait.as_millis());
+            let message = format!("no whole answer within {} ms", wait.as_millis());
             return Err(UpstreamError::Lost { addr, message });
         };
         answer
     }
 
-    /// What an answer says of its server; what doesn't read says nothing.
+    /// Reads an answer's notices; invalid ones are logged and ignored.
     fn read_notice(
         &self,
         server: ServerKey,
@@ -160,7 +164,7 @@
             }
             Err(error) => self.note_unreadable(server, &error),
         }
-        // Other answers may have it for whoever sent the request.
+        // With other statuses `Retry-After` may be meant for the caller.
         if status == StatusCode::SERVICE_UNAVAILABLE {
             match retry_after(headers) {
                 Ok(backoff) => notice.backoff = backoff,
@@ -170,7 +174,7 @@
         notice
     }
 
-    /// Takes in what an answer says of its server.
+    /// Applies a notice's backoff and departure.
     fn take_notice(&self, server: ServerKey, notice: ServerNotice) {
         if let Some(asked) = notice.backoff {
             self.back_off(server, asked);
@@ -180,8 +184,8 @@
         }
     }
 
-    /// Takes in what an answer says of its server's limit. Answers to the instance's
-    /// own calls may have none while there is one.
+    /// Applies a notice's limit. Answers to the relay's own calls may omit a limit
+    /// that is in force.
     fn take_limit(
         &self,
         server: ServerKey,
@@ -207,7 +211,7 @@
         }
     }
 
-    /// A server asked this instance for a backoff.
+    /// Starts a backoff that a server asked this instance for.
     pub(crate) fn back_off(&self, server: ServerKey, asked: Duration) {
         let kept = self.beliefs.back_off(server, asked);
         counter!("rookferry_server_backoffs_total").increment(1);
@@ -218,7 +222,8 @@
         }
     }
 
-    /// A server said that it leaves. Its entry tells so later, or not at all.
+    /// Records that a server stated it is leaving. Its directory entry shows that
+    /// later or never.
     fn server_leaves(&self, server: ServerKey) {
         if !self.beliefs.note_leaving(server) {
             return;
@@ -226,7 +231,7 @@
         let view = self.view.load();
         let entry = view.server(server);
         if let Some(log) = self.events.line(Weight::Notable) {
-            info!(log, "health: a server says that it leaves"; "event" => "server_leaving",
+            info!(log, "health: a server reports that it is leaving"; "event" => "server_leaving",
                 "server" => entry.map(|entry| entry.id.to_string()),
                 "addr" => %server.addr, "source" => "own");
         }
@@ -234,9 +239,10 @@
         self.versions.send_modify(|changes| *changes += 1);
     }
 
+    /// Logs a header about the server that can't be parsed.
     fn note_unreadable(&self, server: ServerKey, error: &dyn std::error::Error) {
         if let Some(log) = self.events.line(Weight::Notable) {
-            warn!(log, "health: what a server says of itself doesn't read";
+            warn!(log, "health: a server's notice header is invalid";
                 "event" => "notice_unreadable", "server" => %server.addr, "cause" => %error);
         }
     }
--- a/crates/rookferry_relay/src/front.rs
+++ b/crates/rookferry_relay/src/front.rs
@@ -1,4 +1,9 @@
-//! Callers' requests: who may send them, where they go, and the answer.
+//! Handles callers' HTTP requests: reads the body, admits the request under the
+//! configuration in force, has it served as a stream or as a single answer, and
+//! turns a refusal into a problem response.
+//!
+//! A request whose admission is outdated before anything was sent, because the
+//! configuration or the list of servers changed, is admitted again.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -28,19 +33,19 @@
 use crate::request::host_of;
 use crate::stream;
 
-/// How often a request is let in anew when what let it in changed before it
-/// was sent.
+/// Admissions of one request, counting the repeats after a change of the
+/// configuration or the list of servers before it was sent.
 const MAX_ADMISSIONS: usize = 3;
-/// How long new work is taken after the word to stop; connections that are
-/// kept by callers close with their next answer.
+/// How long new requests are accepted after the order to stop. Callers' idle
+/// keep-alive connections are closed with their next answer.
 const NEW_WORK_WHILE_LEAVING: Duration = Duration::from_millis(1_500);
-/// What became of a request that was let in.
+/// Outcome of serving an admitted request.
 pub(crate) enum Served {
-    /// An answer, or the start of one.
+    /// A server's answer, or the head of a stream.
     Answer(Response<Body>),
-    /// No server's answer.
+    /// No server answered.
     Refused(Refusal),
-    /// What let it in no longer holds, and nothing was sent.
+    /// The admission no longer holds, and nothing was sent.
     Withdrawn,
 }
 
@@ -48,7 +53,7 @@
 pub(crate) async fn handle(relay: Arc<Relay>, mut inbound: Inbound) -> Response<Body> {
     let received_at = clock::now();
     let head = relay.protocol.caller_head(&inbound.headers);
-    // Callers of plain services have less time, and are told at once when to come back.
+    // Callers of plain services have less time; they get a retry time at once.
     if head.answer_tokens > 0
         && relay.is_starting()
         && let Some(longest) = relay.start_wait()
@@ -82,15 +87,16 @@
     refuse(&relay, relay.unknown_site(), &head, received_at)
 }
 
-/// Waits until an instance that has just started knows the site.
+/// Waits until a newly started instance has a configuration and a list of servers.
 async fn await_start(relay: &Relay, longest: Duration) {
     let mut news = relay.versions.subscribe();
     let known = async { while relay.is_starting() && news.changed().await.is_ok() {} };
-    // What it comes to is looked at when the request is let in.
+    // Admission checks the result, also after a timeout.
     let _ = tokio::time::timeout(longest, known).await;
 }
 
-/// Has the caller open its next connection elsewhere once this instance stops.
+/// Adds `Connection: close` while this instance stops, so that the caller's next
+/// connection goes to another instance.
 fn closing_if_leaving(relay: &Relay, mut response: Response<Body>) -> Response<Body> {
     if relay.is_leaving() {
         let close = http::HeaderValue::from_static("close");
@@ -101,6 +107,7 @@
     response
 }
 
+/// Reads the body within the configured size and time limits.
 async fn read_body(relay: &Relay, inbound: &mut Inbound) -> Result<bytes::Bytes, Refusal> {
     let view = relay.view.load_full();
     let Some(index) = &view.index else {
@@ -111,11 +118,11 @@
     read.await.map_err(|error| match error {
         BodyError::TooLarge { .. } => Refusal::BodyTooLarge,
         BodyError::TooSlow { .. } => Refusal::BodyTooSlow,
-        BodyError::Broken { .. } => Refusal::BadRequest("the body broke off"),
+        BodyError::Broken { .. } => Refusal::BadRequest("the connection closed within the body"),
     })
 }
 
-/// Lets a request in under the configuration in force.
+/// Admits a request under the configuration in force.
 fn admit(
     relay: &Relay,
     inbound: &Inbound,
@@ -130,17 +137,18 @@
         return Err(Refusal::Leaving);
     }
     let view = relay.view.load_full();
-    // What isn't known to be the newest may neither let in nor turn away.
+    // A configuration that may be outdated must neither admit nor refuse by its rules.
     let known = view.index.as_ref().filter(|_| relay.knows_site());
     let index = known.ok_or_else(|| relay.unknown_site())?;
-    let host = host_of(&inbound.headers).ok_or(Refusal::BadRequest("the request names no host"))?;
+    let host = host_of(&inbound.headers)
+        .ok_or(Refusal::BadRequest("the Host header is missing or invalid"))?;
     let route = index
         .route(&host, inbound.uri.path())
         .ok_or(Refusal::NoRoute)?;
     let attempt = head
         .attempt
         .clone()
-        .ok_or(Refusal::BadRequest("the request has no id"))?;
+        .ok_or(Refusal::BadRequest("the attempt id is missing or invalid"))?;
     let account = account_of(index, route.is_public, head)?;
     let urgency = Urgency {
         account: account.map_or(route.priority, |account| account.priority),
@@ -168,6 +176,7 @@
     })
 }
 
+/// The account of the caller's key; none where the route or the site needs no key.
 fn account_of<'a>(
     index: &'a ServingIndex,
     is_public: bool,
@@ -181,6 +190,7 @@
     }
 }
 
+/// Logs and counts a refusal, and builds its response.
 fn refuse(
     relay: &Relay,
     refusal: Refusal,
@@ -190,7 +200,7 @@
     counter!("rookferry_refused_total", "cause" => refusal.cause()).increment(1);
     let age = relay.config_age();
     if let Some(log) = relay.events.line(Weight::Notable) {
-        warn!(log, "request: no server's answer"; "event" => "refused",
+        warn!(log, "request: refused or unanswered"; "event" => "refused",
             "request" => head.attempt.as_deref().unwrap_or("-"),
             "cause" => refusal.cause(),
             "signature" => refusal.signature().map(|signature| signature.to_string()),
@@ -203,7 +213,7 @@
     refusal.response(relay.protocol.names(), head.attempt.as_deref())
 }
 
-/// Notes a request that was answered.
+/// Logs and counts an answered request.
 pub(crate) fn note_served(relay: &Relay, request: &CallerRequest, status: u16, server: &str) {
     let took = clock::since(request.received_at);
     let route = request.route.name.to_string();
--- a/crates/rookferry_relay/src/lib.rs
+++ b/crates/rookferry_relay/src/lib.rs
@@ -1,14 +1,14 @@
 //! The request path in front of engines that forward pipelines themselves.
 //!
-//! An instance is a [`Node`]. It keeps what the site's store says of
-//! configuration and backend servers, lets callers' requests in, sends them
-//! on along paths that run every layer once and in order, looks after those
-//! paths while streams run, and, one instance at a time, orders engines to
-//! hold layers.
+//! An instance is a [`Node`]. It caches the configuration and the list of
+//! backend servers from the site's store, admits callers' requests, sends them
+//! along paths that run every layer once and in order, and monitors and repairs
+//! those paths while streams run. The instance that holds the lease also orders
+//! engines to load layers.
 //!
-//! What outside systems speak is behind two traits: [`SiteStore`] for the
-//! platform's store, [`ServerProtocol`] for headers and calls of backend
-//! servers. Decisions are in `rookferry_core`, without sockets and clocks.
+//! External formats are behind two traits: [`SiteStore`] for the platform's
+//! store, [`ServerProtocol`] for headers and calls of backend servers. The
+//! decision logic is in `rookferry_core`, which has no sockets and no clocks.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/rookferry_relay/src/load.rs
+++ b/crates/rookferry_relay/src/load.rs
@@ -1,4 +1,4 @@
-//! Requests under way at each server, as far as this instance knows.
+//! This instance's requests in flight and their tokens, by backend server.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,13 +9,13 @@
 
 use crate::mutex::lock;
 
-/// Loads by server.
+/// Load by server; clones share the table.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadTable {
     inner: Arc<Mutex<HashMap<ServerKey, ServerLoad>>>,
 }
 
-/// Counts a request at some servers until it is dropped.
+/// Counts a request at the servers of its path until dropped.
 #[derive(Debug)]
 pub(crate) struct LoadGuard {
     table: LoadTable,
@@ -23,11 +23,12 @@
 }
 
 impl LoadTable {
+    /// The load of a server; zero if nothing is in flight there.
     pub(crate) fn of(&self, server: ServerKey) -> ServerLoad {
         lock(&self.inner).get(&server).copied().unwrap_or_default()
     }
 
-    /// Counts a request at servers, at each with the tokens it holds there.
+    /// Counts a request at servers, each with the tokens in its cache.
     pub(crate) fn enter(&self, parts: Vec<(ServerKey, f64)>) -> LoadGuard {
         let mut loads = lock(&self.inner);
         for (server, tokens) in &parts {
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Everything that is under way.
+    /// A copy of all loads.
     pub(crate) fn snapshot(&self) -> Vec<(ServerKey, ServerLoad)> {
         let loads = lock(&self.inner);
         loads
--- a/crates/rookferry_relay/src/opener/mod.rs
+++ b/crates/rookferry_relay/src/opener/mod.rs
@@ -1,5 +1,9 @@
-//! Opens runs of one stream: chooses paths, sends along them, and judges what
-//! comes back until an engine answers or nothing is left to try.
+//! Opens runs of one stream: chooses a path, sends the request along it and classifies
+//! the outcome, until an engine answers or no try is left.
+//!
+//! An engine that refused, failed or couldn't be reached is avoided by the next tries.
+//! A request that may have run is sent again only if its route allows repeats, and each
+//! try after one that reached an engine is taken out of the retry budget.
 
 mod refused;
 mod room;
@@ -42,12 +46,12 @@
 use crate::upstream::UpstreamError;
 use crate::upstream::is_signed;
 
-/// How often one request may be turned away, or find its engine unreachable.
+/// Tries per run, including refused and unsent ones.
 const MAX_UNRUN_TRIES: usize = 4;
-/// The least time left in which sending makes sense.
+/// A request with less time left is not sent.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(50);
 
-/// A stream's request, and the engines that it is for.
+/// A stream's request, with the service and the model that serve it.
 #[derive(Clone)]
 pub(crate) struct StreamTarget {
     pub(crate) relay: Arc<Relay>,
@@ -56,29 +60,32 @@
     pub(crate) model: Arc<ModelShape>,
 }
 
-/// What one try to open a stream came to.
+/// Outcome of one try to open a stream.
 enum Opened {
-    /// The engine answers; a success is a stream that runs.
+    /// The engine answered; with a success status its stream is running.
     Answer(Box<UpstreamAnswer>),
+    /// An engine of the path refused, and nothing ran.
     NotRun {
+        /// The refusing engine, if the answer names one.
         at_fault: Option<ServerKey>,
         /// The backoff that the engine asked for.
         backoff: Option<Duration>,
     },
     Failed(UpstreamError),
+    /// The request's deadline passed.
     TimeOver,
 }
 
 /// Opens runs of one request.
 pub(crate) struct Opener<'a> {
     target: &'a StreamTarget,
-    /// Servers that no further try may begin at.
+    /// Servers that further tries exclude from their paths.
     pub(crate) avoided: Vec<ServerKey>,
-    /// Runs that the request has had.
+    /// Runs of the request so far, including those that may have run.
     pub(crate) runs: u32,
     /// Tries that have reached an engine.
     arrived: usize,
-    /// Whether the next try is taken out of the budget already.
+    /// Whether the next try has already been taken out of the retry budget.
     is_paid: bool,
 }
 
@@ -94,7 +101,7 @@
         }
     }
 
-    /// For a run after others.
+    /// For a further run, with the avoided servers and the number of runs so far.
     pub(crate) const fn again(
         target: &'a StreamTarget,
         avoided: Vec<ServerKey>,
@@ -109,7 +116,9 @@
         }
     }
 
-    /// Tries paths until an engine answers.
+    /// Tries paths until an engine answers with a success, or fails for good.
+    ///
+    /// `after` is the id of the last delivered event, which the run resumes after.
     pub(crate) async fn open(
         &mut self,
         after: Option<u64>,
@@ -184,7 +193,7 @@
         ))
     }
 
-    /// A try gave no answer; tells whether another may follow.
+    /// Records a try without an answer; returns whether another may follow.
     fn goes_on_after(&mut self, error: &UpstreamError, keeper: &PathKeeper) -> bool {
         let relay = &self.target.relay;
         let request = &self.target.request;
@@ -219,13 +228,14 @@
         request.route.repeatability.may_repeat() && self.runs < request.route.max_servers.max(1)
     }
 
-    /// Whether nothing of the request has been made yet.
+    /// Whether no part of the answer has been produced yet. Only such requests queue
+    /// for free cache.
     fn is_fresh(&self) -> bool {
         self.runs == 0 && self.target.request.head.last_event.is_none()
     }
 
-    /// Whether another run could begin at another engine; takes it out of the
-    /// budget.
+    /// Whether another run could begin at another engine; takes that run out of the
+    /// retry budget.
     fn can_start_elsewhere(&self, first: ServerKey) -> bool {
         let may_repeat = self.target.request.route.repeatability.may_repeat();
         let may_run = may_repeat && self.target.request.route.max_servers > 1;
@@ -234,8 +244,7 @@
             && self.target.relay.take_retry(&self.target.request)
     }
 
-    /// The best path whose engines all take the request: those with a limit may have
-    /// no permit for it.
+    /// The best path for which the permits of all engines with a limit are granted.
     async fn choose_permitted(&self) -> Result<Option<(PipelinePath, PathPermits)>, Refusal> {
         for _ in 0..MAX_PERMIT_TRIES {
             let chosen = if self.is_fresh() {
@@ -255,7 +264,7 @@
         Ok(None)
     }
 
-    /// The best path over engines that may be used, without avoided ones.
+    /// The best path over usable engines, without the avoided ones.
     fn choose(&self, also_avoided: &[ServerKey]) -> Option<PipelinePath> {
         let home = &self.target.relay.settings.domain;
         let tokens = self.target.request.tokens();
@@ -263,18 +272,19 @@
         found.inspect_err(|no_path| self.note_no_path(no_path)).ok()
     }
 
-    /// A way that was found and is no path tells of a fault of the search.
+    /// Logs a search result that is no valid path, which is a fault of the search.
     fn note_no_path(&self, no_path: &NoPath) {
         let NoPath::Unusable { fault } = no_path else {
             return;
         };
         if let Some(log) = self.target.relay.events.line(Weight::Notable) {
-            warn!(log, "stream: the way found is no path"; "event" => "path_unusable",
+            warn!(log, "stream: the path search returned an invalid path"; "event" => "path_unusable",
                 "request" => &self.target.request.attempt, "cause" => %fault);
         }
     }
 
-    /// Runs a search over engines that may be used, without avoided ones.
+    /// Runs a search over the usable engines, without the avoided ones; none while
+    /// there is no list of servers.
     fn with_finder<T>(
         &self,
         also_avoided: &[ServerKey],
@@ -296,7 +306,8 @@
         Some(run(&PathFinder::new(self.target.model.layers, usable)))
     }
 
-    /// Sends the request along a path and waits for the answer's head.
+    /// Sends the request along a path and waits for the answer's head, monitoring the
+    /// path meanwhile.
     async fn send(
         &mut self,
         keeper: &mut PathKeeper,
@@ -343,9 +354,9 @@
                         }
                         Watched::Hung => {
                             self.is_paid = true;
-                            "no event came, and nothing is lost"
+                            "no event arrived, and no engine is lost"
                         }
-                        // One that may run once stays with the run it has.
+                        // A request that may run only once keeps its run.
                         Watched::Costly if self.runs > 0 || !may_repeat => {
                             keeper.keep_run();
                             continue;
@@ -365,6 +376,7 @@
         }
     }
 
+    /// Classifies an answer's head.
     async fn opened(
         &self,
         answer: UpstreamAnswer,
@@ -381,20 +393,20 @@
             let at_fault = faulty_server(&answer.headers, &names.faulty_server)
                 .and_then(|addr| self.target.relay.engine_at(addr, path));
             let backoff = answer.backoff;
-            // Read to its end so that the connection can be kept.
+            // Reading the body to its end returns the connection to the pool.
             let _ = tokio::time::timeout(MIN_TIME_LEFT, answer.collect(server.addr())).await;
             return Opened::NotRun { at_fault, backoff };
         }
         if !is_signed(answer.status, &answer.headers, names) {
             return Opened::Failed(UpstreamError::Lost {
                 addr: server.addr(),
-                message: "a success without the engine's signature".to_owned(),
+                message: "a success without the engine's signature header".to_owned(),
             });
         }
         Opened::Answer(Box::new(answer))
     }
 
-    /// Passes an engine's own failure on.
+    /// Passes an engine's error response on to the caller.
     async fn pass_failure(&self, answer: UpstreamAnswer, addr: SocketAddr) -> Served {
         let whole =
             tokio::time::timeout(self.target.request.time_left(), answer.collect(addr)).await;
@@ -417,7 +429,7 @@
                 .iter()
                 .map(|server| server.addr.to_string())
                 .collect();
-            warn!(log, "stream: a try failed"; "event" => "attempt_failed",
+            warn!(log, "stream: a try to open a run failed"; "event" => "attempt_failed",
                 "request" => &self.target.request.attempt,
                 "signature" => %self.target.request.signature(), "path" => path, "avoided" => avoided.join(","),
                 "cause" => cause, "left_ms" => millis(self.target.request.time_left()));
@@ -425,6 +437,7 @@
     }
 }
 
+/// The address of the refusing engine, if the answer's header names one.
 fn faulty_server(headers: &HeaderMap, name: &http::HeaderName) -> Option<SocketAddr> {
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
--- a/crates/rookferry_relay/src/opener/refused.rs
+++ b/crates/rookferry_relay/src/opener/refused.rs
@@ -1,5 +1,5 @@
-//! What an engine's refusal means for the tries after it, and when a caller
-//! comes back if there is none.
+//! Effects of an engine's refusal on later tries, and the retry time of a caller whose
+//! request no engine takes.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::refusal::Refusal;
 
 impl Opener<'_> {
-    /// An engine of a path refused; `first` passed it on.
+    /// Records a refusal by an engine of a path, which `first` forwarded or gave itself.
     pub(super) fn note_refused(
         &self,
         first: ServerKey,
@@ -22,22 +22,22 @@
     ) {
         let relay = &self.target.relay;
         if let Some(asked) = backoff {
-            // What the first one passes on may be the later one's wish.
+            // The first engine forwards a later engine's backoff as its own answer.
             if refusing != first {
                 relay.back_off(refusing, asked);
             }
             return;
         }
         let has_room = relay.engine_refused(refusing, &self.target.model);
-        // It may be gone, or have started again without its layers: its entry
-        // tells of that seconds later, or, with the store away, not at all.
+        // The engine may have exited, or restarted without its layers. Its directory
+        // entry shows that seconds later, or, while the store is unavailable, never.
         if has_room || refusing != first {
             probe::check_soon(relay, refusing);
         }
     }
 
-    /// When there is a path, if there is none now because of backoffs from engines, or
-    /// because engines with a limit take no more.
+    /// The refusal with the time at which there is a path again; none if there is one
+    /// now, or no backoff or refused permit is the cause.
     pub(super) fn wait_for_engines(&self) -> Option<Refusal> {
         let StreamTarget {
             relay,
@@ -61,7 +61,7 @@
         if wait.ends.is_empty() || has_path(now) {
             return None;
         }
-        // Of hundreds of engines that wait, a few are looked at.
+        // A binary search: with hundreds of backoffs only a few paths are searched.
         let first = wait.ends.partition_point(|end| !has_path(*end));
         Some(wait.refusal(*wait.ends.get(first)?, now))
     }
--- a/crates/rookferry_relay/src/opener/room.rs
+++ b/crates/rookferry_relay/src/opener/room.rs
@@ -1,5 +1,5 @@
-//! Looks for a path with room, waits for one at the door, or turns a request
-//! away.
+//! Admission of a stream: finds a path with free cache on all engines, queues for one,
+//! or refuses the request.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -17,27 +17,29 @@
 use crate::mutex::lock;
 use crate::refusal::Refusal;
 
-/// How often the first that waits looks for room that others' word or an
-/// engine's estimate brought, which nothing tells of.
+/// How often the first request of the queue checks for free cache. Changes by peers'
+/// load reports or by an engine's estimated capacity give no notification.
 const LOOK_AGAIN: Duration = Duration::from_millis(25);
 
-/// What a look for room came to.
+/// Result of a check for free cache.
 enum Room {
     /// No engines cover the layers.
     None,
-    /// All engines of a path have room.
+    /// All engines of the path have enough free cache.
     On(PipelinePath),
-    /// The fullest engine of the best path has none.
+    /// The fullest engine of the best path, which lacks free cache.
     Full(PipelineEngine),
-    /// The best path crosses the link between failure domains, which has none
-    /// for some time.
+    /// The best path crosses the link between failure domains, whose bandwidth is used
+    /// up for this time.
     NoLink(Duration),
 }
 
 impl Opener<'_> {
-    /// A path with room for the request; it waits for one while it can be in
-    /// time. One that waited at an engine would be late, and make others late for as
-    /// long as the site is over its capacity.
+    /// Finds a path with free cache for the request, queueing while it can still meet
+    /// its latency objective.
+    ///
+    /// A request that waited at an engine instead would be late, and would delay others
+    /// for as long as the site is over its capacity. None if no engines cover the layers.
     pub(super) async fn choose_with_room(&self) -> Result<Option<PipelinePath>, Refusal> {
         let request = &self.target.request;
         let door = &self.target.relay.door;
@@ -74,6 +76,7 @@
         }
     }
 
+    /// Checks whether the best path has free cache, and reserves its share of the link.
     fn look_for_room(&self) -> Room {
         let home = &self.target.relay.settings.domain;
         let tokens = self.target.request.tokens();
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Takes a path's part of the link between failure domains.
+    /// Reserves the time that a path needs on the link between failure domains.
     fn over_link(&self, path: PipelinePath) -> Room {
         let relay = &self.target.relay;
         let view = relay.view.load();
@@ -117,12 +120,13 @@
         }
     }
 
-    /// Sent all the same, it would stand still with all others on the link
-    /// until its caller leaves.
+    /// Refuses a request for which the link has no bandwidth. If it were sent, it would
+    /// stall with all others on the link until its caller gave up.
     fn turn_away_from_link(&self, wait: Duration) -> Refusal {
         let request = &self.target.request;
         if let Some(log) = self.target.relay.events.line(Weight::Notable) {
-            warn!(log, "stream: the link between domains is full"; "event" => "link_full",
+            warn!(log, "stream: refused, the link between failure domains is full";
+                "event" => "link_full",
                 "request" => &request.attempt, "tokens" => request.tokens(),
                 "held_ms" => millis(request.held_for()), "retry_after_ms" => millis(wait));
         }
@@ -132,17 +136,18 @@
     fn note_let_in(&self, place: &Place) {
         let request = &self.target.request;
         if let Some(log) = self.target.relay.events.line(Weight::Routine) {
-            info!(log, "stream: there is room after a wait"; "event" => "let_in",
+            info!(log, "stream: admitted after queueing"; "event" => "let_in",
                 "request" => &request.attempt, "held_ms" => millis(request.held_for()),
                 "waiting" => place.waiting());
         }
     }
 
+    /// Refuses a request that can't meet its objective in the queue.
     fn turn_away(&self, full: Option<&PipelineEngine>, place: &Place) -> Refusal {
         let overload = self.target.relay.door.turn_away();
         let request = &self.target.request;
         if let Some(log) = self.target.relay.events.line(Weight::Notable) {
-            warn!(log, "stream: the engines have no room"; "event" => "no_room",
+            warn!(log, "stream: refused, the engines' caches are full"; "event" => "no_room",
                 "request" => &request.attempt, "tokens" => request.tokens(),
                 "engine" => full.map(|engine| engine.engine.to_string()),
                 "addr" => full.map(|engine| engine.addr().to_string()),
--- a/crates/rookferry_relay/src/path_keeper/mod.rs
+++ b/crates/rookferry_relay/src/path_keeper/mod.rs
@@ -1,8 +1,8 @@
-//! Looks after the path of a running request.
+//! Monitors and repairs the path of a running request.
 //!
-//! A stage that is lost, leaving or reassigned is replaced by an order to the
-//! first engine, which keeps the request. What tells: the fleet changed, or
-//! the stream stands still and probes of the path's engines stay unanswered.
+//! A stage that is lost, leaving or reassigned is replaced by an order to the first
+//! engine, which keeps the request. The path is checked when the fleet changes, and
+//! when the stream stalls; engines of a stalled stream are probed first.
 
 mod repair;
 
@@ -36,67 +36,73 @@
 use crate::request::CallerRequest;
 use crate::signs::Sign;
 
-/// How long a stream may stand still before its path is probed. Events come
-/// every 20 to 50 ms at the published step times; a pause of 200 ms makes an
-/// answer late, and probing and repair need part of that.
+/// How long a stream may stall before its path is probed. Events arrive every 20 to
+/// 50 ms at the published step times; a pause of 200 ms makes an answer late, and
+/// probing and repair need part of that.
 const STALL_AFTER: Duration = Duration::from_millis(90);
-/// How long an engine may have given no sign, through any stream, before a
-/// stream that stands still has it probed.
+/// Age of an engine's last liveness evidence, from any stream, from which a stalled
+/// stream has it probed.
 const SILENT_AFTER: Duration = Duration::from_millis(60);
-/// The same before the first event, where reading the prompt is the likelier
-/// cause: a heartbeat of the instances that share the engines fits in.
+/// The same before the first event, where reading the prompt is the likelier cause. A
+/// heartbeat of the instances that share the engines fits in.
 const SILENT_BEFORE_FIRST: Duration = Duration::from_millis(200);
 /// How long a stream may wait for its first event before its path is probed.
 const FIRST_EVENT_AFTER: Duration = Duration::from_millis(220);
-/// Time until a stream that goes on standing still is looked at again; doubles.
+/// Time until a stream that is still stalled is checked again; doubles each time.
 const STALL_AGAIN: Duration = Duration::from_millis(150);
-/// How long a stream may stand still without a lost stage before another run
-/// is worth its price; clients wait for two seconds.
+/// Stall without a lost stage from which another run is worth its cost; clients wait
+/// for two seconds.
 const HUNG_AFTER: Duration = Duration::from_millis(500);
-/// The same before the first event: it leaves a third of the usual objective
-/// of 500 ms to the other run.
+/// The same before the first event. It leaves a third of the usual objective of
+/// 500 ms to the other run.
 const FIRST_EVENT_HUNG_AFTER: Duration = Duration::from_millis(350);
-/// A stall after which all engines of the path are asked how slow they are.
+/// Stall from which all engines of the path are asked for a report on their speed.
 const SLOW_AFTER: Duration = Duration::from_millis(200);
-/// Least age of a report that is asked for again.
+/// Age from which an engine's report is requested again.
 const REPORT_AGAIN: Duration = Duration::from_millis(500);
 
-/// How long a stream whose repair found no room waits until the next; doubles.
+/// How long a stream whose repair was refused for lack of cache waits until the next
+/// repair; doubles each time.
 ///
-/// Load pattern: a seventh of the engines is lost and the others are full, while
-/// the fleet changes many times a second. With a try at each change, each stream
-/// would be refused dozens of times.
+/// Load pattern: a seventh of the engines is lost and the others are full, while the
+/// fleet changes many times a second. With a repair at each change, each stream would
+/// be refused dozens of times.
 const NO_ROOM_PAUSE: Duration = Duration::from_millis(150);
 
-/// The path of a running request.
+/// The path of a running request, with the state of its monitoring and repair.
 pub(crate) struct PathKeeper {
     relay: Arc<Relay>,
     request: Arc<CallerRequest>,
     service: ServingService,
     model: Arc<ModelShape>,
     path: PipelinePath,
+    /// Signals changes of the fleet.
     fleet: watch::Receiver<u64>,
+    /// When the path is probed unless events arrive before.
     look_at: Instant,
     look_pause: Duration,
+    /// When the last event arrived, or the request was sent.
     stalled_since: Instant,
+    /// Engines that refused a repair since the last successful one.
     refused: Vec<ServerKey>,
-    /// When the path may be repaired again after a refusal for want of room.
+    /// Earliest time of the next repair, after a refusal or during a backoff.
     repair_at: Instant,
     repair_pause: Duration,
     repairs: u32,
-    /// Whether the path has to be looked through; stays set while a look is
-    /// cut off by events that come.
+    /// Whether the path has to be checked. Stays set when an arriving event cancels
+    /// a check.
     must_check: bool,
-    /// Whether no other run takes over, so that a repair may cost what it costs.
+    /// Whether no other run can take over, so that a repair may cost any time.
     keeps_run: bool,
     progress: Progress,
-    /// Whether an event has come that all engines of the path had a part in.
+    /// Whether an event has arrived that all engines of the current path contributed to.
     is_proven: bool,
     /// Engines at which the run broke.
     broken_at: Vec<ServerKey>,
     run: RunId,
-    /// When it came to the engines of its path.
+    /// When the run reached each engine of its path.
     joined: HashMap<ServerKey, Instant>,
+    /// The engines' liveness evidence, in the order of the stages.
     signs: Vec<Sign>,
     load: LoadGuard,
 }
@@ -104,30 +110,31 @@
 /// How far the current run has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
-    /// No event has come.
+    /// No event has arrived.
     Waiting,
-    /// Events come.
+    /// Events arrive.
     Running,
-    /// It stands still, and that was told.
+    /// The stream hangs, and that was reported.
     Hung,
 }
 
-/// What became of a look at the path.
+/// Result of a check of the path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Watched {
-    /// The path is as good as it gets.
+    /// The path needs no action, or none is possible now.
     Fine,
     /// The first engine is lost, and the run with it.
     FirstLost,
-    /// Nothing is lost, and still nothing has come for long.
+    /// No engine is lost, but no event has arrived for too long.
     Hung,
-    /// A lost stage could only be replaced in another failure domain. The
-    /// link there would carry all the request's tokens again, which takes
-    /// longer than another run within one domain.
+    /// A lost stage could only be replaced in another failure domain, or the first
+    /// engine asked for a backoff. The link between domains would carry all the
+    /// request's tokens again, which takes longer than another run within one domain.
     Costly,
 }
 
 impl PathKeeper {
+    /// Starts monitoring a path, and counts the request at its engines.
     pub(crate) fn new(target: &StreamTarget, path: PipelinePath) -> Self {
         let StreamTarget {
             relay,
@@ -170,16 +177,17 @@
         self.run
     }
 
+    /// Number of repairs of the run's path.
     pub(crate) const fn repairs(&self) -> u32 {
         self.repairs
     }
 
-    /// The run is lost with its first engine, or its connection broke.
+    /// Records that the run broke at its first engine, or with the connection to it.
     pub(crate) fn note_broken_at_first(&mut self) {
         self.note_broken_at(self.path.first().server);
     }
 
-    /// The run broke at an engine of its path; that is looked into once.
+    /// Records that the run broke at an engine of its path; once per engine.
     fn note_broken_at(&mut self, server: ServerKey) {
         if self.broken_at.contains(&server) {
             return;
@@ -205,13 +213,13 @@
         self.relay.run_broke(&self.request, broken);
     }
 
-    /// When the run came to an engine of its path.
+    /// When the run reached an engine of its path; now for any other.
     pub(crate) fn joined_at(&self, server: ServerKey) -> Instant {
         let joined = self.joined.get(&server).copied();
         joined.unwrap_or_else(clock::now)
     }
 
-    /// The path as a line for logs.
+    /// The path for logs, as `addr=start-end` parts joined by commas.
     pub(crate) fn describe(&self) -> String {
         let stages = self.path.stages().iter();
         let parts: Vec<String> = stages
@@ -227,12 +235,12 @@
         parts.join(",")
     }
 
-    /// How long ago the last event came, or the request was sent.
+    /// Time since the last event, or since the request was sent.
     pub(crate) fn stands_for(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.stalled_since)
     }
 
-    /// Events came.
+    /// Records arrived events, which show that all engines of the path are alive.
     pub(crate) fn progressed(&mut self, now: Instant) {
         self.stalled_since = now;
         self.look_at = now + STALL_AFTER;
@@ -247,7 +255,9 @@
         }
     }
 
-    /// Waits until the path must be looked at, and looks after it.
+    /// Waits until the path must be checked, then checks and repairs it.
+    ///
+    /// May be cancelled at any point; the next call repeats the check.
     pub(crate) async fn watch(&mut self) -> Watched {
         if !self.must_check {
             tokio::select! {
@@ -265,7 +275,7 @@
         watched
     }
 
-    /// Whether it has stood still for too long; said once a pause.
+    /// Whether the stream has stalled for too long; true once per stall.
     fn is_hung(&self) -> bool {
         let bound = match self.progress {
             Progress::Waiting => FIRST_EVENT_HUNG_AFTER,
@@ -275,7 +285,8 @@
         clock::since(self.stalled_since) >= bound
     }
 
-    /// The stream stands still: asks every engine of the path for a sign.
+    /// Probes the engines of a stalled stream's path that were silent for too long, and
+    /// asks for the reports of all if the stall goes on.
     async fn look(&mut self) {
         let stalled = clock::since(self.stalled_since);
         let now = clock::now();
@@ -302,7 +313,7 @@
         if asked > 0
             && let Some(log) = self.relay.events.line(Weight::Notable)
         {
-            warn!(log, "stream: it stands still"; "event" => "path_stalled",
+            warn!(log, "stream: stalled, its engines were probed"; "event" => "path_stalled",
                 "request" => &self.request.attempt, "stalled_ms" => millis(stalled),
                 "path" => self.describe(), "probed" => asked, "lost" => lost);
         }
@@ -310,6 +321,7 @@
         self.look_pause *= 2;
     }
 
+    /// The state of a stage; lost if its engine refused a repair.
     fn state_of(&self, stage: &PathStage) -> StageState {
         let view = self.relay.view.load();
         let Some(table) = &view.servers else {
@@ -329,7 +341,7 @@
             .collect()
     }
 
-    /// No other run takes over: a costly repair is better than none.
+    /// Allows costly repairs, since no other run can take over.
     pub(crate) fn keep_run(&mut self) {
         self.keeps_run = true;
         self.must_check = true;
@@ -338,14 +350,15 @@
 
 impl Drop for PathKeeper {
     fn drop(&mut self) {
-        // The load's own drop comes after this; a waiter looks a moment later.
+        // The load guard is dropped right after this; a woken request checks later.
         self.relay.door.note_freed(&self.service.name);
     }
 }
 
+/// Counts the request at the engines of its path.
 fn enter(relay: &Relay, request: &CallerRequest, path: &PipelinePath) -> LoadGuard {
     let view = relay.view.load();
-    // An engine keeps a token's cache for the layers that it runs only.
+    // An engine caches a token only for the layers that it runs.
     let part = |stage: &PathStage| {
         let held = view.server(stage.server).and_then(|server| server.held);
         let held = held.map_or(stage.layers.len(), LayerRange::len);
@@ -358,11 +371,13 @@
     relay.beliefs.loads.enter(parts.collect())
 }
 
+/// The engines of a path, each with the same time.
 fn joined(path: &PipelinePath, now: Instant) -> HashMap<ServerKey, Instant> {
     let stages = path.stages().iter();
     stages.map(|stage| (stage.server, now)).collect()
 }
 
+/// The liveness evidence of a path's engines, in the order of the stages.
 fn signs(relay: &Relay, path: &PipelinePath) -> Vec<Sign> {
     let stages = path.stages().iter();
     stages
--- a/crates/rookferry_relay/src/path_keeper/repair.rs
+++ b/crates/rookferry_relay/src/path_keeper/repair.rs
@@ -1,4 +1,5 @@
-//! Replaces stages of a running request's path by an order to its first engine.
+//! Replaces lost and leaving stages of a running request's path by an order to its
+//! first engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,23 +29,24 @@
 use crate::permits::PathPermits;
 use crate::probe;
 
-/// How long the order to move a request may take.
+/// Timeout for the order to change a request's path.
 const REPATH_TIMEOUT: Duration = Duration::from_millis(250);
 /// Paths tried for one repair.
 const MAX_REPAIR_TRIES: usize = 3;
 
-/// What became of an order to move a request.
+/// Outcome of an order to change a request's path.
 enum Moved {
     Done,
-    /// The engine named, if any, has no room or isn't there.
+    /// The named engine, if any, lacks free cache or can't be reached.
     Refused(Option<ServerKey>),
-    /// The request isn't running there.
+    /// The first engine isn't running the request.
     Unknown,
+    /// The order got no answer.
     Failed,
 }
 
 impl PathKeeper {
-    /// Replaces stages that can't be used.
+    /// Replaces stages that are lost or leaving, with up to [`MAX_REPAIR_TRIES`] paths.
     pub(super) async fn repair(&mut self) -> Watched {
         for _ in 0..MAX_REPAIR_TRIES {
             let lost = self.stages_in(StageState::Lost);
@@ -52,7 +54,7 @@
             let first = self.path.first().clone();
             self.note_broken(&lost);
             if lost.contains(&first) {
-                // One that takes no new connections may still serve this one.
+                // An engine that refuses new connections may still serve this one.
                 let stands_still = clock::since(self.stalled_since) >= STALL_AFTER;
                 let is_out = self.relay.beliefs.health().is_out(first.server);
                 return if is_out && stands_still {
@@ -61,7 +63,7 @@
                     Watched::Fine
                 };
             }
-            // What its servers end under isn't handed to others either.
+            // A quarantined request is not moved to further servers.
             if self.relay.is_held(&self.request) {
                 return Watched::Fine;
             }
@@ -77,7 +79,7 @@
             if !self.keeps_run && self.adds_crossings(&path) {
                 return Watched::Costly;
             }
-            // An engine with a limit may have no permit; the next path is without it.
+            // The refused permit excludes its engine from the next path.
             let Some(permits) = self.permits_for_new(&path).await else {
                 continue;
             };
@@ -111,7 +113,8 @@
         Watched::Fine
     }
 
-    /// The run comes to the engines of a path that it didn't pass yet.
+    /// Records when the run reached the engines of a new path; those it already
+    /// passed keep their time.
     fn join(&mut self, path: &PipelinePath, at: Instant) {
         let before = std::mem::replace(&mut self.joined, joined(path, at));
         for (server, joined_at) in before {
@@ -121,8 +124,10 @@
         }
     }
 
-    /// Orders to the first engine are backed off from, and a stream with a lost stage
-    /// would stand still meanwhile; another run, if one may begin, goes on at once.
+    /// Handles a backoff from the first engine, which takes no orders meanwhile.
+    ///
+    /// A stream with a lost stage would stall for that time, so another run is preferred
+    /// if one may begin; otherwise the repair is postponed.
     fn put_off(&mut self, left: Duration, has_lost: bool) -> Watched {
         if has_lost && !self.keeps_run {
             return Watched::Costly;
@@ -131,8 +136,8 @@
         Watched::Fine
     }
 
-    /// The run is broken at lost stages; the first engine's end is the run's
-    /// own.
+    /// Records that the run broke at lost stages. The first engine is left out: its
+    /// exit ends the run, which is recorded there.
     fn note_broken(&mut self, lost: &[PathStage]) {
         let first = self.path.first().server;
         for stage in lost.iter().filter(|stage| stage.server != first) {
@@ -140,6 +145,8 @@
         }
     }
 
+    /// Whether a path crosses the link between failure domains more often than the
+    /// current one.
     fn adds_crossings(&self, path: &PipelinePath) -> bool {
         let view = self.relay.view.load();
         let Some(table) = &view.servers else {
@@ -148,9 +155,11 @@
         table.crossings(path) > table.crossings(&self.path)
     }
 
-    /// A path without lost stages, and without leaving ones where that takes
-    /// no more crossings: a leaving engine serves a while yet, and moving a
-    /// request over the link between domains takes longer than most have left.
+    /// The stages to replace, and a path without them.
+    ///
+    /// Leaving stages are replaced only if that adds no crossings: a leaving engine
+    /// serves for a while yet, and moving a request over the link between domains takes
+    /// longer than most requests have left.
     fn replacement(
         &self,
         lost: &[PathStage],
@@ -171,6 +180,7 @@
         Some((lost.to_vec(), self.path_without(lost)?))
     }
 
+    /// The best path that replaces the given stages and keeps the others.
     fn path_without(&self, lost: &[PathStage]) -> Option<PipelinePath> {
         let view = self.relay.view.load();
         let table = view.servers.as_ref()?;
@@ -189,7 +199,7 @@
         )
     }
 
-    /// The permits to move the request to engines that it doesn't pass yet.
+    /// The permits for the engines of a new path that the request doesn't pass yet.
     async fn permits_for_new(&self, path: &PipelinePath) -> Option<PathPermits> {
         let stages = path.stages().iter().map(|stage| stage.server);
         let is_new = |server: &ServerKey| {
@@ -200,7 +210,7 @@
         self.relay.permits_for(&self.request, servers).await
     }
 
-    /// Orders the first engine to move the request to another path.
+    /// Orders the first engine to continue the request on another path.
     async fn move_to(&self, path: &PipelinePath, permits: &PathPermits) -> Moved {
         let protocol = &self.relay.protocol;
         let call = protocol.repath_call(&self.request.attempt, path);
@@ -218,7 +228,7 @@
         match answer.status {
             status if status.is_success() => Moved::Done,
             StatusCode::NOT_FOUND => {
-                self.note_failed("not running there", None);
+                self.note_failed("the first engine isn't running the request", None);
                 Moved::Unknown
             }
             status => {
@@ -229,14 +239,16 @@
         }
     }
 
+    /// Logs an order that failed or was refused, with the address that it names.
     fn note_failed(&self, cause: &str, at_fault: Option<SocketAddr>) {
         if let Some(log) = self.relay.events.line(Weight::Notable) {
-            warn!(log, "stream: its path could not be changed"; "event" => "order_failed",
+            warn!(log, "stream: the order to change its path failed"; "event" => "order_failed",
                 "request" => &self.request.attempt, "order" => "repath", "cause" => cause,
                 "at_fault" => at_fault.map(|addr| addr.to_string()));
         }
     }
 
+    /// Counts and logs a repair.
     fn note_repaired(&mut self, lost: &[PathStage], path: &PipelinePath) {
         self.repairs += 1;
         let stalled = clock::since(self.stalled_since);
@@ -246,7 +258,7 @@
             return;
         };
         let lost: Vec<String> = lost.iter().map(|stage| stage.addr().to_string()).collect();
-        warn!(log, "stream: lost stages are replaced"; "event" => "path_repaired",
+        warn!(log, "stream: path repaired, stages replaced"; "event" => "path_repaired",
             "request" => &self.request.attempt, "lost" => lost.join(","),
             "since_last_event_ms" => millis(stalled), "stages" => path.stages().len());
     }
--- a/crates/rookferry_relay/src/permits.rs
+++ b/crates/rookferry_relay/src/permits.rs
@@ -1,8 +1,10 @@
-//! Permits to send to servers that named a limit for all instances together.
+//! Permits to send to servers that state a request limit for all instances together.
 //!
-//! One instance grants them ([`rookferry_core::PermitGranter`]); the others ask it
-//! by a datagram right before they send. An answer that doesn't come in time, or
-//! a permit that isn't used, is a request that isn't sent.
+//! For each server one instance grants them ([`rookferry_core::PermitGranter`]); the
+//! others ask it by a UDP datagram right before they send. A missing answer counts as
+//! a refusal, and a permit that expires unused is lost. Requests that are sent without
+//! a permit, such as probes and those before the limit was known, are reported to the
+//! granter, which counts them against the limit.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -40,24 +42,25 @@
 use crate::relay::Relay;
 use crate::request::CallerRequest;
 
-/// How long the answer to a question may take; between domains of a site it takes
-/// a millisecond or two, and more where the one that answers is short of processor.
+/// Timeout for an answer. Between domains of a site it takes a millisecond or two,
+/// and more where the answering instance is short of CPU.
 const PATIENCE: Duration = Duration::from_millis(80);
-/// Instances that are asked for one permit: the granter, and another where that one
-/// is silent or says that it isn't.
+/// Instances that are asked for one permit: the granter, and a second one if the first
+/// doesn't answer or isn't the granter.
 const MAX_ASKED: usize = 2;
-/// The age from which an instance grants: it knows by then who else does.
+/// Age from which an instance grants; by then it has received which other instances
+/// could be the granter.
 const GRANTS_AFTER: Duration = Duration::from_secs(1);
-/// What is taken for a refusal where nobody grants.
+/// The refusal where no granter answered.
 const NOBODY_GRANTS: PermitRefusal = PermitRefusal {
     ask_again_ms: 150,
     spread_ms: 1_000,
 };
-/// Most of what was sent that one question tells; the rest is older than it would
-/// count for long.
+/// Most unpermitted sends that are reported in one request; older ones would soon
+/// stop counting against the limit.
 const MAX_SENT_TOLD: usize = 256;
 
-/// The servers that a request passes, and the permits for those with a limit.
+/// The servers of a request's path, and the permits for those with a limit.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PathPermits {
     servers: Vec<ServerKey>,
@@ -65,7 +68,7 @@
 }
 
 impl PathPermits {
-    /// A server with a limit that there is no good permit for.
+    /// A server with a limit and without a valid permit, if there is one.
     pub(crate) fn missing(&self, limits: &ServerLimits, now: Instant) -> Option<ServerKey> {
         let allows = |server| self.permits.iter().any(|one| one.allows(server, now));
         let mut limited = self
@@ -75,14 +78,14 @@
         limited.find(|server| !allows(**server)).copied()
     }
 
-    /// The servers without a permit.
+    /// The servers without a valid permit.
     pub(crate) fn unpermitted(&self, now: Instant) -> impl Iterator<Item = ServerKey> {
         let servers = self.servers.iter().copied();
         servers.filter(move |server| !self.permits.iter().any(|one| one.allows(*server, now)))
     }
 }
 
-/// Asks for permits, and grants them.
+/// State of requesting permits from other instances and of granting them.
 #[derive(Debug)]
 pub(crate) struct Permits {
     socket: OnceLock<Arc<UdpSocket>>,
@@ -92,23 +95,23 @@
     book: Mutex<PermitBook>,
 }
 
-/// What this instance grants for one server.
+/// This instance's granter for one server.
 #[derive(Debug)]
 struct Granter {
     permits: PermitGranter,
-    /// The part of the limit that it grants.
+    /// Share of the limit that it grants, up to 1.
     share: f64,
 }
 
-/// A permit that was refused.
+/// A refused permit.
 #[derive(Clone, Copy, Debug)]
 struct Refused {
-    /// By whom; nobody where none was found that grants.
+    /// Address of the refusing instance; none where no granter answered.
     granter: Option<SocketAddr>,
     refusal: PermitRefusal,
 }
 
-/// A question that waits for its answer, until it is dropped.
+/// Registration of a request that awaits its answer; removed on drop.
 struct Waiting<'a> {
     permits: &'a Permits,
     number: u64,
@@ -121,8 +124,8 @@
 }
 
 impl Permits {
-    /// Nothing asked and nothing granted. Questions are numbered from `first` on, so
-    /// that late answers to a former process answer none.
+    /// Creates an empty state. Requests are numbered from `first` on, which should be
+    /// random, so that late answers to a former process match none of them.
     pub(crate) fn new(first: u64) -> Self {
         Self {
             socket: OnceLock::new(),
@@ -133,29 +136,30 @@
         }
     }
 
-    /// Asks and answers through a socket from now on.
+    /// Sets the socket for requests and answers; later calls have no effect.
     pub(crate) fn attach(&self, socket: Arc<UdpSocket>) {
         self.socket.get_or_init(|| socket);
     }
 
+    /// Locks the record of refused permits and unpermitted sends.
     pub(crate) fn book(&self) -> MutexGuard<'_, PermitBook> {
         lock(&self.book)
     }
 
-    /// An answer came.
+    /// Passes a received answer to the request with its number.
     pub(crate) fn answered(&self, number: u64, answer: PermitAnswer) {
         if let Some(waiting) = lock(&self.waiting).remove(&number) {
-            // The question may have been given up.
+            // The receiver may have timed out.
             let _ = waiting.send(answer);
         }
     }
 
-    /// Forgets servers that `is_known` doesn't know.
+    /// Drops the granters of servers for which `is_known` is false.
     pub(crate) fn retain(&self, is_known: impl Fn(ServerKey) -> bool) {
         lock(&self.granters).retain(|server, _| is_known(*server));
     }
 
-    /// Asks another instance; nothing if it doesn't answer in time.
+    /// Asks another instance; none if it doesn't answer in time.
     async fn ask(&self, to: SocketAddr, ask: &PermitAsk) -> Option<PermitAnswer> {
         let (sender, receiver) = oneshot::channel();
         lock(&self.waiting).insert(ask.number, sender);
@@ -167,20 +171,20 @@
         tokio::time::timeout(PATIENCE, receiver).await.ok()?.ok()
     }
 
+    /// Sends a datagram; a failure to send counts as a lost datagram.
     pub(crate) fn send(&self, to: SocketAddr, datagram: &PeerDatagram<()>) {
         let Some(socket) = self.socket.get() else {
             return;
         };
         if let Ok(bytes) = postcard::to_stdvec(datagram) {
-            // A full queue or a dead member; whoever asks goes on without.
+            // The send queue may be full or the peer dead; the requester times out.
             let _ = socket.try_send_to(&bytes, to);
         }
     }
 }
 
 impl Relay {
-    /// The permits for a request to pass some servers, or none if one of them takes no
-    /// more now.
+    /// The permits for a request to pass some servers; none if one of them was refused.
     pub(crate) async fn permits_for(
         &self,
         request: &CallerRequest,
@@ -195,6 +199,7 @@
         Some(PathPermits { servers, permits })
     }
 
+    /// Requests one permit, unless a recent refusal still holds.
     async fn permit(
         &self,
         request: &CallerRequest,
@@ -221,6 +226,7 @@
         None
     }
 
+    /// Records and logs a refused permit.
     fn note_refused(
         &self,
         request: &CallerRequest,
@@ -236,7 +242,7 @@
             .note_refused(server, request.urgency, refusal, chance, now);
         if let Some(log) = self.events.line(Weight::Routine) {
             let limits = self.beliefs.limits();
-            info!(log, "request: a server with a limit takes no more now";
+            info!(log, "request: permit refused, the server's limit is reached";
                 "event" => "permit_refused", "request" => &request.attempt,
                 "server" => %server.addr, "limit_per_s" => rate.per_s(),
                 "limit_age_ms" => limits.age(server, now).map(millis),
@@ -245,7 +251,8 @@
         }
     }
 
-    /// A question that only tells what was sent.
+    /// Builds a message that reports unpermitted sends; without an urgency it requests
+    /// no permit.
     fn question(&self, server: ServerKey, rate: RequestRate, now: Instant) -> PermitAsk {
         let age = self.beliefs.limits().age(server, now);
         let mut sent_ms_ago = self.permits.book().take_sent(server, now);
@@ -262,7 +269,7 @@
         }
     }
 
-    /// Asks the instance that grants.
+    /// Sends a permit request to the granter, which may be this instance.
     async fn ask_granters(&self, ask: PermitAsk) -> Result<(), Refused> {
         let server = ask.seen.server;
         let domain = self.domain_of(server);
@@ -294,7 +301,10 @@
         })
     }
 
-    /// Another instance's question, or this one's own.
+    /// Answers a permit request of another instance or of this one.
+    ///
+    /// The limit that it carries is taken over first. `Elsewhere` is returned if
+    /// another instance is the granter, or this one started too recently to grant.
     pub(crate) fn answer_ask(&self, ask: &PermitAsk) -> PermitAnswer {
         let server = ask.seen.server;
         let now = clock::now();
@@ -322,6 +332,7 @@
         self.grant(ask, rate, share, now)
     }
 
+    /// Counts the reported sends, and grants a permit if one is requested.
     fn grant(&self, ask: &PermitAsk, rate: RequestRate, share: f64, now: Instant) -> PermitAnswer {
         let server = ask.seen.server;
         let mut granters = lock(&self.permits.granters);
@@ -343,7 +354,7 @@
         if known_share != Some(share)
             && let Some(log) = self.events.line(Weight::Notable)
         {
-            info!(log, "health: this instance grants the permits of a server";
+            info!(log, "health: this instance grants the permits for a server";
                 "event" => "permits_granted_here", "server" => %server.addr,
                 "limit_per_s" => rate.per_s(), "share" => share, "share_before" => known_share);
         }
@@ -353,7 +364,8 @@
         }
     }
 
-    /// The failure domain whose instances grant a server's permits.
+    /// The failure domain whose instances grant a server's permits: the server's own,
+    /// or this instance's for an unlisted server.
     fn domain_of(&self, server: ServerKey) -> DomainId {
         let view = self.view.load();
         let entry = view.server(server);
@@ -361,7 +373,7 @@
         entry.map_or(home, |entry| &entry.domain).clone()
     }
 
-    /// A server's limit changed, by its own word or another instance's.
+    /// Logs and advertises a changed limit; `source` names where it came from.
     pub(crate) fn note_limit(&self, server: ServerKey, change: LimitChange, source: &str) {
         self.permits.book().forget(server);
         let rate = match change {
@@ -369,17 +381,16 @@
             LimitChange::Lifted => None,
         };
         if let Some(log) = self.events.line(Weight::Notable) {
-            info!(log, "health: a server's limit for all instances has changed";
+            info!(log, "health: a server's request limit for all instances has changed";
                 "event" => "server_limit", "server" => %server.addr,
                 "limit_per_s" => rate.map(RequestRate::per_s), "source" => source,
                 "age_ms" => self.beliefs.limits().age(server, clock::now()).map(millis));
         }
-        // Others are to know soon, also those that were never told by the server.
+        // Peers need the limit soon, also those that the server never answered.
         self.versions.send_modify(|changes| *changes += 1);
     }
 
-    /// Tells the granter of a server what this instance sent it lately, before the
-    /// limit was known.
+    /// Reports to a server's granter what this instance recently sent without a permit.
     pub(crate) fn tell_sent(self: &Arc<Self>, server: ServerKey) {
         let Some(rate) = self.beliefs.limits().of(server) else {
             return;
@@ -390,7 +401,7 @@
         }
         let relay = self.clone();
         tokio::spawn(async move {
-            // Without an answer it isn't known who counts it, and it is over soon.
+            // A lost report is not repeated: the sends soon stop counting.
             let _ = relay.ask_granters(ask).await;
         });
     }
--- a/crates/rookferry_relay/src/plain.rs
+++ b/crates/rookferry_relay/src/plain.rs
@@ -1,4 +1,9 @@
-//! Requests to plain services: one server answers each.
+//! Requests to plain services, where one server gives the whole answer.
+//!
+//! A request goes to the server with the lowest cost: requests in flight, distance and
+//! the share of failures. A server that refuses, can't be reached or fails is avoided by
+//! the next try; a request that may have run is repeated only if its route allows
+//! it and the retry budget has some left.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,27 +32,28 @@
 use crate::view::ServerTable;
 use crate::view::SiteView;
 
-/// What a server in another failure domain counts for, in requests under way;
-/// its way is a quarter of a millisecond longer.
+/// Cost of another failure domain, in requests in flight; its round trip takes a
+/// quarter of a millisecond longer.
 const FAR_COST: f64 = 0.5;
-/// What a server that fails all its requests counts for, in requests.
+/// Cost of a server that fails all its requests, in requests in flight.
 const FAILING_COST: f64 = 30.0;
-/// How often a request may be turned away by servers, or find none reachable.
+/// Tries per request, including refused and unsent ones.
 const MAX_UNRUN_TRIES: usize = 4;
-/// Servers that are asked a permit of for one try.
+/// Servers or paths per try for which permits are requested.
 pub(crate) const MAX_PERMIT_TRIES: usize = 16;
-/// The least time left in which sending makes sense.
+/// A request with less time left is not sent.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
+/// Outcome of one try.
 enum Tried {
     Answer(WholeAnswer),
-    /// The server says that it didn't run the request.
+    /// The server states that it didn't run the request.
     NotRun,
     Failed(UpstreamError),
     TimeOver,
 }
 
-/// Serves a request.
+/// Serves a request, with up to [`MAX_UNRUN_TRIES`] tries on different servers.
 pub(crate) async fn serve(relay: &Arc<Relay>, request: CallerRequest) -> Served {
     relay.note_fresh(&request.service);
     let view = relay.view.load_full();
@@ -93,7 +99,7 @@
             Tried::NotRun => {
                 arrived += 1;
                 note_failed(relay, &request, server, "not run");
-                // One that asked for a backoff is left alone for just that.
+                // A backoff alone excludes the server; it is no failure.
                 if relay.beliefs.backoff_left(server.key).is_none() {
                     relay.beliefs.health().failed(server.key, clock::now());
                 }
@@ -142,7 +148,8 @@
     Served::Refused(refusal.or_known(|| wait_for_server(relay, &request, table, service)))
 }
 
-/// When a server takes the request, if none may be sent it now.
+/// The refusal with the time at which a server takes the request again; none if one
+/// takes it now, or no backoff or refused permit is the cause.
 fn wait_for_server(
     relay: &Relay,
     request: &CallerRequest,
@@ -163,8 +170,7 @@
     Some(wait.refusal(*first, now))
 }
 
-/// The server with the least to do, of those that take the request: one with a
-/// limit may have no permit for it.
+/// The server with the lowest cost for which the permits are granted.
 async fn choose_permitted<'a>(
     relay: &Relay,
     request: &CallerRequest,
@@ -181,7 +187,7 @@
     None
 }
 
-/// The server with the least to do.
+/// The usable server with the lowest cost, without the avoided ones.
 fn choose<'a>(
     relay: &Relay,
     request: &CallerRequest,
@@ -203,6 +209,7 @@
     usable.min_by(|left, right| cost(left).total_cmp(&cost(right)))
 }
 
+/// Sends the request to a server and reads the whole answer, until the deadline.
 async fn send(
     relay: &Relay,
     request: &CallerRequest,
@@ -239,7 +246,7 @@
         }
         Some(Ok(Some(_))) => Tried::Failed(UpstreamError::Lost {
             addr: server.addr(),
-            message: "a success without the server's signature".to_owned(),
+            message: "a success without the server's signature header".to_owned(),
         }),
         Some(Ok(None)) => Tried::NotRun,
         Some(Err(error)) => Tried::Failed(error),
@@ -247,8 +254,8 @@
     }
 }
 
-/// Whether what was decided still holds, right before the first byte leaves for one of
-/// the servers.
+/// Whether a request may still be sent: the configuration in force admits it, none of
+/// the servers is leaving, and it isn't quarantined.
 pub(crate) fn may_send(relay: &Relay, request: &CallerRequest, servers: &[ServerKey]) -> bool {
     let view = relay.view.load();
     let Some(index) = &view.index else {
@@ -260,8 +267,8 @@
         && !relay.is_held(request)
 }
 
-/// The same for another run of a request that has run: its caller sent it
-/// when it was allowed, which is what the bounds count from.
+/// The same for another run of a request that has run, without the check of the
+/// configuration: the bounds on revoking access count from the time the caller sent it.
 pub(crate) fn may_send_again(
     relay: &Relay,
     request: &CallerRequest,
@@ -270,7 +277,7 @@
     stay(relay, &relay.view.load(), servers) && !relay.is_held(request)
 }
 
-/// Whether none of the servers that a request passes leaves.
+/// Whether all servers are listed and none is leaving.
 fn stay(relay: &Relay, view: &SiteView, servers: &[ServerKey]) -> bool {
     servers.iter().all(|server| {
         let known = view.server(*server);
@@ -278,6 +285,7 @@
     })
 }
 
+/// Records the outcome and passes a server's answer on.
 fn answered(
     relay: &Relay,
     request: &CallerRequest,
@@ -293,7 +301,7 @@
 
 fn note_failed(relay: &Relay, request: &CallerRequest, server: &BackendServer, cause: &str) {
     if let Some(log) = relay.events.line(Weight::Notable) {
-        warn!(log, "request: a try failed"; "event" => "attempt_failed",
+        warn!(log, "request: a try at a server failed"; "event" => "attempt_failed",
             "request" => &request.attempt, "signature" => %request.signature(),
             "server" => &*server.id, "addr" => %server.addr(),
             "cause" => cause, "left_ms" => crate::event_log::millis(request.time_left()));
--- a/crates/rookferry_relay/src/pool.rs
+++ b/crates/rookferry_relay/src/pool.rs
@@ -1,9 +1,9 @@
-//! Connections to backend servers, kept for the next request.
+//! A pool of HTTP/1.1 connections to backend servers.
 //!
-//! One request at a time is on a connection. A connection is kept only after
-//! its answer was read whole, and used again only well before the time that
-//! the server named for closing it, since a request that meets the close may
-//! have run.
+//! A connection carries one request at a time. It returns to the pool only after its
+//! answer was read whole, and is reused only well before the keep-alive timeout that
+//! the server stated: a request that is sent while the server closes the connection
+//! may have run.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -29,27 +29,28 @@
 
 use crate::mutex::lock;
 
-/// How long a connect may take; within a site a round trip takes under a
-/// millisecond, and a lost packet is sent again after about 200 ms.
+/// Timeout for a connect. Within a site a round trip takes under a millisecond, and a
+/// lost packet is retransmitted after about 200 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long sent bytes may stay unacknowledged before the connection counts
-/// as dead; the same bound as for a connect, doubled for one loss more.
+/// `TCP_USER_TIMEOUT`: how long sent bytes may stay unacknowledged before the
+/// connection counts as dead. It covers more lost packets in a row than
+/// [`CONNECT_TIMEOUT`].
 const UNACKNOWLEDGED_MS: u32 = 1_500;
-/// How long a connection is kept when its server names no time.
+/// How long an idle connection is retained if the server states no timeout.
 const DEFAULT_KEEP: Duration = Duration::from_secs(8);
-/// How long before the named end a connection isn't used any more.
+/// How long before the stated timeout a connection is no longer used.
 const KEEP_MARGIN: Duration = Duration::from_secs(1);
 
 /// Why there is no connection; no byte of a request has left.
 #[derive(Debug, Snafu)]
 pub(crate) enum ConnectError {
-    /// The server's connections are used up by this instance.
+    /// This instance's share of the server's connections is in use.
     #[snafu(display("all {limit} connections to {addr} are in use"))]
     Full { addr: SocketAddr, limit: usize },
-    /// Nothing listens there any more.
+    /// Nothing listens at the address.
     #[snafu(display("{addr} refuses connections"))]
     Refused { addr: SocketAddr },
-    /// No connection was made.
+    /// The connect failed or timed out.
     #[snafu(display("could not connect to {addr}: {message}"))]
     Failed { addr: SocketAddr, message: String },
 }
@@ -66,8 +67,8 @@
     open: Arc<AtomicUsize>,
 }
 
-/// The connections of an instance, by server and start: what is open to a
-/// former process is no way to its successor.
+/// The connections of an instance, by server process: those to a former process
+/// can't be used for its successor.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamPool {
     servers: ArcSwap<HashMap<ServerKey, Arc<ServerPool>>>,
@@ -81,7 +82,7 @@
     pool: Arc<ServerPool>,
 }
 
-/// Counts a connection until its task ends.
+/// Counts an open connection until its task ends.
 #[derive(Debug)]
 struct OpenSlot {
     open: Arc<AtomicUsize>,
@@ -98,7 +99,7 @@
         Self::default()
     }
 
-    /// A kept connection, or a new one if fewer than `limit` are open.
+    /// Takes an idle connection, or opens one if fewer than `limit` are open.
     pub(crate) async fn checkout(
         &self,
         server: ServerKey,
@@ -130,16 +131,16 @@
         })
     }
 
-    /// Closes the connection to a server that was last kept, if one is.
+    /// Closes the idle connection to a server that was last returned, if any.
     pub(crate) fn close_last(&self, server: ServerKey) {
         if let Some(pool) = self.servers.load().get(&server) {
-            // It ends when its sender is dropped.
+            // Dropping the sender closes the connection.
             drop(lock(&pool.idle).pop());
         }
     }
 
-    /// Drops what is kept for servers that `is_known` doesn't know, and
-    /// connections whose time is over.
+    /// Drops expired idle connections, and the pools of servers for which `is_known`
+    /// is false.
     pub(crate) fn tidy(&self, now: Instant, is_known: impl Fn(ServerKey) -> bool) {
         let servers = self.servers.load();
         for pool in servers.values() {
@@ -155,6 +156,7 @@
         });
     }
 
+    /// The pool of a server; created on first use.
     fn server(&self, server: ServerKey) -> Arc<ServerPool> {
         if let Some(pool) = self.servers.load().get(&server) {
             return pool.clone();
@@ -170,6 +172,7 @@
 }
 
 impl ServerPool {
+    /// The most recently returned connection that may still be used.
     fn take_idle(&self) -> Option<Idle> {
         let now = clock::now();
         let mut idle = lock(&self.idle);
@@ -183,7 +186,8 @@
 }
 
 impl Connection {
-    /// Keeps the connection, after its answer was read whole.
+    /// Returns the connection to the pool, as the answer's headers allow; the answer
+    /// must have been read whole.
     pub(crate) fn keep(self, headers: &HeaderMap) {
         let keep = keep_time(headers);
         if keep.is_zero() || self.sender.is_closed() {
@@ -197,7 +201,7 @@
     }
 }
 
-/// How long an answer's headers allow to keep its connection.
+/// How long the connection may be reused by an answer's headers; zero if not at all.
 fn keep_time(headers: &HeaderMap) -> Duration {
     let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
     let is_close = text(http::header::CONNECTION)
@@ -214,6 +218,7 @@
     })
 }
 
+/// Opens a connection and spawns the task that drives it; `slot` lives as long.
 async fn connect(
     addr: SocketAddr,
     slot: OpenSlot,
@@ -242,7 +247,7 @@
         .await
         .map_err(|error| failed(error.to_string()))?;
     tokio::spawn(async move {
-        // Its end is seen by the request on it, or by the next checkout.
+        // The request in flight or the next checkout notices that it has closed.
         let _ = connection.await;
         drop(slot);
     });
--- a/crates/rookferry_relay/src/quarantine.rs
+++ b/crates/rookferry_relay/src/quarantine.rs
@@ -1,5 +1,8 @@
-//! Requests under which servers ended: what is known of them here, and whether
-//! one may be sent.
+//! Quarantine of requests that crash servers.
+//!
+//! Broken runs are recorded with their server; once the server is known to have
+//! exited, they count as crashes of the request. Records are exchanged with peers and
+//! the store. Requests are checked against them before each send.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -34,53 +37,53 @@
 use crate::relay::Relay;
 use crate::request::CallerRequest;
 
-/// How long a request under which servers ended before waits for word of the
-/// last: a probe within a site takes a millisecond or two, and one that isn't
-/// answered 80.
+/// How long a suspected request waits until it is known whether its last server
+/// crashed. A probe within a site takes a millisecond or two, and 80 ms without an
+/// answer.
 const VERDICT_WAIT: Duration = Duration::from_millis(150);
 
-/// How long an event may be on its way from an engine that has ended since.
+/// How long an event may take from an engine, which may crash meanwhile.
 const EVENT_ON_ITS_WAY: Duration = Duration::from_millis(50);
 
-/// How a run came to a server.
+/// How a run reached a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reach {
     /// This instance sent the request there.
     Direct,
-    /// The first engine of its path passed it on.
+    /// The first engine of the path forwarded it.
     ByAnother,
 }
 
-/// Where a run broke.
+/// A run that broke at a server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BrokenAt {
     pub(crate) server: ServerKey,
     pub(crate) run: RunId,
     pub(crate) reach: Reach,
     pub(crate) progress: RunProgress,
-    /// When the run came there.
+    /// When the run reached the server.
     pub(crate) joined_at: Instant,
 }
 
-/// What is known of such requests.
+/// The quarantine's records, with notifications for the task that writes the store.
 #[derive(Debug, Default)]
 pub(crate) struct RequestQuarantine {
     inner: Mutex<Quarantine>,
-    /// Whether anything speaks against any request.
+    /// Whether there is a record of any request.
     has_records: AtomicBool,
-    /// This instance found what the store may lack.
+    /// Notified when this instance has a change that the store may lack.
     pub(crate) to_store: Notify,
-    /// A request was released, here or by another's word.
+    /// Notified when a request is released, by this instance or another.
     pub(crate) released: Notify,
 }
 
 impl RequestQuarantine {
-    /// What is kept, to be read or changed.
+    /// Locks the records.
     pub(crate) fn lock(&self) -> MutexGuard<'_, Quarantine> {
         lock(&self.inner)
     }
 
-    /// Changes what is kept.
+    /// Changes the records and updates `has_records`.
     fn update<T>(&self, change: impl FnOnce(&mut Quarantine) -> T) -> T {
         let mut inner = self.lock();
         let outcome = change(&mut inner);
@@ -88,7 +91,7 @@
         outcome
     }
 
-    /// What others are to be told, at most `most`.
+    /// The records to advertise next, at most `most`.
     pub(crate) fn next_told(&self, most: usize, now: Instant) -> Vec<SuspectSeen> {
         if !self.has_records() {
             return Vec::new();
@@ -102,7 +105,7 @@
 }
 
 impl Relay {
-    /// What speaks against a request.
+    /// What the records say of a request.
     fn suspicion(&self, request: &CallerRequest) -> Suspicion {
         if !self.quarantine.has_records() {
             return Suspicion::None;
@@ -111,12 +114,12 @@
         self.quarantine.lock().suspicion(signature, clock::now())
     }
 
-    /// Whether a request is kept from servers.
+    /// Whether a request is quarantined.
     pub(crate) fn is_held(&self, request: &CallerRequest) -> bool {
         matches!(self.suspicion(request), Suspicion::Held { .. })
     }
 
-    /// The refusal of a request that is kept from servers.
+    /// The refusal of a quarantined request; none for others.
     pub(crate) fn refusal_if_held(&self, request: &CallerRequest) -> Option<Refusal> {
         let Suspicion::Held { left } = self.suspicion(request) else {
             return None;
@@ -127,25 +130,27 @@
         })
     }
 
-    /// Whether a request that has run may run once more. One under which
-    /// servers ended before waits until it is known of the last whether it has,
-    /// so that it isn't sent on in the moment in which it is found out.
+    /// Whether a request that has run may run again.
+    ///
+    /// A suspected request first waits until it is known whether its last server
+    /// crashed. It could otherwise crash another server while that is checked.
     pub(crate) async fn may_run_again(&self, request: &CallerRequest) -> bool {
         if let Suspicion::Suspected { .. } = self.suspicion(request) {
             let decided = self.beliefs.broken_runs.decided(request.signature());
-            // Without word of it the run counts as one that broke for itself.
+            // After the timeout the run counts as broken without a crash.
             let _ = tokio::time::timeout(VERDICT_WAIT, decided).await;
         }
         let is_held = self.is_held(request);
         if is_held && let Some(log) = self.events.line(Weight::Notable) {
-            warn!(log, "request: it isn't sent again"; "event" => "held_back",
+            warn!(log, "request: not sent again, it is quarantined"; "event" => "held_back",
                 "request" => &request.attempt, "signature" => %request.signature(),
                 "held_ms" => millis(request.held_for()));
         }
         !is_held
     }
 
-    /// A request's run broke at a server, which is asked whether it is there.
+    /// Records a run that broke at a server, and has the server probed unless its
+    /// state is known or a probe is in flight.
     pub(crate) fn run_broke(self: &Arc<Self>, request: &CallerRequest, broken: BrokenAt) {
         let server = broken.server;
         let run = BrokenRun {
@@ -164,13 +169,16 @@
         }
     }
 
+    /// The crash that the run met if its server has exited. A server is known to have
+    /// been alive when it last gave liveness evidence, less an event's transit time, or
+    /// when it accepted the request.
     fn run_end(&self, broken: BrokenAt) -> RunEnd {
         let at = clock::now();
         let sign_age = self.beliefs.signs.of(broken.server).age(at);
         let sign_at = at.checked_sub(sign_age);
         let sign_at = sign_at.and_then(|sign| sign.checked_sub(EVENT_ON_ITS_WAY));
         let alive_at = match broken.reach {
-            // It took the request.
+            // The server accepted the request then.
             Reach::Direct => sign_at.max(Some(broken.joined_at)),
             Reach::ByAnother => sign_at,
         };
@@ -184,7 +192,7 @@
         }
     }
 
-    /// A server's process has ended, and its runs with it.
+    /// Records that a server's process has exited, so that its broken runs are crashes.
     pub(crate) fn server_ended(&self, server: ServerKey) {
         let broken = &self.beliefs.broken_runs;
         let crashed = broken.lock().server_ended(server, clock::now());
@@ -192,7 +200,7 @@
         broken.tell_decided();
     }
 
-    /// A server ended under some runs.
+    /// Records runs whose server crashed, and logs them and the resulting changes.
     fn note_runs_crashed(&self, runs: &[BrokenRun]) {
         let now = clock::now();
         let ends: Vec<_> = runs.iter().map(|run| (run.signature, run.end)).collect();
@@ -217,7 +225,7 @@
             let in_turn = quarantine.ends_in_turn(run.signature);
             (quarantine.ends(run.signature), in_turn)
         };
-        warn!(log, "health: a server ended under a request"; "event" => "run_crashed",
+        warn!(log, "health: a server crashed while it ran a request"; "event" => "run_crashed",
             "request" => &run.request, "signature" => %run.signature,
             "server" => %run.end.server.addr, "servers_ended" => ends, "in_turn" => in_turn,
             "answering" => run.end.progress == RunProgress::Answering,
@@ -225,7 +233,7 @@
             "silent_ms" => millis(run.end.at.saturating_duration_since(run.end.alive_at)));
     }
 
-    /// A run of a request ended well.
+    /// Records a successful run, which releases or clears the request.
     pub(crate) fn run_finished(&self, request: &CallerRequest) {
         let signature = request.signature();
         let now = clock::now();
@@ -235,7 +243,7 @@
         self.note_own_change(signature, change);
     }
 
-    /// Takes in what another instance knows of requests.
+    /// Merges records from a peer or the store, which `source` names.
     pub(crate) fn learn_suspects(&self, told: &[SuspectSeen], source: &str, now: Instant) {
         for seen in told {
             let change = self
@@ -245,7 +253,7 @@
         }
     }
 
-    /// Takes in that the store has a request as held for some time.
+    /// Merges a request that the store has had as quarantined for `age`.
     pub(crate) fn learn_held(&self, signature: RequestSignature, age: Duration) {
         let now = clock::now();
         let seen = SuspectSeen {
@@ -257,6 +265,7 @@
         self.learn_suspects(&[seen], "store", now);
     }
 
+    /// Logs a change found by this instance, and has it written to the store.
     fn note_own_change(&self, signature: RequestSignature, change: QuarantineChange) {
         self.note_change(signature, change, "own");
         if change != QuarantineChange::None {
@@ -264,6 +273,7 @@
         }
     }
 
+    /// Logs a quarantined or released request.
     fn note_change(&self, signature: RequestSignature, change: QuarantineChange, source: &str) {
         if change == QuarantineChange::None {
             return;
@@ -276,7 +286,7 @@
             return;
         };
         if change == QuarantineChange::Held {
-            warn!(log, "quarantine: a request is kept from servers"; "event" => "request_held",
+            warn!(log, "quarantine: a request is quarantined"; "event" => "request_held",
                 "signature" => %signature, "servers_ended" => ends, "source" => source);
         } else {
             info!(log, "quarantine: a request may run again"; "event" => "request_released",
--- a/crates/rookferry_relay/src/refusal.rs
+++ b/crates/rookferry_relay/src/refusal.rs
@@ -1,4 +1,5 @@
-//! What a caller is told when there is no server's answer.
+//! The relay's own answers: why no server's answer is passed on, and the status,
+//! problem body and `Retry-After` that the caller gets.
 
 use std::time::Duration;
 
@@ -17,51 +18,52 @@
 use crate::event_log::millis;
 use crate::protocol::HeaderNames;
 
-/// Why a request gets no server's answer.
+/// Why the relay answers in place of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
-    /// The request itself is at fault.
+    /// The request is invalid; the text is the problem's detail.
     BadRequest(&'static str),
-    /// No route leads there.
+    /// No route matches the host and path.
     NoRoute,
-    /// The key isn't known.
+    /// The key is missing or unknown.
     UnknownKey,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The body came too slowly.
+    /// The body was not received within the time limit.
     BodyTooSlow,
-    /// The instance has just started and doesn't know the site yet; it is likely to
-    /// after a time.
+    /// The instance has just started and has no configuration or list of servers yet;
+    /// it is expected to after this time.
     Starting(Duration),
-    /// The instance doesn't know the configuration, or not well enough.
+    /// The instance has no configuration, or one that may be outdated.
     ConfigUnknown,
-    /// The same, and the instances that it hears don't know more.
+    /// The same, and no live peer has a newer one.
     ConfigStale,
     /// The instance is stopping.
     Leaving,
-    /// No server can take it now; nothing was sent, or it was refused.
+    /// No server can take the request now; nothing was sent, or servers refused it.
     NoServer,
-    /// The engines have no room for it; it comes back after a time.
+    /// The engines' caches are full; the caller may retry after this time.
     Overloaded(Duration),
-    /// All servers asked this instance for a backoff.
+    /// All servers asked this instance for a backoff, which ends after this time.
     BackedOff(Duration),
-    /// Servers named a limit for all instances, and take no more now.
+    /// The servers' limits for all instances are reached; retry after this time.
     Limited(Duration),
-    /// Servers ended each time that they ran it; it is held for a time.
+    /// Servers crashed each time that they ran the request; it is quarantined for
+    /// `wait`.
     Quarantined {
         signature: RequestSignature,
         wait: Duration,
     },
-    /// The time was over before it was sent, or while it was not run.
+    /// The deadline passed, and no server ran the request.
     TimeOverNotRun,
-    /// It was sent, and the time was over before an answer.
+    /// The deadline passed after the request was sent.
     TimeOver,
-    /// It was sent, and what became of it is not known.
+    /// The request was sent, and its outcome is unknown.
     Unknown,
 }
 
 impl Refusal {
-    /// For a request that was tried and got no answer.
+    /// The refusal after all tries failed.
     pub(crate) const fn after_tries(has_run: bool, is_time_over: bool) -> Self {
         match (has_run, is_time_over) {
             (true, true) => Self::TimeOver,
@@ -71,7 +73,7 @@
         }
     }
 
-    /// For a request that no server takes, another refusal if it is known why.
+    /// Replaces `NoServer` by the refusal of a known cause, if there is one.
     pub(crate) fn or_known(self, known: impl FnOnce() -> Option<Self>) -> Self {
         match self {
             Self::NoServer => known().unwrap_or(self),
@@ -79,7 +81,7 @@
         }
     }
 
-    /// The status.
+    /// The HTTP status.
     pub(crate) const fn status(self) -> StatusCode {
         match self {
             Self::BadRequest(_) => StatusCode::BAD_REQUEST,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// A word for logs and metrics.
+    /// The value of `cause` in logs and metrics.
     pub(crate) const fn cause(self) -> &'static str {
         match self {
             Self::BadRequest(_) => "bad_request",
@@ -125,7 +127,7 @@
         }
     }
 
-    /// What the caller may conclude.
+    /// Whether the request may have run.
     pub(crate) const fn outcome(self) -> Outcome {
         match self {
             Self::TimeOver | Self::Unknown => Outcome::Unknown,
@@ -133,7 +135,7 @@
         }
     }
 
-    /// The signature of a request that is held.
+    /// The signature of a quarantined request; none for other refusals.
     pub(crate) const fn signature(self) -> Option<RequestSignature> {
         match self {
             Self::Quarantined { signature, .. } => Some(signature),
@@ -158,14 +160,14 @@
         }
     }
 
-    /// When to come back, for refusals that promise that nothing ran.
+    /// When to retry, for refusals that promise that nothing ran.
     pub(crate) const fn retry_after(self) -> Option<Duration> {
         match self {
-            // The store is away for all; it was for seconds so far.
+            // The store is unavailable to all instances and has been for seconds.
             Self::ConfigStale => Some(Duration::from_secs(1)),
-            // Another instance may well know the configuration.
+            // Another instance may have the configuration.
             Self::ConfigUnknown | Self::Leaving => Some(Duration::from_millis(20)),
-            // About the time of a repair of placement by a standing copy.
+            // About the time to repair the placement with a standby copy of the layers.
             Self::NoServer => Some(Duration::from_millis(300)),
             Self::Starting(wait)
             | Self::Overloaded(wait)
@@ -180,28 +182,30 @@
     const fn detail(self) -> &'static str {
         match self {
             Self::BadRequest(detail) => detail,
-            Self::NoRoute => "no route leads to this host and path",
-            Self::UnknownKey => "the key is not known; use one of the account's keys",
-            Self::BodyTooLarge => "the body is over the limit; send a shorter one",
-            Self::BodyTooSlow => "the body did not arrive in time; send it at once",
-            Self::Starting(_) => "this instance has just started; come back",
-            Self::ConfigUnknown => "this instance doesn't know the newest configuration; come back",
-            Self::ConfigStale => "no instance in reach knows the newest configuration; come back",
-            Self::Leaving => "this instance is stopping; come back, another one answers",
-            Self::NoServer => "no server can take the request now; come back",
-            Self::Overloaded(_) => "the engines have no room for the request now; come back",
-            Self::BackedOff(_) => "all servers asked for a backoff; come back when it ends",
-            Self::Limited(_) => "the servers take no more requests now; come back when told",
+            Self::NoRoute => "no route matches this host and path",
+            Self::UnknownKey => "the key is missing or unknown; use one of the account's keys",
+            Self::BodyTooLarge => "the body exceeds the size limit; send a shorter one",
+            Self::BodyTooSlow => "the body did not arrive within the time limit; retry",
+            Self::Starting(_) => "this instance has just started; retry after the stated time",
+            Self::ConfigUnknown => "this instance lacks the newest configuration; retry",
+            Self::ConfigStale => "no reachable instance has the newest configuration; retry later",
+            Self::Leaving => "this instance is stopping; retry to reach another instance",
+            Self::NoServer => "no server can take the request now; retry after the stated time",
+            Self::Overloaded(_) => "the engines' caches are full; retry after the stated time",
+            Self::BackedOff(_) => "all servers asked for a backoff; retry when it ends",
+            Self::Limited(_) => {
+                "the servers' request limits are reached; retry after the stated time"
+            }
             Self::Quarantined { .. } => {
-                "servers ended each time that they ran this request; it is held for a time"
+                "servers crashed each time that they ran this request; it is quarantined for a time"
             }
-            Self::TimeOverNotRun => "the time was over before a server took the request",
-            Self::TimeOver => "the time was over before the answer; the request may have run",
+            Self::TimeOverNotRun => "the deadline passed before a server took the request",
+            Self::TimeOver => "the deadline passed before the answer; the request may have run",
             Self::Unknown => "the answer is lost; the request may have run",
         }
     }
 
-    /// The response.
+    /// The problem response, with `Retry-After` in seconds where a retry makes sense.
     pub(crate) fn response(self, names: &HeaderNames, attempt: Option<&str>) -> Response<Body> {
         let status = self.status();
         let retry_after = self.retry_after();
--- a/crates/rookferry_relay/src/request.rs
+++ b/crates/rookferry_relay/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, as it is sent on.
+//! A caller's admitted request, and the request that is sent to a server for it.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -27,7 +27,7 @@
 use crate::protocol::CallerHead;
 use crate::protocol::HeaderNames;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which are not forwarded.
 const CONNECTION_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -40,29 +40,34 @@
     "upgrade",
 ];
 
-/// A request that was let in.
+/// A caller's request after admission.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
+    /// The caller's id of the attempt.
     pub(crate) attempt: String,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
+    /// Values parsed from the headers.
     pub(crate) head: CallerHead,
+    /// The client account; none on public routes and without keys.
     pub(crate) account: Option<AccountId>,
     pub(crate) urgency: Urgency,
     pub(crate) route: ServingRoute,
+    /// The route's target that was drawn for this request.
     pub(crate) service: ServiceId,
     pub(crate) received_at: Instant,
+    /// End of the route's timeout or of the caller's, whichever is earlier.
     pub(crate) deadline: Instant,
-    /// Version of the configuration that let it in.
+    /// Version of the configuration that admitted it.
     pub(crate) config_version: u64,
-    /// Made when it is first asked for: few requests need it.
+    /// Computed on first use, since few requests need it.
     pub(crate) signature: OnceLock<RequestSignature>,
 }
 
 impl CallerRequest {
-    /// What tells that it is the same request when it comes again.
+    /// A digest that is equal for repeats of the same request.
     pub(crate) fn signature(&self) -> RequestSignature {
         *self.signature.get_or_init(|| {
             let path = self.uri.path_and_query();
@@ -75,22 +80,22 @@
         })
     }
 
-    /// The time that is left.
+    /// Time until the deadline; zero after it.
     pub(crate) fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(clock::now())
     }
 
-    /// Tokens that it holds in an engine's cache, over its life on average.
+    /// Tokens in an engine's cache, averaged over the request's life.
     pub(crate) fn tokens(&self) -> f64 {
         self.head.held_tokens()
     }
 
-    /// The time since it came.
+    /// Time since the request was received.
     pub(crate) fn held_for(&self) -> Duration {
         clock::since(self.received_at)
     }
 
-    /// Whether a configuration still lets it in and leads to its service.
+    /// Whether a configuration still admits the request and routes it to its service.
     pub(crate) fn is_allowed_by(&self, index: &ServingIndex) -> bool {
         if index.config().version == self.config_version {
             return true;
@@ -116,7 +121,11 @@
         is_target && has_key
     }
 
-    /// The request for a server, with the time that is left.
+    /// Builds the request for a server.
+    ///
+    /// Hop-by-hop headers, the caller's key and the caller's own account and path
+    /// headers are removed; the time left, the expected server, the account and
+    /// `extra` are set.
     pub(crate) fn to_server(
         &self,
         names: &HeaderNames,
@@ -135,7 +144,7 @@
         if let Some(account) = &self.account {
             insert_text(&mut headers, &names.account, account);
         }
-        // Not `extend`, which would keep the caller's own beside them.
+        // `extend` would keep the caller's values of the same headers.
         for (name, value) in extra {
             headers.insert(name, value);
         }
@@ -147,13 +156,13 @@
     }
 }
 
-/// The host that a request names.
+/// The `Host` header; none if it is missing or no text.
 pub(crate) fn host_of(headers: &HeaderMap) -> Option<String> {
     let host = headers.get(http::header::HOST)?.to_str().ok()?;
     Some(host.to_owned())
 }
 
-/// The headers that pass through to the other side.
+/// A copy without hop-by-hop headers and those that `Connection` lists.
 pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all(http::header::CONNECTION)
@@ -171,8 +180,8 @@
         .collect()
 }
 
-/// Sets a header to text; text that no header can hold is left out, which
-/// the server then refuses.
+/// Sets a header. A text that is no valid header value leaves the header out, and
+/// the server then refuses the request.
 fn insert_text(headers: &mut HeaderMap, name: &HeaderName, text: &Arc<str>) {
     headers.remove(name);
     if let Ok(value) = HeaderValue::from_str(text) {
--- a/crates/rookferry_relay/src/retries.rs
+++ b/crates/rookferry_relay/src/retries.rs
@@ -1,4 +1,7 @@
-//! This instance's part of the site's retry budgets.
+//! This instance's share of the site's retry budgets, one per service.
+//!
+//! Each first send of a request adds to the service's window; each repeat takes
+//! from it and is denied when the share of this instance is used up.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -14,20 +17,20 @@
 use crate::relay::Relay;
 use crate::request::CallerRequest;
 
-/// Time from the start in which an instance doesn't know how many others there
-/// are: heartbeats from other domains take up to a second or two.
+/// Time after the start in which the number of live instances is incomplete:
+/// heartbeats from other domains take up to a second or two.
 const COUNTING_INSTANCES: Duration = Duration::from_secs(3);
-/// Instances that the retry budget is shared by meanwhile, at the least; with
-/// their first heartbeats others tell how many there are.
+/// Least number of instances that the budget is divided by during that time. The
+/// first heartbeats of peers report the actual number.
 const ASSUMED_INSTANCES: usize = 64;
 
 impl Relay {
-    /// Counts a fresh request for a service.
+    /// Counts the first send of a request towards the service's budget.
     pub(crate) fn note_fresh(&self, service: &ServiceId) {
         self.with_retries(service, |window| window.note_fresh(clock::now()));
     }
 
-    /// Takes one repeat of a request out of the budget.
+    /// Takes one repeat out of the budget; false if none is left.
     pub(crate) fn take_retry(&self, request: &CallerRequest) -> bool {
         let service = &request.service;
         let heard = self.instances.load(Ordering::Relaxed);
@@ -41,7 +44,7 @@
         counter!("rookferry_retries_total", "service" => service.to_string(), "outcome" => outcome)
             .increment(1);
         if !is_taken && let Some(log) = self.events.line(Weight::Notable) {
-            warn!(log, "retry: the budget has none left"; "event" => "retry_denied",
+            warn!(log, "retry: the budget is used up"; "event" => "retry_denied",
                 "request" => &request.attempt, "service" => &**service, "instances" => instances);
         }
         is_taken
--- a/crates/rookferry_relay/src/stream.rs
+++ b/crates/rookferry_relay/src/stream.rs
@@ -1,10 +1,9 @@
 //! Streams of events from pipelines that engines forward themselves.
 //!
-//! Whole events are passed on as they come. While a stream stands still, or
-//! the fleet changes, its path is looked at: a lost stage is replaced under
-//! the running stream, which costs no new run. Where the first engine is
-//! lost, or the stream breaks, another run goes on behind the last event that
-//! was delivered, if the route allows it.
+//! Whole events are passed on as they arrive. When a stream stalls, or the fleet
+//! changes, its path is checked: a lost stage is replaced under the running stream,
+//! which needs no new run. If the first engine is lost, or the stream breaks, another
+//! run resumes after the last delivered event, if the route allows repeats.
 
 use std::io;
 use std::sync::Arc;
@@ -40,21 +39,24 @@
 use crate::request::end_to_end;
 use crate::upstream::UpstreamAnswer;
 
-/// Where a stream is, over all its runs.
+/// State of a stream over all its runs.
 struct StreamRun {
     target: StreamTarget,
+    /// Monitors the path of the current run.
     keeper: PathKeeper,
     answer: Box<UpstreamAnswer>,
     splitter: EventSplitter,
+    /// Servers that are excluded from the paths of further runs.
     avoided: Vec<ServerKey>,
     runs: u32,
     first_event_at: Option<Instant>,
     last_event_at: Instant,
     longest_gap: Duration,
+    /// Whether the stream was delivered whole or cut.
     is_over: bool,
 }
 
-/// Serves a request.
+/// Opens the first run of a stream and returns its answer's head.
 pub(crate) async fn serve(relay: &Arc<Relay>, request: CallerRequest) -> Served {
     relay.note_fresh(&request.service);
     let view = relay.view.load_full();
@@ -96,7 +98,7 @@
     }
 }
 
-/// Notes a caller that leaves before its stream has begun.
+/// Logs a caller that leaves before its stream has begun, when dropped unended.
 struct Waiting {
     relay: Arc<Relay>,
     request: Arc<CallerRequest>,
@@ -112,6 +114,7 @@
         }
     }
 
+    /// Drops the guard without a log line.
     fn end(mut self) {
         self.is_over = true;
     }
@@ -130,7 +133,7 @@
     }
 }
 
-/// The answer's head, and its events as they come.
+/// The response with the answer's head and a body that polls the stream.
 fn respond(run: StreamRun) -> Served {
     let status = run.answer.status;
     let mut headers = end_to_end(&run.answer.headers);
@@ -146,20 +149,26 @@
     Served::Answer(response)
 }
 
+/// What happened next on a stream.
 enum Step {
+    /// Whole events for the caller.
     Events(Bytes),
+    /// Nothing to pass on.
     Nothing,
+    /// The answer is complete.
     Ended,
+    /// The answer broke off or was invalid.
     Broken(String),
-    /// A repair would take longer than another run, or wait for the first engine.
+    /// Another run is worth more than a repair or than waiting for the first engine.
     Costly,
-    /// The first engine doesn't answer others, and no event comes.
+    /// The first engine is unreachable, and no event arrives.
     FirstLost,
+    /// The request's deadline has passed.
     TimeOver,
 }
 
 impl StreamRun {
-    /// The next events for the caller; an error cuts its answer.
+    /// The next events for the caller; an error cuts the response short.
     async fn next(&mut self) -> Option<Result<Bytes, io::Error>> {
         if self.is_over {
             return None;
@@ -175,7 +184,7 @@
                     self.note_ended();
                     return None;
                 }
-                Step::TimeOver => return Some(self.cut("the time is over")),
+                Step::TimeOver => return Some(self.cut("the deadline passed")),
                 Step::Costly => {
                     if !self.resume("a lost stage can't be replaced soon").await {
                         self.keeper.keep_run();
@@ -183,8 +192,8 @@
                 }
                 Step::FirstLost => {
                     self.keeper.note_broken_at_first();
-                    // Without another run the caller keeps what there is: the
-                    // engine may be ending, and finish this stream before.
+                    // Without another run the current one stays: the engine may be
+                    // shutting down and finish this stream before.
                     self.resume("the first engine is lost").await;
                 }
                 Step::Broken(cause) => {
@@ -204,7 +213,7 @@
         }
     }
 
-    /// Waits for bytes, and looks after the path meanwhile.
+    /// Waits for bytes, and monitors the path meanwhile.
     async fn step(&mut self) -> Step {
         let deadline = self.target.request.deadline;
         tokio::select! {
@@ -216,12 +225,12 @@
                     match self.splitter.push(data) {
                         Ok(Some(events)) => Step::Events(events),
                         Ok(None) => Step::Nothing,
-                        Err(_) => Step::Broken("an event is too long".to_owned()),
+                        Err(_) => Step::Broken("an event exceeds the size limit".to_owned()),
                     }
                 }
                 Some(Err(error)) => Step::Broken(error.to_string()),
                 None if self.splitter.has_partial() => {
-                    Step::Broken("it ended within an event".to_owned())
+                    Step::Broken("the answer ended within an event".to_owned())
                 }
                 None => Step::Ended,
             },
@@ -234,6 +243,7 @@
         }
     }
 
+    /// Records events that are about to be passed on.
     fn note_events(&mut self) {
         let now = clock::now();
         let stood = self.keeper.stands_for(now);
@@ -253,6 +263,7 @@
         self.last_event_at = now;
     }
 
+    /// Records the end of a stream that was delivered whole.
     fn note_ended(&mut self) {
         self.is_over = true;
         self.answer.keep_connection();
@@ -275,6 +286,7 @@
         }
     }
 
+    /// Logs the cut and returns the error that aborts the caller's response.
     fn cut(&mut self, cause: &str) -> Result<Bytes, io::Error> {
         self.is_over = true;
         counter!("rookferry_streams_cut_total").increment(1);
@@ -289,7 +301,7 @@
         Err(io::Error::other("the stream was cut short"))
     }
 
-    /// Goes on with another run behind the last whole event.
+    /// Continues with another run after the last whole event; false if there is none.
     async fn resume(&mut self, cause: &str) -> bool {
         let route = &self.target.request.route;
         let may_run = route.repeatability.may_repeat() && self.runs < route.max_servers.max(1);
@@ -310,7 +322,7 @@
         }
         let paused = clock::since(self.last_event_at);
         if let Some(log) = self.target.relay.events.line(Weight::Notable) {
-            warn!(log, "stream: another run goes on"; "event" => "stream_resumed",
+            warn!(log, "stream: resumed by another run"; "event" => "stream_resumed",
                 "request" => &self.target.request.attempt,
                 "signature" => %self.target.request.signature(), "cause" => cause,
                 "after_event" => after,
--- a/crates/rookferry_relay/src/upstream.rs
+++ b/crates/rookferry_relay/src/upstream.rs
@@ -1,4 +1,7 @@
-//! One exchange with a backend server, and what is known when it fails.
+//! One HTTP exchange with a backend server over a pooled connection.
+//!
+//! Errors state whether any byte of the request has left: only then may the request
+//! have run.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,40 +26,40 @@
 use crate::protocol::HeaderNames;
 use crate::request::end_to_end;
 
-/// Kept connections that may turn out closed before one request gives up.
+/// Pooled connections that may turn out closed before a request fails.
 const MAX_STALE_CONNECTIONS: usize = 4;
-/// Largest answer of a plain service, in bytes.
+/// Largest answer that is read whole, in bytes.
 const MAX_ANSWER_BYTES: usize = 32 * 1024 * 1024;
 
-/// Why there is no answer.
+/// Why an exchange has no answer.
 #[derive(Debug, Snafu)]
 pub(crate) enum UpstreamError {
-    /// No byte of the request has left.
+    /// There was no connection; no byte of the request has left.
     #[snafu(display("not sent: {source}"))]
     NotConnected { source: ConnectError },
     /// The server asked this instance for a backoff; no byte has left.
     #[snafu(display("not sent: backing off from {addr} for {} ms more", left.as_millis()))]
     BackedOff { addr: SocketAddr, left: Duration },
     /// There is no permit for a server with a limit; no byte has left.
-    #[snafu(display("not sent: no permit for {addr}, which takes no more now"))]
+    #[snafu(display("not sent: no permit for {addr}, whose request limit is reached"))]
     NotPermitted { addr: SocketAddr },
-    /// The check before sending forbade it; no byte has left.
-    #[snafu(display("not sent: what was decided no longer holds"))]
+    /// The check right before sending failed; no byte has left.
+    #[snafu(display("not sent: the configuration, a server's state or the quarantine changed"))]
     Withdrawn,
-    /// The request may have run.
+    /// The connection failed or the answer was invalid; the request may have run.
     #[snafu(display("the answer of {addr} is lost: {message}"))]
     Lost { addr: SocketAddr, message: String },
-    /// The relay itself gave the run up, which may go on.
-    #[snafu(display("the run at {addr} is given up: {message}"))]
+    /// The relay abandoned the run, which may still go on.
+    #[snafu(display("the run at {addr} was abandoned: {message}"))]
     GivenUp { addr: SocketAddr, message: String },
-    /// What came belongs to another request; this one may have run.
-    #[snafu(display("{addr} answered another request"))]
+    /// The answer is for another attempt; this request may have run.
+    #[snafu(display("{addr} sent the answer to another attempt"))]
     Crossed { addr: SocketAddr },
 }
 
 impl UpstreamError {
-    /// Whether this instance's part of the server's connections is in use; it
-    /// says nothing about the server.
+    /// Whether this instance's share of the server's connections is in use, which
+    /// is no evidence about the server.
     pub(crate) const fn is_own_limit(&self) -> bool {
         matches!(
             self,
@@ -66,19 +69,19 @@
         )
     }
 
-    /// Whether it wasn't sent for what this instance knows or has in use, which
-    /// is no new word on the server.
+    /// Whether this instance refused to send: by its connection limit, a backoff or a
+    /// missing permit. It is no new evidence about the server.
     pub(crate) const fn is_held_here(&self) -> bool {
         self.is_own_limit() || matches!(self, Self::BackedOff { .. } | Self::NotPermitted { .. })
     }
 
-    /// Whether the connection broke, or gave something else, under a run.
+    /// Whether the exchange broke after the request was sent, so that the server may
+    /// have crashed.
     pub(crate) const fn is_break(&self) -> bool {
         matches!(self, Self::Lost { .. } | Self::Crossed { .. })
     }
 
-    /// Whether nothing listens at the server's address any more: the process
-    /// has ended.
+    /// Whether the connection was refused, which shows that the process has exited.
     pub(crate) const fn shows_end(&self) -> bool {
         matches!(
             self,
@@ -100,7 +103,7 @@
     }
 }
 
-/// An answer's head, and its body yet to be read.
+/// An answer's head, with the body still to be read.
 #[derive(Debug)]
 pub(crate) struct UpstreamAnswer {
     pub(crate) status: StatusCode,
@@ -108,11 +111,11 @@
     pub(crate) body: Incoming,
     /// The backoff that the server asked this instance for.
     pub(crate) backoff: Option<Duration>,
-    /// To be kept once the body is read whole.
+    /// Returned to the pool once the body is read whole.
     connection: Option<Connection>,
 }
 
-/// An answer read whole.
+/// An answer with its whole body.
 #[derive(Debug)]
 pub(crate) struct WholeAnswer {
     pub(crate) status: StatusCode,
@@ -120,7 +123,7 @@
     pub(crate) body: Bytes,
 }
 
-/// Where to send, and how many connections to it may be open.
+/// A server, and the most connections that this instance may open to it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Upstream {
     pub(crate) server: ServerKey,
@@ -130,8 +133,8 @@
 impl UpstreamPool {
     /// Sends a request and waits for the answer's head.
     ///
-    /// `may_send` is asked when a connection is there, right before the first
-    /// byte leaves.
+    /// `may_send` is called with a connection at hand, right before the first byte
+    /// is sent, and again for each pooled connection that proved closed.
     pub(crate) async fn send(
         &self,
         upstream: Upstream,
@@ -160,7 +163,7 @@
                 }
                 Err(error) => error,
             };
-            // The message comes back only if no byte of it was written.
+            // hyper returns the message only if no byte of it was written.
             match error.take_message() {
                 Some(unsent) if connection.is_reused && stale < MAX_STALE_CONNECTIONS => {
                     stale += 1;
@@ -180,20 +183,19 @@
     }
 }
 
-/// Whether an answer may be passed on: a success counts only with its
-/// server's signature.
+/// Whether an answer may be passed on: a success needs the server's signature header.
 pub(crate) fn is_signed(status: StatusCode, headers: &HeaderMap, names: &HeaderNames) -> bool {
     !status.is_success() || headers.contains_key(&names.signature)
 }
 
 impl WholeAnswer {
-    /// The answer for the caller, as the server gave it.
+    /// The response for the caller, with the server's status, end-to-end headers and body.
     pub(crate) fn into_response(self) -> Response<Body> {
         let body = Full::new(self.body).map_err(|never| match never {});
         let mut response: Response<Body> = Response::new(UnsyncBoxBody::new(body));
         *response.status_mut() = self.status;
         *response.headers_mut() = end_to_end(&self.headers);
-        // The library counts what it sends; a 304 names another body's length.
+        // hyper sets the length of the body; a 304 states that of another body.
         if self.status != StatusCode::NOT_MODIFIED {
             response.headers_mut().remove(http::header::CONTENT_LENGTH);
         }
@@ -202,27 +204,28 @@
 }
 
 impl UpstreamAnswer {
-    /// Whether the answer is for an attempt; anything else is someone else's.
+    /// Whether the answer carries this attempt's id.
     pub(crate) fn is_for(&self, names: &HeaderNames, attempt: &str) -> bool {
         self.headers
             .get(&names.attempt)
             .is_some_and(|value| value.as_bytes() == attempt.as_bytes())
     }
 
-    /// Whether the server says that it didn't run the request.
+    /// Whether the server states that it didn't run the request.
     pub(crate) fn is_not_run(&self, names: &HeaderNames) -> bool {
         self.status == StatusCode::MISDIRECTED_REQUEST || self.headers.contains_key(&names.not_run)
     }
 
-    /// Keeps the connection for another request; the body must have been read
-    /// to its end.
+    /// Returns the connection to the pool; the body must have been read to its end.
     pub(crate) fn keep_connection(&mut self) {
         if let Some(connection) = self.connection.take() {
             connection.keep(&self.headers);
         }
     }
 
-    /// Reads the body whole and keeps the connection.
+    /// Reads the whole body and returns the connection to the pool.
+    ///
+    /// Fails with `Lost` if the body breaks off or exceeds [`MAX_ANSWER_BYTES`].
     pub(crate) async fn collect(self, addr: SocketAddr) -> Result<WholeAnswer, UpstreamError> {
         let Self {
             status,
