--- a/crates/rookferry_relay/src/door.rs
+++ b/crates/rookferry_relay/src/admission_gate.rs
@@ -22,7 +22,7 @@
 
 /// The queues by service, and the state of the overload.
 #[derive(Debug, Default)]
-pub(crate) struct Door {
+pub(crate) struct AdmissionGate {
     queues: Mutex<HashMap<ServiceId, RoomQueue>>,
     overload: Mutex<Overload>,
     changed: Notify,
@@ -30,49 +30,49 @@
 
 /// A request's entry in a queue; dropping it leaves the queue.
 #[derive(Debug)]
-pub(crate) struct Place {
-    door: Arc<Door>,
+pub(crate) struct QueueEntry {
+    gate: Arc<AdmissionGate>,
     service: ServiceId,
     ticket: RoomTicket,
 }
 
-impl Door {
+impl AdmissionGate {
     pub(crate) fn new() -> Self {
         Self::default()
     }
 
     /// Whether a request of this urgency has to wait behind queued ones.
-    pub(crate) fn is_behind(&self, service: &ServiceId, urgency: Urgency) -> bool {
+    pub(crate) fn must_wait(&self, service: &ServiceId, urgency: Urgency) -> bool {
         self.with(service, |queue| queue.is_behind(urgency))
     }
 
     /// Adds a request to the queue of a service.
-    pub(crate) fn join(self: &Arc<Self>, service: &ServiceId, urgency: Urgency) -> Place {
-        Place {
-            door: self.clone(),
+    pub(crate) fn join(self: &Arc<Self>, service: &ServiceId, urgency: Urgency) -> QueueEntry {
+        QueueEntry {
+            gate: self.clone(),
             service: service.clone(),
             ticket: self.with(service, |queue| queue.join(urgency)),
         }
     }
 
     /// Records that a stream has ended and freed its cache.
-    pub(crate) fn note_freed(&self, service: &ServiceId) {
+    pub(crate) fn record_freed(&self, service: &ServiceId) {
         self.with(service, |queue| queue.note_freed(clock::now()));
-        self.note_change();
+        self.notify_change();
     }
 
     /// Wakes the waiting requests after a change that may have freed cache.
-    pub(crate) fn note_change(&self) {
+    pub(crate) fn notify_change(&self) {
         self.changed.notify_waiters();
     }
 
     /// Records the time from sending a stream to its first event.
-    pub(crate) fn note_first_event(&self, service: &ServiceId, took: Duration) {
+    pub(crate) fn record_first_event(&self, service: &ServiceId, took: Duration) {
         self.with(service, |queue| queue.note_first_event(took));
     }
 
     /// Records a refusal; returns the overload's length and the retry time.
-    pub(crate) fn turn_away(&self) -> Overloaded {
+    pub(crate) fn refuse(&self) -> Overloaded {
         lock(&self.overload).refused(clock::now(), rand::random())
     }
 
@@ -83,22 +83,22 @@
     }
 }
 
-impl Place {
+impl QueueEntry {
     /// Whether the request is first in its queue.
     pub(crate) fn is_next(&self) -> bool {
-        self.door
+        self.gate
             .with(&self.service, |queue| queue.is_next(self.ticket))
     }
 
     /// Length of the queue, including this request.
     pub(crate) fn waiting(&self) -> usize {
-        self.door.with(&self.service, |queue| queue.len())
+        self.gate.with(&self.service, |queue| queue.len())
     }
 
     /// Whether the request, having waited for `waited`, is expected to be sent in
     /// time for its latency objective.
-    pub(crate) fn is_hopeful(&self, objective: Duration, waited: Duration) -> bool {
-        self.door.with(&self.service, |queue| {
+    pub(crate) fn can_meet_objective(&self, objective: Duration, waited: Duration) -> bool {
+        self.gate.with(&self.service, |queue| {
             queue.expected_wait(self.ticket) + waited <= queue.patience(objective)
         })
     }
@@ -106,14 +106,14 @@
     /// Waits for a change that may have freed cache, at most for `longest`.
     pub(crate) async fn changed(&self, longest: Duration) {
         // A missed change is found by the caller's check after the timeout.
-        let _ = tokio::time::timeout(longest, self.door.changed.notified()).await;
+        let _ = tokio::time::timeout(longest, self.gate.changed.notified()).await;
     }
 }
 
-impl Drop for Place {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
-        self.door
+        self.gate
             .with(&self.service, |queue| queue.leave(self.ticket));
-        self.door.note_change();
+        self.gate.notify_change();
     }
 }
--- a/crates/rookferry_relay/src/lib.rs
+++ b/crates/rookferry_relay/src/lib.rs
@@ -12,9 +12,9 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod admission_gate;
 mod beliefs;
 mod broken_runs;
-mod door;
 mod engines;
 mod event_log;
 mod events;
--- a/crates/rookferry_relay/src/opener/room.rs
+++ b/crates/rookferry_relay/src/opener/room.rs
@@ -11,7 +11,7 @@
 use slog::warn;
 
 use super::Opener;
-use crate::door::Place;
+use crate::admission_gate::QueueEntry;
 use crate::event_log::Weight;
 use crate::event_log::millis;
 use crate::mutex::lock;
@@ -42,11 +42,11 @@
     /// for as long as the site is over its capacity. None if no engines cover the layers.
     pub(super) async fn choose_with_room(&self) -> Result<Option<PipelinePath>, Refusal> {
         let request = &self.target.request;
-        let door = &self.target.relay.door;
+        let gate = &self.target.relay.door;
         let service = &self.target.service.name;
         let objective = request.route.latency_objective;
         let mut full = None;
-        if !door.is_behind(service, request.urgency) {
+        if !gate.must_wait(service, request.urgency) {
             match self.look_for_room() {
                 Room::None => return Ok(None),
                 Room::On(path) => return Ok(Some(path)),
@@ -54,20 +54,20 @@
                 Room::NoLink(wait) => return Err(self.turn_away_from_link(wait)),
             }
         }
-        let place = door.join(service, request.urgency);
+        let entry = gate.join(service, request.urgency);
         loop {
-            if !place.is_hopeful(objective, request.held_for()) {
-                return Err(self.turn_away(full.as_ref(), &place));
+            if !entry.can_meet_objective(objective, request.held_for()) {
+                return Err(self.turn_away(full.as_ref(), &entry));
             }
             let left = objective.saturating_sub(request.held_for());
-            place.changed(left.min(LOOK_AGAIN)).await;
-            if !place.is_next() {
+            entry.changed(left.min(LOOK_AGAIN)).await;
+            if !entry.is_next() {
                 continue;
             }
             match self.look_for_room() {
                 Room::None => return Ok(None),
                 Room::On(path) => {
-                    self.note_let_in(&place);
+                    self.note_let_in(&entry);
                     return Ok(Some(path));
                 }
                 Room::Full(engine) => full = Some(engine),
@@ -133,18 +133,18 @@
         Refusal::Overloaded(wait)
     }
 
-    fn note_let_in(&self, place: &Place) {
+    fn note_let_in(&self, entry: &QueueEntry) {
         let request = &self.target.request;
         if let Some(log) = self.target.relay.events.line(Weight::Routine) {
             info!(log, "stream: admitted after queueing"; "event" => "let_in",
                 "request" => &request.attempt, "held_ms" => millis(request.held_for()),
-                "waiting" => place.waiting());
+                "waiting" => entry.waiting());
         }
     }
 
     /// Refuses a request that can't meet its objective in the queue.
-    fn turn_away(&self, full: Option<&PipelineEngine>, place: &Place) -> Refusal {
-        let overload = self.target.relay.door.turn_away();
+    fn turn_away(&self, full: Option<&PipelineEngine>, entry: &QueueEntry) -> Refusal {
+        let overload = self.target.relay.door.refuse();
         let request = &self.target.request;
         if let Some(log) = self.target.relay.events.line(Weight::Notable) {
             warn!(log, "stream: refused, the engines' caches are full"; "event" => "no_room",
@@ -153,7 +153,7 @@
                 "addr" => full.map(|engine| engine.addr().to_string()),
                 "used_tokens" => full.map(|engine| engine.used_tokens),
                 "room_tokens" => full.map(|engine| engine.cache_tokens),
-                "waiting" => place.waiting(),
+                "waiting" => entry.waiting(),
                 "held_ms" => millis(request.held_for()),
                 "overload_ms" => millis(overload.lasted),
                 "retry_after_ms" => millis(overload.retry_after));
--- a/crates/rookferry_relay/src/path_keeper/mod.rs
+++ b/crates/rookferry_relay/src/path_keeper/mod.rs
@@ -351,7 +351,7 @@
 impl Drop for PathKeeper {
     fn drop(&mut self) {
         // The load guard is dropped right after this; a woken request checks later.
-        self.relay.door.note_freed(&self.service.name);
+        self.relay.door.record_freed(&self.service.name);
     }
 }
 
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/intake.rs
@@ -97,7 +97,7 @@
             (peers.loads(now), peers.doubted(now))
         };
         self.relay.beliefs.hear(loads, doubted);
-        self.relay.door.note_change();
+        self.relay.door.notify_change();
     }
 
     /// Takes in what a peer saw of the servers that it uses.
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -28,8 +28,8 @@
 use slog::warn;
 use tokio::sync::watch;
 
+use crate::admission_gate::AdmissionGate;
 use crate::beliefs::ServerBeliefs;
-use crate::door::Door;
 use crate::event_log::EventLog;
 use crate::event_log::Weight;
 use crate::event_log::millis;
@@ -64,7 +64,7 @@
     pub(crate) quarantine: RequestQuarantine,
     /// Permits for servers that named a limit.
     pub(crate) permits: Permits,
-    pub(crate) door: Arc<Door>,
+    pub(crate) door: Arc<AdmissionGate>,
     pub(crate) events: Arc<EventLog>,
     /// Raised whenever paths may have to be looked at again.
     pub(crate) fleet_changes: watch::Sender<u64>,
@@ -122,7 +122,7 @@
             beliefs: ServerBeliefs::new(rand::random()),
             quarantine: RequestQuarantine::default(),
             permits: Permits::new(rand::random()),
-            door: Arc::new(Door::new()),
+            door: Arc::new(AdmissionGate::new()),
             events,
             fleet_changes: watch::Sender::new(0),
             versions: watch::Sender::new(0),
