--- a/crates/rookferry_relay/src/node.rs
+++ b/crates/rookferry_relay/src/node.rs
@@ -34,7 +34,6 @@
 use crate::event_log::EventLog;
 use crate::event_log::Weight;
 use crate::event_log::millis;
-use crate::front;
 use crate::peers::Heartbeats;
 use crate::peers::answer_peers;
 use crate::placement::Placement;
@@ -42,6 +41,7 @@
 use crate::protocol::ServerProtocol;
 use crate::quarantine_keeper;
 use crate::relay::Relay;
+use crate::request_handler;
 use crate::settings::RelaySettings;
 use crate::store::SiteStore;
 use crate::sync;
@@ -143,7 +143,7 @@
             peers,
         };
         let connections = callers.connections().clone();
-        let handler = endpoint(&relay, callers.connections(), front::handle);
+        let handler = endpoint(&relay, callers.connections(), request_handler::handle);
         let until = stop.clone();
         tokio::spawn(async move { callers.serve(handler, until.notified()).await });
         let handler = endpoint(&relay, readiness.connections(), tell_ready);
--- a/crates/rookferry_relay/src/opener/mod.rs
+++ b/crates/rookferry_relay/src/opener/mod.rs
@@ -28,8 +28,6 @@
 use crate::event_log::Weight;
 use crate::event_log::millis;
 use crate::exchange::Purpose;
-use crate::front::Served;
-use crate::front::note_served;
 use crate::path_keeper::PathKeeper;
 use crate::path_keeper::Watched;
 use crate::permits::PathPermits;
@@ -41,6 +39,8 @@
 use crate::refusal::Refusal;
 use crate::relay::Relay;
 use crate::request::CallerRequest;
+use crate::request_handler::ServeOutcome;
+use crate::request_handler::record_served;
 use crate::server_loss::ServerLoss;
 use crate::upstream::UpstreamAnswer;
 use crate::upstream::UpstreamError;
@@ -73,7 +73,7 @@
     },
     Failed(UpstreamError),
     /// The request's deadline passed.
-    TimeOver,
+    TimedOut,
 }
 
 /// Opens runs of one request.
@@ -122,7 +122,7 @@
     pub(crate) async fn open(
         &mut self,
         after: Option<u64>,
-    ) -> Result<(Box<UpstreamAnswer>, PathKeeper), Served> {
+    ) -> Result<(Box<UpstreamAnswer>, PathKeeper), ServeOutcome> {
         let may_repeat = self.target.request.route.repeatability.may_repeat();
         for _ in 0..MAX_UNRUN_TRIES {
             if self.target.request.time_left() < MIN_TIME_LEFT {
@@ -135,7 +135,10 @@
             if self.arrived > 0 && !is_paid && !self.target.relay.take_retry(&self.target.request) {
                 break;
             }
-            let chosen = self.choose_permitted().await.map_err(Served::Refused)?;
+            let chosen = self
+                .choose_permitted()
+                .await
+                .map_err(ServeOutcome::Refused)?;
             let Some((path, permits)) = chosen else {
                 self.note_failed("", "no engines cover the layers");
                 break;
@@ -174,7 +177,7 @@
                 }
                 Opened::Failed(UpstreamError::Withdrawn) => {
                     if self.arrived == 0 {
-                        return Err(Served::Withdrawn);
+                        return Err(ServeOutcome::Withdrawn);
                     }
                     break;
                 }
@@ -183,13 +186,13 @@
                         break;
                     }
                 }
-                Opened::TimeOver => return Err(Served::Refused(Refusal::TimeOver)),
+                Opened::TimedOut => return Err(ServeOutcome::Refused(Refusal::TimedOut)),
             }
         }
-        let is_time_over = self.target.request.time_left() < MIN_TIME_LEFT;
-        let refusal = Refusal::after_tries(self.runs > 0, is_time_over);
-        Err(Served::Refused(
-            refusal.or_known(|| self.wait_for_engines()),
+        let is_timed_out = self.target.request.time_left() < MIN_TIME_LEFT;
+        let refusal = Refusal::after_failed_tries(self.runs > 0, is_timed_out);
+        Err(ServeOutcome::Refused(
+            refusal.or_known_cause(|| self.wait_for_engines()),
         ))
     }
 
@@ -344,7 +347,7 @@
         let sent = loop {
             tokio::select! {
                 sent = &mut sending => break sent,
-                () = clock::sleep_until(request.deadline) => return Opened::TimeOver,
+                () = clock::sleep_until(request.deadline) => return Opened::TimedOut,
                 watched = keeper.watch() => {
                     let message = match watched {
                         Watched::Fine => continue,
@@ -407,19 +410,19 @@
     }
 
     /// Passes an engine's error response on to the caller.
-    async fn pass_failure(&self, answer: UpstreamAnswer, addr: SocketAddr) -> Served {
+    async fn pass_failure(&self, answer: UpstreamAnswer, addr: SocketAddr) -> ServeOutcome {
         let whole =
             tokio::time::timeout(self.target.request.time_left(), answer.collect(addr)).await;
         let Ok(Ok(whole)) = whole else {
-            return Served::Refused(Refusal::Unknown);
+            return ServeOutcome::Refused(Refusal::Unknown);
         };
-        note_served(
+        record_served(
             &self.target.relay,
             &self.target.request,
             whole.status.as_u16(),
             "engine",
         );
-        Served::Answer(whole.into_response())
+        ServeOutcome::Answer(whole.into_response())
     }
 
     fn note_failed(&self, path: &str, cause: &str) {
--- a/crates/rookferry_relay/src/opener/room.rs
+++ b/crates/rookferry_relay/src/opener/room.rs
@@ -56,10 +56,10 @@
         }
         let entry = gate.join(service, request.urgency);
         loop {
-            if !entry.can_meet_objective(objective, request.held_for()) {
+            if !entry.can_meet_objective(objective, request.elapsed()) {
                 return Err(self.turn_away(full.as_ref(), &entry));
             }
-            let left = objective.saturating_sub(request.held_for());
+            let left = objective.saturating_sub(request.elapsed());
             entry.changed(left.min(LOOK_AGAIN)).await;
             if !entry.is_next() {
                 continue;
@@ -128,7 +128,7 @@
             warn!(log, "stream: refused, the link between failure domains is full";
                 "event" => "link_full",
                 "request" => &request.attempt, "tokens" => request.tokens(),
-                "held_ms" => millis(request.held_for()), "retry_after_ms" => millis(wait));
+                "held_ms" => millis(request.elapsed()), "retry_after_ms" => millis(wait));
         }
         Refusal::Overloaded(wait)
     }
@@ -137,7 +137,7 @@
         let request = &self.target.request;
         if let Some(log) = self.target.relay.events.line(Weight::Routine) {
             info!(log, "stream: admitted after queueing"; "event" => "let_in",
-                "request" => &request.attempt, "held_ms" => millis(request.held_for()),
+                "request" => &request.attempt, "held_ms" => millis(request.elapsed()),
                 "waiting" => entry.waiting());
         }
     }
@@ -154,7 +154,7 @@
                 "used_tokens" => full.map(|engine| engine.used_tokens),
                 "room_tokens" => full.map(|engine| engine.cache_tokens),
                 "waiting" => entry.waiting(),
-                "held_ms" => millis(request.held_for()),
+                "held_ms" => millis(request.elapsed()),
                 "overload_ms" => millis(overload.lasted),
                 "retry_after_ms" => millis(overload.retry_after));
         }
--- a/crates/rookferry_relay/src/plain.rs
+++ b/crates/rookferry_relay/src/plain.rs
@@ -17,14 +17,14 @@
 
 use crate::event_log::Weight;
 use crate::exchange::Purpose;
-use crate::front::Served;
-use crate::front::note_served;
 use crate::permits::PathPermits;
 use crate::quarantine::BrokenAt;
 use crate::quarantine::Reach;
 use crate::refusal::Refusal;
 use crate::relay::Relay;
 use crate::request::CallerRequest;
+use crate::request_handler::ServeOutcome;
+use crate::request_handler::record_served;
 use crate::server_loss::ServerLoss;
 use crate::upstream::UpstreamError;
 use crate::upstream::WholeAnswer;
@@ -50,18 +50,18 @@
     /// The server states that it didn't run the request.
     NotRun,
     Failed(UpstreamError),
-    TimeOver,
+    TimedOut,
 }
 
 /// Serves a request, with up to [`MAX_UNRUN_TRIES`] tries on different servers.
-pub(crate) async fn serve(relay: &Arc<Relay>, request: CallerRequest) -> Served {
+pub(crate) async fn serve(relay: &Arc<Relay>, request: CallerRequest) -> ServeOutcome {
     relay.note_fresh(&request.service);
     let view = relay.view.load_full();
     let (Some(index), Some(table)) = (&view.index, &view.servers) else {
-        return Served::Withdrawn;
+        return ServeOutcome::Withdrawn;
     };
     let Some(service) = index.service(&request.service) else {
-        return Served::Refused(Refusal::NoServer);
+        return ServeOutcome::Refused(Refusal::NoServer);
     };
     let may_repeat = request.route.repeatability.may_repeat();
     let mut avoided: Vec<ServerKey> = Vec::new();
@@ -106,7 +106,7 @@
             }
             Tried::Failed(UpstreamError::Withdrawn) => {
                 if arrived == 0 {
-                    return Served::Withdrawn;
+                    return ServeOutcome::Withdrawn;
                 }
                 break;
             }
@@ -133,7 +133,7 @@
                 }
                 relay.beliefs.health().failed(server.key, clock::now());
             }
-            Tried::TimeOver => return Served::Refused(Refusal::TimeOver),
+            Tried::TimedOut => return ServeOutcome::Refused(Refusal::TimedOut),
         }
         let may_go_on = may_repeat || has_run == 0;
         if !may_go_on || has_run >= request.route.max_servers.max(1) {
@@ -143,9 +143,11 @@
     if let Some((server, answer)) = last_answer {
         return answered(relay, &request, &server, answer);
     }
-    let is_time_over = request.time_left() < MIN_TIME_LEFT;
-    let refusal = Refusal::after_tries(has_run > 0, is_time_over);
-    Served::Refused(refusal.or_known(|| wait_for_server(relay, &request, table, service)))
+    let is_timed_out = request.time_left() < MIN_TIME_LEFT;
+    let refusal = Refusal::after_failed_tries(has_run > 0, is_timed_out);
+    ServeOutcome::Refused(
+        refusal.or_known_cause(|| wait_for_server(relay, &request, table, service)),
+    )
 }
 
 /// The refusal with the time at which a server takes the request again; none if one
@@ -250,7 +252,7 @@
         }),
         Some(Ok(None)) => Tried::NotRun,
         Some(Err(error)) => Tried::Failed(error),
-        None => Tried::TimeOver,
+        None => Tried::TimedOut,
     }
 }
 
@@ -291,12 +293,12 @@
     request: &CallerRequest,
     server: &BackendServer,
     answer: WholeAnswer,
-) -> Served {
+) -> ServeOutcome {
     if !answer.status.is_server_error() {
         relay.run_finished(request);
     }
-    note_served(relay, request, answer.status.as_u16(), &server.id);
-    Served::Answer(answer.into_response())
+    record_served(relay, request, answer.status.as_u16(), &server.id);
+    ServeOutcome::Answer(answer.into_response())
 }
 
 fn note_failed(relay: &Relay, request: &CallerRequest, server: &BackendServer, cause: &str) {
--- a/crates/rookferry_relay/src/quarantine.rs
+++ b/crates/rookferry_relay/src/quarantine.rs
@@ -144,7 +144,7 @@
         if is_held && let Some(log) = self.events.line(Weight::Notable) {
             warn!(log, "request: not sent again, it is quarantined"; "event" => "held_back",
                 "request" => &request.attempt, "signature" => %request.signature(),
-                "held_ms" => millis(request.held_for()));
+                "held_ms" => millis(request.elapsed()));
         }
         !is_held
     }
--- a/crates/rookferry_relay/src/refusal.rs
+++ b/crates/rookferry_relay/src/refusal.rs
@@ -47,7 +47,7 @@
     /// All servers asked this instance for a backoff, which ends after this time.
     BackedOff(Duration),
     /// The servers' limits for all instances are reached; retry after this time.
-    Limited(Duration),
+    RateLimited(Duration),
     /// Servers crashed each time that they ran the request; it is quarantined for
     /// `wait`.
     Quarantined {
@@ -55,26 +55,26 @@
         wait: Duration,
     },
     /// The deadline passed, and no server ran the request.
-    TimeOverNotRun,
+    TimedOutNotRun,
     /// The deadline passed after the request was sent.
-    TimeOver,
+    TimedOut,
     /// The request was sent, and its outcome is unknown.
     Unknown,
 }
 
 impl Refusal {
     /// The refusal after all tries failed.
-    pub(crate) const fn after_tries(has_run: bool, is_time_over: bool) -> Self {
-        match (has_run, is_time_over) {
-            (true, true) => Self::TimeOver,
+    pub(crate) const fn after_failed_tries(has_run: bool, is_timed_out: bool) -> Self {
+        match (has_run, is_timed_out) {
+            (true, true) => Self::TimedOut,
             (true, false) => Self::Unknown,
-            (false, true) => Self::TimeOverNotRun,
+            (false, true) => Self::TimedOutNotRun,
             (false, false) => Self::NoServer,
         }
     }
 
     /// Replaces `NoServer` by the refusal of a known cause, if there is one.
-    pub(crate) fn or_known(self, known: impl FnOnce() -> Option<Self>) -> Self {
+    pub(crate) fn or_known_cause(self, known: impl FnOnce() -> Option<Self>) -> Self {
         match self {
             Self::NoServer => known().unwrap_or(self),
             _ => self,
@@ -96,10 +96,10 @@
             | Self::NoServer
             | Self::Overloaded(_)
             | Self::BackedOff(_)
-            | Self::Limited(_)
+            | Self::RateLimited(_)
             | Self::Quarantined { .. }
-            | Self::TimeOverNotRun => StatusCode::SERVICE_UNAVAILABLE,
-            Self::TimeOver => StatusCode::GATEWAY_TIMEOUT,
+            | Self::TimedOutNotRun => StatusCode::SERVICE_UNAVAILABLE,
+            Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
             Self::Unknown => StatusCode::BAD_GATEWAY,
         }
     }
@@ -119,10 +119,10 @@
             Self::NoServer => "no_server",
             Self::Overloaded(_) => "overloaded",
             Self::BackedOff(_) => "servers_backed_off",
-            Self::Limited(_) => "servers_limited",
+            Self::RateLimited(_) => "servers_limited",
             Self::Quarantined { .. } => "quarantined",
-            Self::TimeOverNotRun => "time_over_not_run",
-            Self::TimeOver => "time_over",
+            Self::TimedOutNotRun => "time_over_not_run",
+            Self::TimedOut => "time_over",
             Self::Unknown => "unknown",
         }
     }
@@ -130,7 +130,7 @@
     /// Whether the request may have run.
     pub(crate) const fn outcome(self) -> Outcome {
         match self {
-            Self::TimeOver | Self::Unknown => Outcome::Unknown,
+            Self::TimedOut | Self::Unknown => Outcome::Unknown,
             _ => Outcome::NotRun,
         }
     }
@@ -153,9 +153,11 @@
             Self::Starting(_) | Self::ConfigUnknown | Self::ConfigStale => ReasonCode::NotReady,
             Self::Leaving => ReasonCode::Leaving,
             Self::NoServer => ReasonCode::NoChain,
-            Self::Overloaded(_) | Self::BackedOff(_) | Self::Limited(_) => ReasonCode::Overloaded,
+            Self::Overloaded(_) | Self::BackedOff(_) | Self::RateLimited(_) => {
+                ReasonCode::Overloaded
+            }
             Self::Quarantined { .. } => ReasonCode::Quarantined,
-            Self::TimeOverNotRun | Self::TimeOver => ReasonCode::DeadlinePassed,
+            Self::TimedOutNotRun | Self::TimedOut => ReasonCode::DeadlinePassed,
             Self::Unknown => ReasonCode::EngineLost,
         }
     }
@@ -172,9 +174,9 @@
             Self::Starting(wait)
             | Self::Overloaded(wait)
             | Self::BackedOff(wait)
-            | Self::Limited(wait)
+            | Self::RateLimited(wait)
             | Self::Quarantined { wait, .. } => Some(wait),
-            Self::TimeOverNotRun | Self::BodyTooSlow => Some(Duration::from_millis(100)),
+            Self::TimedOutNotRun | Self::BodyTooSlow => Some(Duration::from_millis(100)),
             _ => None,
         }
     }
@@ -193,14 +195,14 @@
             Self::NoServer => "no server can take the request now; retry after the stated time",
             Self::Overloaded(_) => "the engines' caches are full; retry after the stated time",
             Self::BackedOff(_) => "all servers asked for a backoff; retry when it ends",
-            Self::Limited(_) => {
+            Self::RateLimited(_) => {
                 "the servers' request limits are reached; retry after the stated time"
             }
             Self::Quarantined { .. } => {
                 "servers crashed each time that they ran this request; it is quarantined for a time"
             }
-            Self::TimeOverNotRun => "the deadline passed before a server took the request",
-            Self::TimeOver => "the deadline passed before the answer; the request may have run",
+            Self::TimedOutNotRun => "the deadline passed before a server took the request",
+            Self::TimedOut => "the deadline passed before the answer; the request may have run",
             Self::Unknown => "the answer is lost; the request may have run",
         }
     }
--- a/crates/rookferry_relay/src/request.rs
+++ b/crates/rookferry_relay/src/request.rs
@@ -28,7 +28,7 @@
 use crate::protocol::HeaderNames;
 
 /// Hop-by-hop headers, which are not forwarded.
-const CONNECTION_HEADERS: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -91,7 +91,7 @@
     }
 
     /// Time since the request was received.
-    pub(crate) fn held_for(&self) -> Duration {
+    pub(crate) fn elapsed(&self) -> Duration {
         clock::since(self.received_at)
     }
 
@@ -100,7 +100,7 @@
         if index.config().version == self.config_version {
             return true;
         }
-        let Some(host) = host_of(&self.headers) else {
+        let Some(host) = host_header(&self.headers) else {
             return false;
         };
         let Some(route) = index.route(&host, self.uri.path()) else {
@@ -110,7 +110,7 @@
             .targets
             .iter()
             .any(|target| target.service == self.service);
-        let has_key = route.is_public
+        let is_authorized = route.is_public
             || !index.needs_keys()
             || self
                 .head
@@ -118,7 +118,7 @@
                 .as_deref()
                 .and_then(|key| index.account(key))
                 .is_some_and(|account| Some(&account.name) == self.account.as_ref());
-        is_target && has_key
+        is_target && is_authorized
     }
 
     /// Builds the request for a server.
@@ -132,7 +132,7 @@
         expected: &EngineId,
         extra: impl IntoIterator<Item = (HeaderName, HeaderValue)>,
     ) -> Request<Full<Bytes>> {
-        let mut headers = end_to_end(&self.headers);
+        let mut headers = end_to_end_headers(&self.headers);
         headers.remove(http::header::AUTHORIZATION);
         headers.remove(&names.account);
         headers.remove(&names.path);
@@ -140,9 +140,9 @@
         headers.remove(http::header::EXPECT);
         let left_ms = millis(self.time_left());
         headers.insert(names.time_left_ms.clone(), HeaderValue::from(left_ms));
-        insert_text(&mut headers, &names.expected_server, expected);
+        insert_header(&mut headers, &names.expected_server, expected);
         if let Some(account) = &self.account {
-            insert_text(&mut headers, &names.account, account);
+            insert_header(&mut headers, &names.account, account);
         }
         // `extend` would keep the caller's values of the same headers.
         for (name, value) in extra {
@@ -157,13 +157,13 @@
 }
 
 /// The `Host` header; none if it is missing or no text.
-pub(crate) fn host_of(headers: &HeaderMap) -> Option<String> {
+pub(crate) fn host_header(headers: &HeaderMap) -> Option<String> {
     let host = headers.get(http::header::HOST)?.to_str().ok()?;
     Some(host.to_owned())
 }
 
 /// A copy without hop-by-hop headers and those that `Connection` lists.
-pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub(crate) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all(http::header::CONNECTION)
         .iter()
@@ -173,7 +173,7 @@
         .collect();
     let passes = |name: &HeaderName| {
         let name = name.as_str();
-        !CONNECTION_HEADERS.contains(&name) && !named.iter().any(|other| other == name)
+        !HOP_BY_HOP_HEADERS.contains(&name) && !named.iter().any(|other| other == name)
     };
     let kept = headers.iter().filter(|(name, _)| passes(name));
     kept.map(|(name, value)| (name.clone(), value.clone()))
@@ -182,7 +182,7 @@
 
 /// Sets a header. A text that is no valid header value leaves the header out, and
 /// the server then refuses the request.
-fn insert_text(headers: &mut HeaderMap, name: &HeaderName, text: &Arc<str>) {
+fn insert_header(headers: &mut HeaderMap, name: &HeaderName, text: &Arc<str>) {
     headers.remove(name);
     if let Ok(value) = HeaderValue::from_str(text) {
         headers.insert(name.clone(), value);
--- a/crates/rookferry_relay/src/front.rs
+++ b/crates/rookferry_relay/src/request_handler.rs
@@ -30,7 +30,7 @@
 use crate::refusal::Refusal;
 use crate::relay::Relay;
 use crate::request::CallerRequest;
-use crate::request::host_of;
+use crate::request::host_header;
 use crate::stream;
 
 /// Admissions of one request, counting the repeats after a change of the
@@ -40,7 +40,7 @@
 /// keep-alive connections are closed with their next answer.
 const NEW_WORK_WHILE_LEAVING: Duration = Duration::from_millis(1_500);
 /// Outcome of serving an admitted request.
-pub(crate) enum Served {
+pub(crate) enum ServeOutcome {
     /// A server's answer, or the head of a stream.
     Answer(Response<Body>),
     /// No server answered.
@@ -79,9 +79,9 @@
             plain::serve(&relay, request).await
         };
         match served {
-            Served::Answer(answer) => return closing_if_leaving(&relay, answer),
-            Served::Refused(refusal) => return refuse(&relay, refusal, &head, received_at),
-            Served::Withdrawn => {}
+            ServeOutcome::Answer(answer) => return close_if_leaving(&relay, answer),
+            ServeOutcome::Refused(refusal) => return refuse(&relay, refusal, &head, received_at),
+            ServeOutcome::Withdrawn => {}
         }
     }
     refuse(&relay, relay.unknown_site(), &head, received_at)
@@ -89,15 +89,15 @@
 
 /// Waits until a newly started instance has a configuration and a list of servers.
 async fn await_start(relay: &Relay, longest: Duration) {
-    let mut news = relay.versions.subscribe();
-    let known = async { while relay.is_starting() && news.changed().await.is_ok() {} };
+    let mut changes = relay.versions.subscribe();
+    let known = async { while relay.is_starting() && changes.changed().await.is_ok() {} };
     // Admission checks the result, also after a timeout.
     let _ = tokio::time::timeout(longest, known).await;
 }
 
 /// Adds `Connection: close` while this instance stops, so that the caller's next
 /// connection goes to another instance.
-fn closing_if_leaving(relay: &Relay, mut response: Response<Body>) -> Response<Body> {
+fn close_if_leaving(relay: &Relay, mut response: Response<Body>) -> Response<Body> {
     if relay.is_leaving() {
         let close = http::HeaderValue::from_static("close");
         response
@@ -140,7 +140,7 @@
     // A configuration that may be outdated must neither admit nor refuse by its rules.
     let known = view.index.as_ref().filter(|_| relay.knows_site());
     let index = known.ok_or_else(|| relay.unknown_site())?;
-    let host = host_of(&inbound.headers)
+    let host = host_header(&inbound.headers)
         .ok_or(Refusal::BadRequest("the Host header is missing or invalid"))?;
     let route = index
         .route(&host, inbound.uri.path())
@@ -214,7 +214,7 @@
 }
 
 /// Logs and counts an answered request.
-pub(crate) fn note_served(relay: &Relay, request: &CallerRequest, status: u16, server: &str) {
+pub(crate) fn record_served(relay: &Relay, request: &CallerRequest, status: u16, server: &str) {
     let took = clock::since(request.received_at);
     let route = request.route.name.to_string();
     histogram!("rookferry_request_seconds", "route" => route.clone()).record(took.as_secs_f64());
--- a/crates/rookferry_relay/src/stream.rs
+++ b/crates/rookferry_relay/src/stream.rs
@@ -28,7 +28,6 @@
 use crate::event_log::Weight;
 use crate::event_log::millis;
 use crate::events::EventSplitter;
-use crate::front::Served;
 use crate::opener::Opener;
 use crate::opener::StreamTarget;
 use crate::path_keeper::PathKeeper;
@@ -36,7 +35,8 @@
 use crate::refusal::Refusal;
 use crate::relay::Relay;
 use crate::request::CallerRequest;
-use crate::request::end_to_end;
+use crate::request::end_to_end_headers;
+use crate::request_handler::ServeOutcome;
 use crate::upstream::UpstreamAnswer;
 
 /// State of a stream over all its runs.
@@ -57,18 +57,18 @@
 }
 
 /// Opens the first run of a stream and returns its answer's head.
-pub(crate) async fn serve(relay: &Arc<Relay>, request: CallerRequest) -> Served {
+pub(crate) async fn serve(relay: &Arc<Relay>, request: CallerRequest) -> ServeOutcome {
     relay.note_fresh(&request.service);
     let view = relay.view.load_full();
     let Some(index) = &view.index else {
-        return Served::Withdrawn;
+        return ServeOutcome::Withdrawn;
     };
     let service = index.service(&request.service).cloned();
     let Some(service) = service else {
-        return Served::Refused(Refusal::NoServer);
+        return ServeOutcome::Refused(Refusal::NoServer);
     };
     let Some(model) = service.model.clone() else {
-        return Served::Refused(Refusal::NoServer);
+        return ServeOutcome::Refused(Refusal::NoServer);
     };
     let target = StreamTarget {
         relay: relay.clone(),
@@ -134,9 +134,9 @@
 }
 
 /// The response with the answer's head and a body that polls the stream.
-fn respond(run: StreamRun) -> Served {
+fn respond(run: StreamRun) -> ServeOutcome {
     let status = run.answer.status;
-    let mut headers = end_to_end(&run.answer.headers);
+    let mut headers = end_to_end_headers(&run.answer.headers);
     headers.remove(http::header::CONTENT_LENGTH);
     let events = stream::unfold(run, |mut run| async move {
         let item = run.next().await?;
@@ -146,7 +146,7 @@
         Response::new(UnsyncBoxBody::new(StreamBody::new(Box::pin(events))));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
-    Served::Answer(response)
+    ServeOutcome::Answer(response)
 }
 
 /// What happened next on a stream.
@@ -164,7 +164,7 @@
     /// The first engine is unreachable, and no event arrives.
     FirstLost,
     /// The request's deadline has passed.
-    TimeOver,
+    TimedOut,
 }
 
 impl StreamRun {
@@ -184,7 +184,7 @@
                     self.note_ended();
                     return None;
                 }
-                Step::TimeOver => return Some(self.cut("the deadline passed")),
+                Step::TimedOut => return Some(self.cut("the deadline passed")),
                 Step::Costly => {
                     if !self.resume("a lost stage can't be replaced soon").await {
                         self.keeper.keep_run();
@@ -234,7 +234,7 @@
                 }
                 None => Step::Ended,
             },
-            () = clock::sleep_until(deadline) => Step::TimeOver,
+            () = clock::sleep_until(deadline) => Step::TimedOut,
             watched = self.keeper.watch() => match watched {
                 Watched::Fine => Step::Nothing,
                 Watched::FirstLost => Step::FirstLost,
--- a/crates/rookferry_relay/src/upstream.rs
+++ b/crates/rookferry_relay/src/upstream.rs
@@ -24,7 +24,7 @@
 use crate::pool::Connection;
 use crate::pool::UpstreamPool;
 use crate::protocol::HeaderNames;
-use crate::request::end_to_end;
+use crate::request::end_to_end_headers;
 
 /// Pooled connections that may turn out closed before a request fails.
 const MAX_STALE_CONNECTIONS: usize = 4;
@@ -194,7 +194,7 @@
         let body = Full::new(self.body).map_err(|never| match never {});
         let mut response: Response<Body> = Response::new(UnsyncBoxBody::new(body));
         *response.status_mut() = self.status;
-        *response.headers_mut() = end_to_end(&self.headers);
+        *response.headers_mut() = end_to_end_headers(&self.headers);
         // hyper sets the length of the body; a 304 states that of another body.
         if self.status != StatusCode::NOT_MODIFIED {
             response.headers_mut().remove(http::header::CONTENT_LENGTH);
