--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -154,7 +154,7 @@
         now: Instant,
     ) -> WaitEnds {
         let backoffs = self.beliefs.backoffs();
-        let book = self.permits.book();
+        let book = self.permits.tracker();
         let mut wait = WaitEnds::default();
         for server in table.of(&service.name) {
             wait.ends.extend(backoffs.until(server.key, now));
@@ -175,7 +175,7 @@
             health: self.beliefs.health(),
             backoffs: self.beliefs.backoffs(),
             departed: self.beliefs.departed(),
-            book: self.permits.book(),
+            book: self.permits.tracker(),
             urgency,
         }
     }
--- a/crates/rookferry_relay/src/exchange.rs
+++ b/crates/rookferry_relay/src/exchange.rs
@@ -46,7 +46,7 @@
 enum LimitNotice {
     /// The header is invalid.
     #[default]
-    Unclear,
+    Invalid,
     /// No limit is stated.
     None,
     Named(RequestRate),
@@ -75,23 +75,23 @@
     ) -> Result<UpstreamAnswer, UpstreamError> {
         let server = upstream.server;
         let may_send = || {
-            self.check_wanted(server, purpose)?;
+            self.check_sendable(server, purpose)?;
             may_send().then_some(()).ok_or(UpstreamError::Withdrawn)?;
-            self.note_sent(server, purpose);
+            self.record_sent(server, purpose);
             Ok(())
         };
-        self.check_wanted(server, purpose)?;
+        self.check_sendable(server, purpose)?;
         let sent_at = clock::now();
         let mut answer = self.pool.send(upstream, request, may_send).await?;
         let notice = self.read_notice(server, answer.status, &answer.headers);
         answer.backoff = notice.backoff;
-        self.take_notice(server, notice);
-        self.take_limit(server, notice.limit, purpose, sent_at);
+        self.apply_notice(server, notice);
+        self.apply_limit(server, notice.limit, purpose, sent_at);
         Ok(answer)
     }
 
     /// Fails if a backoff holds for the server or a permit is missing.
-    fn check_wanted(&self, server: ServerKey, purpose: Purpose<'_>) -> Result<(), UpstreamError> {
+    fn check_sendable(&self, server: ServerKey, purpose: Purpose<'_>) -> Result<(), UpstreamError> {
         if let Some(left) = self.beliefs.backoff_left(server) {
             let addr = server.addr;
             return Err(UpstreamError::BackedOff { addr, left });
@@ -99,7 +99,7 @@
         let Purpose::CallerRequest(permits) = purpose else {
             return Ok(());
         };
-        let missing = permits.missing(&self.beliefs.limits(), clock::now());
+        let missing = permits.missing_permit(&self.beliefs.limits(), clock::now());
         match missing {
             Some(limited) => Err(UpstreamError::NotPermitted { addr: limited.addr }),
             None => Ok(()),
@@ -108,19 +108,19 @@
 
     /// Records a send without a permit, which is reported to the granter once the
     /// server has a limit.
-    fn note_sent(&self, server: ServerKey, purpose: Purpose<'_>) {
+    fn record_sent(&self, server: ServerKey, purpose: Purpose<'_>) {
         match purpose {
-            Purpose::OwnCall => self.permits.book().note_sent(server, clock::now()),
-            Purpose::CallerRequest(permits) => self.note_passed(permits),
+            Purpose::OwnCall => self.permits.tracker().note_sent(server, clock::now()),
+            Purpose::CallerRequest(permits) => self.record_unpermitted(permits),
         }
     }
 
     /// Records that a request passes the servers of its path without a valid permit.
-    pub(crate) fn note_passed(&self, permits: &PathPermits) {
+    pub(crate) fn record_unpermitted(&self, permits: &PathPermits) {
         let now = clock::now();
-        let mut book = self.permits.book();
+        let mut tracker = self.permits.tracker();
         for server in permits.unpermitted(now) {
-            book.note_sent(server, now);
+            tracker.note_sent(server, now);
         }
     }
 
@@ -155,38 +155,38 @@
         let mut notice = ServerNotice::default();
         match self.protocol.says_leaving(headers) {
             Ok(is_leaving) => notice.is_leaving = is_leaving,
-            Err(error) => self.note_unreadable(server, &error),
+            Err(error) => self.log_invalid_notice(server, &error),
         }
         match self.protocol.named_limit(headers) {
             Ok(named) => {
                 let rate = named.and_then(RequestRate::bounded);
                 notice.limit = rate.map_or(LimitNotice::None, LimitNotice::Named);
             }
-            Err(error) => self.note_unreadable(server, &error),
+            Err(error) => self.log_invalid_notice(server, &error),
         }
         // With other statuses `Retry-After` may be meant for the caller.
         if status == StatusCode::SERVICE_UNAVAILABLE {
             match retry_after(headers) {
                 Ok(backoff) => notice.backoff = backoff,
-                Err(error) => self.note_unreadable(server, &error),
+                Err(error) => self.log_invalid_notice(server, &error),
             }
         }
         notice
     }
 
     /// Applies a notice's backoff and departure.
-    fn take_notice(&self, server: ServerKey, notice: ServerNotice) {
+    fn apply_notice(&self, server: ServerKey, notice: ServerNotice) {
         if let Some(asked) = notice.backoff {
             self.back_off(server, asked);
         }
         if notice.is_leaving {
-            self.server_leaves(server);
+            self.record_leaving(server);
         }
     }
 
     /// Applies a notice's limit. Answers to the relay's own calls may omit a limit
     /// that is in force.
-    fn take_limit(
+    fn apply_limit(
         &self,
         server: ServerKey,
         limit: LimitNotice,
@@ -207,7 +207,7 @@
             _ => None,
         };
         if let Some(change) = change {
-            self.note_limit(server, change, "own");
+            self.record_limit_change(server, change, "own");
         }
     }
 
@@ -224,7 +224,7 @@
 
     /// Records that a server stated it is leaving. Its directory entry shows that
     /// later or never.
-    fn server_leaves(&self, server: ServerKey) {
+    fn record_leaving(&self, server: ServerKey) {
         if !self.beliefs.note_leaving(server) {
             return;
         }
@@ -240,7 +240,7 @@
     }
 
     /// Logs a header about the server that can't be parsed.
-    fn note_unreadable(&self, server: ServerKey, error: &dyn std::error::Error) {
+    fn log_invalid_notice(&self, server: ServerKey, error: &dyn std::error::Error) {
         if let Some(log) = self.events.line(Weight::Notable) {
             warn!(log, "health: a server's notice header is invalid";
                 "event" => "notice_unreadable", "server" => %server.addr, "cause" => %error);
--- a/crates/rookferry_relay/src/path_keeper/mod.rs
+++ b/crates/rookferry_relay/src/path_keeper/mod.rs
@@ -43,7 +43,7 @@
 /// Age of an engine's last liveness evidence, from any stream, from which a stalled
 /// stream has it probed.
 const SILENT_AFTER: Duration = Duration::from_millis(60);
-/// The same before the first event, where reading the prompt is the likelier cause. A
+/// The same before the first event, where prefill is the likelier cause. A
 /// heartbeat of the instances that share the engines fits in.
 const SILENT_BEFORE_FIRST: Duration = Duration::from_millis(200);
 /// How long a stream may wait for its first event before its path is probed.
--- a/crates/rookferry_relay/src/path_keeper/repair.rs
+++ b/crates/rookferry_relay/src/path_keeper/repair.rs
@@ -216,7 +216,7 @@
         let call = protocol.repath_call(&self.request.attempt, path);
         let upstream = self.relay.upstream(path.first().server, &self.service);
         let request = call.request(upstream.server.addr);
-        self.relay.note_passed(permits);
+        self.relay.record_unpermitted(permits);
         let answer = self.relay.call(upstream, request, REPATH_TIMEOUT).await;
         let answer = match answer {
             Ok(answer) => answer,
--- a/crates/rookferry_relay/src/peers/heartbeat.rs
+++ b/crates/rookferry_relay/src/peers/heartbeat.rs
@@ -217,12 +217,12 @@
         match postcard::from_bytes::<PeerDatagram<Heartbeat>>(bytes) {
             Ok(PeerDatagram::Heartbeat(beat)) => self.take_heartbeat(beat, from),
             Ok(PeerDatagram::Ask(ask)) => {
-                let answer = self.relay.answer_ask(&ask);
+                let answer = self.relay.answer_permit_request(&ask);
                 let answer = PeerDatagram::Answer(ask.number, answer);
                 self.relay.permits.send(from, &answer);
             }
             Ok(PeerDatagram::Answer(number, answer)) => {
-                self.relay.permits.answered(number, answer);
+                self.relay.permits.deliver_answer(number, answer);
             }
             // Cut short, or another version's.
             Err(_) => counter!("rookferry_heartbeats_unreadable_total").increment(1),
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/intake.rs
@@ -130,8 +130,9 @@
                 continue;
             }
             if let Some(change) = beliefs.update_limits(|limits| limits.hear(*seen, now)) {
-                self.relay.note_limit(seen.server, change, &beat.instance);
-                self.relay.tell_sent(seen.server);
+                self.relay
+                    .record_limit_change(seen.server, change, &beat.instance);
+                self.relay.report_sent(seen.server);
             }
         }
     }
--- a/crates/rookferry_relay/src/permits.rs
+++ b/crates/rookferry_relay/src/permits.rs
@@ -44,21 +44,21 @@
 
 /// Timeout for an answer. Between domains of a site it takes a millisecond or two,
 /// and more where the answering instance is short of CPU.
-const PATIENCE: Duration = Duration::from_millis(80);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(80);
 /// Instances that are asked for one permit: the granter, and a second one if the first
 /// doesn't answer or isn't the granter.
-const MAX_ASKED: usize = 2;
+const MAX_INSTANCES_ASKED: usize = 2;
 /// Age from which an instance grants; by then it has received which other instances
 /// could be the granter.
-const GRANTS_AFTER: Duration = Duration::from_secs(1);
+const MIN_GRANTER_AGE: Duration = Duration::from_secs(1);
 /// The refusal where no granter answered.
-const NOBODY_GRANTS: PermitRefusal = PermitRefusal {
+const NO_GRANTER: PermitRefusal = PermitRefusal {
     ask_again_ms: 150,
     spread_ms: 1_000,
 };
 /// Most unpermitted sends that are reported in one request; older ones would soon
 /// stop counting against the limit.
-const MAX_SENT_TOLD: usize = 256;
+const MAX_SENT_REPORTED: usize = 256;
 
 /// The servers of a request's path, and the permits for those with a limit.
 #[derive(Clone, Debug, Default)]
@@ -69,7 +69,7 @@
 
 impl PathPermits {
     /// A server with a limit and without a valid permit, if there is one.
-    pub(crate) fn missing(&self, limits: &ServerLimits, now: Instant) -> Option<ServerKey> {
+    pub(crate) fn missing_permit(&self, limits: &ServerLimits, now: Instant) -> Option<ServerKey> {
         let allows = |server| self.permits.iter().any(|one| one.allows(server, now));
         let mut limited = self
             .servers
@@ -90,9 +90,9 @@
 pub(crate) struct Permits {
     socket: OnceLock<Arc<UdpSocket>>,
     last_number: AtomicU64,
-    waiting: Mutex<HashMap<u64, oneshot::Sender<PermitAnswer>>>,
+    pending: Mutex<HashMap<u64, oneshot::Sender<PermitAnswer>>>,
     granters: Mutex<HashMap<ServerKey, Granter>>,
-    book: Mutex<PermitBook>,
+    tracker: Mutex<PermitBook>,
 }
 
 /// This instance's granter for one server.
@@ -105,21 +105,21 @@
 
 /// A refused permit.
 #[derive(Clone, Copy, Debug)]
-struct Refused {
+struct RefusedPermit {
     /// Address of the refusing instance; none where no granter answered.
     granter: Option<SocketAddr>,
     refusal: PermitRefusal,
 }
 
 /// Registration of a request that awaits its answer; removed on drop.
-struct Waiting<'a> {
+struct PendingRequest<'a> {
     permits: &'a Permits,
     number: u64,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        lock(&self.permits.waiting).remove(&self.number);
+        lock(&self.permits.pending).remove(&self.number);
     }
 }
 
@@ -130,9 +130,9 @@
         Self {
             socket: OnceLock::new(),
             last_number: AtomicU64::new(first),
-            waiting: Mutex::default(),
+            pending: Mutex::default(),
             granters: Mutex::default(),
-            book: Mutex::default(),
+            tracker: Mutex::default(),
         }
     }
 
@@ -142,15 +142,15 @@
     }
 
     /// Locks the record of refused permits and unpermitted sends.
-    pub(crate) fn book(&self) -> MutexGuard<'_, PermitBook> {
-        lock(&self.book)
+    pub(crate) fn tracker(&self) -> MutexGuard<'_, PermitBook> {
+        lock(&self.tracker)
     }
 
     /// Passes a received answer to the request with its number.
-    pub(crate) fn answered(&self, number: u64, answer: PermitAnswer) {
-        if let Some(waiting) = lock(&self.waiting).remove(&number) {
+    pub(crate) fn deliver_answer(&self, number: u64, answer: PermitAnswer) {
+        if let Some(pending) = lock(&self.pending).remove(&number) {
             // The receiver may have timed out.
-            let _ = waiting.send(answer);
+            let _ = pending.send(answer);
         }
     }
 
@@ -160,15 +160,22 @@
     }
 
     /// Asks another instance; none if it doesn't answer in time.
-    async fn ask(&self, to: SocketAddr, ask: &PermitAsk) -> Option<PermitAnswer> {
+    async fn request_from(
+        &self,
+        to: SocketAddr,
+        permit_request: &PermitAsk,
+    ) -> Option<PermitAnswer> {
         let (sender, receiver) = oneshot::channel();
-        lock(&self.waiting).insert(ask.number, sender);
-        let _waiting = Waiting {
+        lock(&self.pending).insert(permit_request.number, sender);
+        let _pending = PendingRequest {
             permits: self,
-            number: ask.number,
+            number: permit_request.number,
         };
-        self.send(to, &PeerDatagram::Ask(ask.clone()));
-        tokio::time::timeout(PATIENCE, receiver).await.ok()?.ok()
+        self.send(to, &PeerDatagram::Ask(permit_request.clone()));
+        tokio::time::timeout(ANSWER_TIMEOUT, receiver)
+            .await
+            .ok()?
+            .ok()
     }
 
     /// Sends a datagram; a failure to send counts as a lost datagram.
@@ -193,14 +200,14 @@
         let mut permits = Vec::new();
         for server in &servers {
             if let Some(rate) = self.beliefs.limits().of(*server) {
-                permits.push(self.permit(request, *server, rate).await?);
+                permits.push(self.request_permit(request, *server, rate).await?);
             }
         }
         Some(PathPermits { servers, permits })
     }
 
     /// Requests one permit, unless a recent refusal still holds.
-    async fn permit(
+    async fn request_permit(
         &self,
         request: &CallerRequest,
         server: ServerKey,
@@ -209,36 +216,36 @@
         let asked_at = clock::now();
         let refused = self
             .permits
-            .book()
+            .tracker()
             .refused_until(server, request.urgency, asked_at);
         if refused.is_some() {
             return None;
         }
-        let mut ask = self.question(server, rate, asked_at);
-        ask.urgency = Some(request.urgency);
-        let outcome = self.ask_granters(ask).await;
+        let mut permit_request = self.new_permit_request(server, rate, asked_at);
+        permit_request.urgency = Some(request.urgency);
+        let outcome = self.request_from_granters(permit_request).await;
         let Err(refused) = outcome else {
             counter!("rookferry_permits_total", "outcome" => "granted").increment(1);
             return Some(Permit::asked_at(server, asked_at));
         };
         counter!("rookferry_permits_total", "outcome" => "refused").increment(1);
-        self.note_refused(request, server, rate, refused);
+        self.record_refused_permit(request, server, rate, refused);
         None
     }
 
     /// Records and logs a refused permit.
-    fn note_refused(
+    fn record_refused_permit(
         &self,
         request: &CallerRequest,
         server: ServerKey,
         rate: RequestRate,
-        refused: Refused,
+        refused: RefusedPermit,
     ) {
-        let Refused { granter, refusal } = refused;
+        let RefusedPermit { granter, refusal } = refused;
         let chance = rand::random();
         let now = clock::now();
         self.permits
-            .book()
+            .tracker()
             .note_refused(server, request.urgency, refusal, chance, now);
         if let Some(log) = self.events.line(Weight::Routine) {
             let limits = self.beliefs.limits();
@@ -253,10 +260,10 @@
 
     /// Builds a message that reports unpermitted sends; without an urgency it requests
     /// no permit.
-    fn question(&self, server: ServerKey, rate: RequestRate, now: Instant) -> PermitAsk {
+    fn new_permit_request(&self, server: ServerKey, rate: RequestRate, now: Instant) -> PermitAsk {
         let age = self.beliefs.limits().age(server, now);
-        let mut sent_ms_ago = self.permits.book().take_sent(server, now);
-        sent_ms_ago.truncate(MAX_SENT_TOLD);
+        let mut sent_ms_ago = self.permits.tracker().take_sent(server, now);
+        sent_ms_ago.truncate(MAX_SENT_REPORTED);
         PermitAsk {
             number: self.permits.last_number.fetch_add(1, Ordering::Relaxed),
             seen: LimitSeen {
@@ -270,34 +277,34 @@
     }
 
     /// Sends a permit request to the granter, which may be this instance.
-    async fn ask_granters(&self, ask: PermitAsk) -> Result<(), Refused> {
-        let server = ask.seen.server;
-        let domain = self.domain_of(server);
+    async fn request_from_granters(&self, permit_request: PermitAsk) -> Result<(), RefusedPermit> {
+        let server = permit_request.seen.server;
+        let domain = self.granting_domain(server);
         let granters = lock(&self.peers).permit_granters(server, &domain, clock::now());
         let mut granters = granters.into_iter();
         let mut next = granters.next();
-        for _ in 0..MAX_ASKED {
+        for _ in 0..MAX_INSTANCES_ASKED {
             let Some(granter) = next else {
                 break;
             };
             let answer = if granter == self.settings.listen.peers {
-                Some(self.answer_ask(&ask))
+                Some(self.answer_permit_request(&permit_request))
             } else {
-                self.permits.ask(granter, &ask).await
+                self.permits.request_from(granter, &permit_request).await
             };
             match answer {
                 Some(PermitAnswer::Granted) => return Ok(()),
                 Some(PermitAnswer::Refused(refusal)) => {
                     let granter = Some(granter);
-                    return Err(Refused { granter, refusal });
+                    return Err(RefusedPermit { granter, refusal });
                 }
                 Some(PermitAnswer::Elsewhere(other)) => next = other,
                 None => next = granters.next(),
             }
         }
-        Err(Refused {
+        Err(RefusedPermit {
             granter: None,
-            refusal: NOBODY_GRANTS,
+            refusal: NO_GRANTER,
         })
     }
 
@@ -305,16 +312,16 @@
     ///
     /// The limit that it carries is taken over first. `Elsewhere` is returned if
     /// another instance is the granter, or this one started too recently to grant.
-    pub(crate) fn answer_ask(&self, ask: &PermitAsk) -> PermitAnswer {
-        let server = ask.seen.server;
+    pub(crate) fn answer_permit_request(&self, permit_request: &PermitAsk) -> PermitAnswer {
+        let server = permit_request.seen.server;
         let now = clock::now();
         let change = self
             .beliefs
-            .update_limits(|limits| limits.hear(ask.seen, now));
+            .update_limits(|limits| limits.hear(permit_request.seen, now));
         if let Some(change) = change {
-            self.note_limit(server, change, "question");
+            self.record_limit_change(server, change, "question");
         }
-        let domain = self.domain_of(server);
+        let domain = self.granting_domain(server);
         let (first, share) = {
             let peers = lock(&self.peers);
             let first = peers.permit_granters(server, &domain, now).first().copied();
@@ -323,18 +330,24 @@
         if first != Some(self.settings.listen.peers) {
             return PermitAnswer::Elsewhere(first);
         }
-        if self.age() < GRANTS_AFTER {
+        if self.age() < MIN_GRANTER_AGE {
             return PermitAnswer::Elsewhere(None);
         }
         let Some(rate) = self.beliefs.limits().of(server) else {
             return PermitAnswer::Granted;
         };
-        self.grant(ask, rate, share, now)
+        self.grant(permit_request, rate, share, now)
     }
 
     /// Counts the reported sends, and grants a permit if one is requested.
-    fn grant(&self, ask: &PermitAsk, rate: RequestRate, share: f64, now: Instant) -> PermitAnswer {
-        let server = ask.seen.server;
+    fn grant(
+        &self,
+        permit_request: &PermitAsk,
+        rate: RequestRate,
+        share: f64,
+        now: Instant,
+    ) -> PermitAnswer {
+        let server = permit_request.seen.server;
         let mut granters = lock(&self.permits.granters);
         let known_share = granters.get(&server).map(|granter| granter.share);
         let granter = granters.entry(server).or_insert_with(|| Granter {
@@ -343,11 +356,11 @@
         });
         granter.share = share;
         granter.permits.set_rate(rate);
-        for ago_ms in &ask.sent_ms_ago {
+        for ago_ms in &permit_request.sent_ms_ago {
             let ago = Duration::from_millis(u64::from(*ago_ms));
             granter.permits.note_sent(ago, now);
         }
-        let taken = ask
+        let taken = permit_request
             .urgency
             .map(|urgency| granter.permits.take(urgency, share, now));
         drop(granters);
@@ -366,7 +379,7 @@
 
     /// The failure domain whose instances grant a server's permits: the server's own,
     /// or this instance's for an unlisted server.
-    fn domain_of(&self, server: ServerKey) -> DomainId {
+    fn granting_domain(&self, server: ServerKey) -> DomainId {
         let view = self.view.load();
         let entry = view.server(server);
         let home = &self.settings.domain;
@@ -374,8 +387,8 @@
     }
 
     /// Logs and advertises a changed limit; `source` names where it came from.
-    pub(crate) fn note_limit(&self, server: ServerKey, change: LimitChange, source: &str) {
-        self.permits.book().forget(server);
+    pub(crate) fn record_limit_change(&self, server: ServerKey, change: LimitChange, source: &str) {
+        self.permits.tracker().forget(server);
         let rate = match change {
             LimitChange::Named(rate) => Some(rate),
             LimitChange::Lifted => None,
@@ -391,18 +404,18 @@
     }
 
     /// Reports to a server's granter what this instance recently sent without a permit.
-    pub(crate) fn tell_sent(self: &Arc<Self>, server: ServerKey) {
+    pub(crate) fn report_sent(self: &Arc<Self>, server: ServerKey) {
         let Some(rate) = self.beliefs.limits().of(server) else {
             return;
         };
-        let ask = self.question(server, rate, clock::now());
-        if ask.sent_ms_ago.is_empty() {
+        let permit_request = self.new_permit_request(server, rate, clock::now());
+        if permit_request.sent_ms_ago.is_empty() {
             return;
         }
         let relay = self.clone();
         tokio::spawn(async move {
             // A lost report is not repeated: the sends soon stop counting.
-            let _ = relay.ask_granters(ask).await;
+            let _ = relay.request_from_granters(permit_request).await;
         });
     }
 }
--- a/crates/rookferry_relay/src/plain.rs
+++ b/crates/rookferry_relay/src/plain.rs
@@ -55,7 +55,7 @@
 
 /// Serves a request, with up to [`MAX_UNRUN_TRIES`] tries on different servers.
 pub(crate) async fn serve(relay: &Arc<Relay>, request: CallerRequest) -> ServeOutcome {
-    relay.note_fresh(&request.service);
+    relay.count_new_request(&request.service);
     let view = relay.view.load_full();
     let (Some(index), Some(table)) = (&view.index, &view.servers) else {
         return ServeOutcome::Withdrawn;
--- a/crates/rookferry_relay/src/retries.rs
+++ b/crates/rookferry_relay/src/retries.rs
@@ -19,25 +19,25 @@
 
 /// Time after the start in which the number of live instances is incomplete:
 /// heartbeats from other domains take up to a second or two.
-const COUNTING_INSTANCES: Duration = Duration::from_secs(3);
+const INSTANCE_DISCOVERY_TIME: Duration = Duration::from_secs(3);
 /// Least number of instances that the budget is divided by during that time. The
 /// first heartbeats of peers report the actual number.
-const ASSUMED_INSTANCES: usize = 64;
+const MIN_ASSUMED_INSTANCES: usize = 64;
 
 impl Relay {
     /// Counts the first send of a request towards the service's budget.
-    pub(crate) fn note_fresh(&self, service: &ServiceId) {
+    pub(crate) fn count_new_request(&self, service: &ServiceId) {
         self.with_retries(service, |window| window.note_fresh(clock::now()));
     }
 
     /// Takes one repeat out of the budget; false if none is left.
     pub(crate) fn take_retry(&self, request: &CallerRequest) -> bool {
         let service = &request.service;
-        let heard = self.instances.load(Ordering::Relaxed);
-        let instances = if self.age() < COUNTING_INSTANCES {
-            heard.max(ASSUMED_INSTANCES)
+        let live = self.instances.load(Ordering::Relaxed);
+        let instances = if self.age() < INSTANCE_DISCOVERY_TIME {
+            live.max(MIN_ASSUMED_INSTANCES)
         } else {
-            heard
+            live
         };
         let is_taken = self.with_retries(service, |window| window.take(clock::now(), instances));
         let outcome = if is_taken { "taken" } else { "denied" };
--- a/crates/rookferry_relay/src/stream.rs
+++ b/crates/rookferry_relay/src/stream.rs
@@ -58,7 +58,7 @@
 
 /// Opens the first run of a stream and returns its answer's head.
 pub(crate) async fn serve(relay: &Arc<Relay>, request: CallerRequest) -> ServeOutcome {
-    relay.note_fresh(&request.service);
+    relay.count_new_request(&request.service);
     let view = relay.view.load_full();
     let Some(index) = &view.index else {
         return ServeOutcome::Withdrawn;
