--- a/crates/rookferry_relay/src/lib.rs
+++ b/crates/rookferry_relay/src/lib.rs
@@ -17,7 +17,7 @@
 mod broken_runs;
 mod engines;
 mod event_log;
-mod events;
+mod event_splitter;
 mod exchange;
 mod load;
 mod mutex;
--- a/crates/rookferry_relay/src/load.rs
+++ b/crates/rookferry_relay/src/load.rs
@@ -29,7 +29,7 @@
     }
 
     /// Counts a request at servers, each with the tokens in its cache.
-    pub(crate) fn enter(&self, parts: Vec<(ServerKey, f64)>) -> LoadGuard {
+    pub(crate) fn track(&self, parts: Vec<(ServerKey, f64)>) -> LoadGuard {
         let mut loads = lock(&self.inner);
         for (server, tokens) in &parts {
             *loads.entry(*server).or_default() += ServerLoad {
--- a/crates/rookferry_relay/src/opener/mod.rs
+++ b/crates/rookferry_relay/src/opener/mod.rs
@@ -204,11 +204,11 @@
         self.note_failed(&keeper.describe(), &error.to_string());
         self.avoided.push(first);
         let now = clock::now();
-        if error.is_own_limit() {
+        if error.is_connection_limit() {
             relay.beliefs.health().turned_away(first, now);
             return true;
         }
-        if error.is_held_here() {
+        if error.is_local_refusal() {
             return true;
         }
         if error.is_unsent() {
@@ -217,7 +217,7 @@
         }
         self.arrived += 1;
         self.runs += 1;
-        if error.is_break() {
+        if error.may_be_crash() {
             let broken = BrokenAt {
                 server: first,
                 run: keeper.run(),
@@ -366,7 +366,7 @@
                         }
                         Watched::Costly => "a lost stage can't be replaced soon",
                     };
-                    break Err(UpstreamError::GivenUp {
+                    break Err(UpstreamError::Abandoned {
                         addr: first.addr(),
                         message: message.to_owned(),
                     });
@@ -388,7 +388,7 @@
     ) -> Opened {
         let names = self.target.relay.protocol.names();
         if !answer.is_for(names, &self.target.request.attempt) {
-            return Opened::Failed(UpstreamError::Crossed {
+            return Opened::Failed(UpstreamError::WrongAttempt {
                 addr: server.addr(),
             });
         }
--- a/crates/rookferry_relay/src/path_keeper/mod.rs
+++ b/crates/rookferry_relay/src/path_keeper/mod.rs
@@ -144,7 +144,7 @@
         } = target;
         let now = clock::now();
         Self {
-            load: enter(relay, request, &path),
+            load: track_load(relay, request, &path),
             signs: signs(relay, &path),
             fleet: relay.fleet_changes.subscribe(),
             relay: relay.clone(),
@@ -356,7 +356,7 @@
 }
 
 /// Counts the request at the engines of its path.
-fn enter(relay: &Relay, request: &CallerRequest, path: &PipelinePath) -> LoadGuard {
+fn track_load(relay: &Relay, request: &CallerRequest, path: &PipelinePath) -> LoadGuard {
     let view = relay.view.load();
     // An engine caches a token only for the layers that it runs.
     let part = |stage: &PathStage| {
@@ -368,7 +368,7 @@
         .stages()
         .iter()
         .map(|stage| (stage.server, request.tokens() * part(stage)));
-    relay.beliefs.loads.enter(parts.collect())
+    relay.beliefs.loads.track(parts.collect())
 }
 
 /// The engines of a path, each with the same time.
--- a/crates/rookferry_relay/src/path_keeper/repair.rs
+++ b/crates/rookferry_relay/src/path_keeper/repair.rs
@@ -20,9 +20,9 @@
 use super::STALL_AFTER;
 use super::STALL_AGAIN;
 use super::Watched;
-use super::enter;
 use super::joined;
 use super::signs;
+use super::track_load;
 use crate::engines::StageState;
 use crate::event_log::Weight;
 use crate::event_log::millis;
@@ -87,7 +87,7 @@
             match self.move_to(&path, &permits).await {
                 Moved::Done => {
                     self.note_repaired(&replaced, &path);
-                    self.load = enter(&self.relay, &self.request, &path);
+                    self.load = track_load(&self.relay, &self.request, &path);
                     self.signs = signs(&self.relay, &path);
                     self.join(&path, moved_at);
                     self.path = path;
--- a/crates/rookferry_relay/src/placement/orders.rs
+++ b/crates/rookferry_relay/src/placement/orders.rs
@@ -180,7 +180,7 @@
         let answer = self.relay.call(upstream, request, ORDER_TIMEOUT).await;
         // An engine is seldom ordered again, and the one that orders thousands would
         // keep a connection to each, most of its memory.
-        self.relay.pool.close_last(server.key);
+        self.relay.pool.close_idle(server.key);
         let outcome = match &answer {
             Ok(answer) => answer.status.as_str().to_owned(),
             Err(error) => error.to_string(),
--- a/crates/rookferry_relay/src/plain.rs
+++ b/crates/rookferry_relay/src/plain.rs
@@ -110,7 +110,7 @@
                 }
                 break;
             }
-            Tried::Failed(error) if error.is_held_here() => {
+            Tried::Failed(error) if error.is_local_refusal() => {
                 note_failed(relay, &request, server, &error.to_string());
             }
             Tried::Failed(error) if error.is_unsent() => {
@@ -121,7 +121,7 @@
                 has_run += 1;
                 arrived += 1;
                 note_failed(relay, &request, server, &error.to_string());
-                if error.is_break() {
+                if error.may_be_crash() {
                     let broken = BrokenAt {
                         server: server.key,
                         run: rand::random(),
@@ -223,7 +223,7 @@
     let _load = relay
         .beliefs
         .loads
-        .enter(vec![(server.key, request.tokens())]);
+        .track(vec![(server.key, request.tokens())]);
     let outbound = request.to_server(names, &server.id, None);
     let upstream = relay.upstream(server.key, service);
     let may_send = || may_send(relay, request, &[server.key]);
@@ -231,7 +231,7 @@
         let purpose = Purpose::CallerRequest(permits);
         let answer = relay.send(upstream, outbound, purpose, may_send).await?;
         if !answer.is_for(names, &request.attempt) {
-            return Err(UpstreamError::Crossed {
+            return Err(UpstreamError::WrongAttempt {
                 addr: server.addr(),
             });
         }
--- a/crates/rookferry_relay/src/pool.rs
+++ b/crates/rookferry_relay/src/pool.rs
@@ -35,11 +35,11 @@
 /// `TCP_USER_TIMEOUT`: how long sent bytes may stay unacknowledged before the
 /// connection counts as dead. It covers more lost packets in a row than
 /// [`CONNECT_TIMEOUT`].
-const UNACKNOWLEDGED_MS: u32 = 1_500;
+const TCP_USER_TIMEOUT_MS: u32 = 1_500;
 /// How long an idle connection is retained if the server states no timeout.
-const DEFAULT_KEEP: Duration = Duration::from_secs(8);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(8);
 /// How long before the stated timeout a connection is no longer used.
-const KEEP_MARGIN: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
 
 /// Why there is no connection; no byte of a request has left.
 #[derive(Debug, Snafu)]
@@ -84,11 +84,11 @@
 
 /// Counts an open connection until its task ends.
 #[derive(Debug)]
-struct OpenSlot {
+struct OpenConnectionGuard {
     open: Arc<AtomicUsize>,
 }
 
-impl Drop for OpenSlot {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.open.fetch_sub(1, Ordering::Relaxed);
     }
@@ -120,10 +120,10 @@
             pool.open.fetch_sub(1, Ordering::Relaxed);
             return Err(ConnectError::Full { addr, limit });
         }
-        let slot = OpenSlot {
+        let guard = OpenConnectionGuard {
             open: pool.open.clone(),
         };
-        let sender = connect(addr, slot).await?;
+        let sender = connect(addr, guard).await?;
         Ok(Connection {
             sender,
             is_reused: false,
@@ -132,7 +132,7 @@
     }
 
     /// Closes the idle connection to a server that was last returned, if any.
-    pub(crate) fn close_last(&self, server: ServerKey) {
+    pub(crate) fn close_idle(&self, server: ServerKey) {
         if let Some(pool) = self.servers.load().get(&server) {
             // Dropping the sender closes the connection.
             drop(lock(&pool.idle).pop());
@@ -141,7 +141,7 @@
 
     /// Drops expired idle connections, and the pools of servers for which `is_known`
     /// is false.
-    pub(crate) fn tidy(&self, now: Instant, is_known: impl Fn(ServerKey) -> bool) {
+    pub(crate) fn evict(&self, now: Instant, is_known: impl Fn(ServerKey) -> bool) {
         let servers = self.servers.load();
         for pool in servers.values() {
             lock(&pool.idle).retain(|idle| idle.use_until > now);
@@ -188,13 +188,13 @@
 impl Connection {
     /// Returns the connection to the pool, as the answer's headers allow; the answer
     /// must have been read whole.
-    pub(crate) fn keep(self, headers: &HeaderMap) {
-        let keep = keep_time(headers);
-        if keep.is_zero() || self.sender.is_closed() {
+    pub(crate) fn return_to_pool(self, headers: &HeaderMap) {
+        let reusable_for = keep_alive(headers);
+        if reusable_for.is_zero() || self.sender.is_closed() {
             return;
         }
         let idle = Idle {
-            use_until: clock::now() + keep,
+            use_until: clock::now() + reusable_for,
             sender: self.sender,
         };
         lock(&self.pool.idle).push(idle);
@@ -202,7 +202,7 @@
 }
 
 /// How long the connection may be reused by an answer's headers; zero if not at all.
-fn keep_time(headers: &HeaderMap) -> Duration {
+fn keep_alive(headers: &HeaderMap) -> Duration {
     let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
     let is_close = text(http::header::CONNECTION)
         .is_some_and(|value| value.to_ascii_lowercase().contains("close"));
@@ -213,15 +213,15 @@
         let mut parts = value.split(',').map(str::trim);
         parts.find_map(|part| part.strip_prefix("timeout=")?.parse::<u64>().ok())
     });
-    named_s.map_or(DEFAULT_KEEP, |seconds| {
-        Duration::from_secs(seconds).saturating_sub(KEEP_MARGIN)
+    named_s.map_or(DEFAULT_KEEP_ALIVE, |seconds| {
+        Duration::from_secs(seconds).saturating_sub(KEEP_ALIVE_MARGIN)
     })
 }
 
-/// Opens a connection and spawns the task that drives it; `slot` lives as long.
+/// Opens a connection and spawns the task that drives it; `guard` lives as long.
 async fn connect(
     addr: SocketAddr,
-    slot: OpenSlot,
+    guard: OpenConnectionGuard,
 ) -> Result<SendRequest<Full<Bytes>>, ConnectError> {
     let failed = |message: String| ConnectError::Failed { addr, message };
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
@@ -241,7 +241,7 @@
     stream
         .set_nodelay(true)
         .map_err(|error| failed(error.to_string()))?;
-    rustix::net::sockopt::set_tcp_user_timeout(&stream, UNACKNOWLEDGED_MS)
+    rustix::net::sockopt::set_tcp_user_timeout(&stream, TCP_USER_TIMEOUT_MS)
         .map_err(|error| failed(error.to_string()))?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
@@ -249,7 +249,7 @@
     tokio::spawn(async move {
         // The request in flight or the next checkout notices that it has closed.
         let _ = connection.await;
-        drop(slot);
+        drop(guard);
     });
     Ok(sender)
 }
--- a/crates/rookferry_relay/src/probe.rs
+++ b/crates/rookferry_relay/src/probe.rs
@@ -76,7 +76,7 @@
             }
             is_listed
         }
-        Err(error) if error.is_held_here() => true,
+        Err(error) if error.is_local_refusal() => true,
         Err(error) => {
             relay.server_lost(upstream.server, &ServerLoss::from(&error));
             false
@@ -137,11 +137,11 @@
         };
         match relay.call(upstream, request, PROBE_TIMEOUT).await {
             Ok(_) => return relay.beliefs.broken_runs.server_answered(server),
-            Err(error) if error.shows_end() => {
+            Err(error) if error.shows_exit() => {
                 return relay.server_lost(server, &ServerLoss::Refused);
             }
             // Nothing was asked, and asking again at once comes to the same.
-            Err(error) if error.is_held_here() => return,
+            Err(error) if error.is_local_refusal() => return,
             Err(_) => {}
         }
     }
@@ -223,8 +223,8 @@
     // Any answer shows that it is there; one that is full answers too.
     match relay.call(upstream, request, PROBE_TIMEOUT * 3).await {
         Ok(answer) if is_engine && is_other(&relay, server, &answer) => {}
-        Ok(_) | Err(UpstreamError::Crossed { .. }) => relay.server_answered(server),
-        Err(error) if error.shows_end() => relay.server_ended(server),
+        Ok(_) | Err(UpstreamError::WrongAttempt { .. }) => relay.server_answered(server),
+        Err(error) if error.shows_exit() => relay.server_ended(server),
         // It stays out, and is probed again.
         Err(_) => {}
     }
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -269,7 +269,7 @@
             servers: Some(servers.clone()),
         });
         let is_known = |server| servers.get(server).is_some();
-        self.pool.tidy(clock::now(), is_known);
+        self.pool.evict(clock::now(), is_known);
         self.permits.retain(is_known);
         self.note_fleet_change();
         self.versions.send_modify(|changes| *changes += 1);
--- a/crates/rookferry_relay/src/server_loss.rs
+++ b/crates/rookferry_relay/src/server_loss.rs
@@ -26,7 +26,7 @@
 
 impl From<&UpstreamError> for ServerLoss {
     fn from(error: &UpstreamError) -> Self {
-        if error.shows_end() {
+        if error.shows_exit() {
             return Self::Refused;
         }
         Self::Unreachable(error.to_string())
--- a/crates/rookferry_relay/src/stream.rs
+++ b/crates/rookferry_relay/src/stream.rs
@@ -27,7 +27,7 @@
 
 use crate::event_log::Weight;
 use crate::event_log::millis;
-use crate::events::EventSplitter;
+use crate::event_splitter::EventSplitter;
 use crate::opener::Opener;
 use crate::opener::StreamTarget;
 use crate::path_keeper::PathKeeper;
@@ -266,7 +266,7 @@
     /// Records the end of a stream that was delivered whole.
     fn note_ended(&mut self) {
         self.is_over = true;
-        self.answer.keep_connection();
+        self.answer.return_connection();
         self.target.relay.run_finished(&self.target.request);
         let request = &self.target.request;
         let route = request.route.name.to_string();
--- a/crates/rookferry_relay/src/upstream.rs
+++ b/crates/rookferry_relay/src/upstream.rs
@@ -51,16 +51,16 @@
     Lost { addr: SocketAddr, message: String },
     /// The relay abandoned the run, which may still go on.
     #[snafu(display("the run at {addr} was abandoned: {message}"))]
-    GivenUp { addr: SocketAddr, message: String },
+    Abandoned { addr: SocketAddr, message: String },
     /// The answer is for another attempt; this request may have run.
     #[snafu(display("{addr} sent the answer to another attempt"))]
-    Crossed { addr: SocketAddr },
+    WrongAttempt { addr: SocketAddr },
 }
 
 impl UpstreamError {
     /// Whether this instance's share of the server's connections is in use, which
     /// is no evidence about the server.
-    pub(crate) const fn is_own_limit(&self) -> bool {
+    pub(crate) const fn is_connection_limit(&self) -> bool {
         matches!(
             self,
             Self::NotConnected {
@@ -71,18 +71,19 @@
 
     /// Whether this instance refused to send: by its connection limit, a backoff or a
     /// missing permit. It is no new evidence about the server.
-    pub(crate) const fn is_held_here(&self) -> bool {
-        self.is_own_limit() || matches!(self, Self::BackedOff { .. } | Self::NotPermitted { .. })
+    pub(crate) const fn is_local_refusal(&self) -> bool {
+        self.is_connection_limit()
+            || matches!(self, Self::BackedOff { .. } | Self::NotPermitted { .. })
     }
 
     /// Whether the exchange broke after the request was sent, so that the server may
     /// have crashed.
-    pub(crate) const fn is_break(&self) -> bool {
-        matches!(self, Self::Lost { .. } | Self::Crossed { .. })
+    pub(crate) const fn may_be_crash(&self) -> bool {
+        matches!(self, Self::Lost { .. } | Self::WrongAttempt { .. })
     }
 
     /// Whether the connection was refused, which shows that the process has exited.
-    pub(crate) const fn shows_end(&self) -> bool {
+    pub(crate) const fn shows_exit(&self) -> bool {
         matches!(
             self,
             Self::NotConnected {
@@ -217,9 +218,9 @@
     }
 
     /// Returns the connection to the pool; the body must have been read to its end.
-    pub(crate) fn keep_connection(&mut self) {
+    pub(crate) fn return_connection(&mut self) {
         if let Some(connection) = self.connection.take() {
-            connection.keep(&self.headers);
+            connection.return_to_pool(&self.headers);
         }
     }
 
@@ -243,7 +244,7 @@
             })?
             .to_bytes();
         if let Some(connection) = connection {
-            connection.keep(&headers);
+            connection.return_to_pool(&headers);
         }
         Ok(WholeAnswer {
             status,
