--- a/crates/rookferry_relay/src/broken_runs.rs
+++ b/crates/rookferry_relay/src/broken_runs.rs
@@ -28,18 +28,18 @@
     /// another cause.
     pub(crate) fn server_answered(&self, server: ServerKey) {
         if !self.lock().server_answered(server).is_empty() {
-            self.tell_decided();
+            self.notify_decided();
         }
     }
 
     /// Wakes requests that wait for a decision.
-    pub(crate) fn tell_decided(&self) {
+    pub(crate) fn notify_decided(&self) {
         self.decided.notify_waiters();
     }
 
     /// Waits until each server at which the request's runs broke is known to have
     /// crashed or to be alive.
-    pub(crate) async fn decided(&self, signature: RequestSignature) {
+    pub(crate) async fn wait_decided(&self, signature: RequestSignature) {
         until(&self.decided, || !self.lock().is_undecided(signature)).await;
     }
 }
--- a/crates/rookferry_relay/src/opener/mod.rs
+++ b/crates/rookferry_relay/src/opener/mod.rs
@@ -34,8 +34,8 @@
 use crate::plain::MAX_PERMIT_TRIES;
 use crate::plain::may_send;
 use crate::plain::may_send_again;
-use crate::quarantine::BrokenAt;
 use crate::quarantine::Reach;
+use crate::quarantine::RunBreak;
 use crate::refusal::Refusal;
 use crate::relay::Relay;
 use crate::request::CallerRequest;
@@ -218,14 +218,14 @@
         self.arrived += 1;
         self.runs += 1;
         if error.may_be_crash() {
-            let broken = BrokenAt {
+            let broken = RunBreak {
                 server: first,
                 run: keeper.run(),
                 reach: Reach::Direct,
                 progress: RunProgress::Begun,
                 joined_at: keeper.joined_at(first),
             };
-            relay.run_broke(request, broken);
+            relay.record_broken_run(request, broken);
         }
         relay.beliefs.health().failed(first, now);
         request.route.repeatability.may_repeat() && self.runs < request.route.max_servers.max(1)
--- a/crates/rookferry_relay/src/path_keeper/mod.rs
+++ b/crates/rookferry_relay/src/path_keeper/mod.rs
@@ -30,8 +30,8 @@
 use crate::load::LoadGuard;
 use crate::opener::StreamTarget;
 use crate::probe;
-use crate::quarantine::BrokenAt;
 use crate::quarantine::Reach;
+use crate::quarantine::RunBreak;
 use crate::relay::Relay;
 use crate::request::CallerRequest;
 use crate::signs::Sign;
@@ -199,18 +199,18 @@
             RunProgress::Begun
         };
         let is_first = server == self.path.first().server;
-        let broken = BrokenAt {
+        let broken = RunBreak {
             server,
             run: self.run,
             reach: if is_first {
                 Reach::Direct
             } else {
-                Reach::ByAnother
+                Reach::Forwarded
             },
             progress,
             joined_at: self.joined_at(server),
         };
-        self.relay.run_broke(&self.request, broken);
+        self.relay.record_broken_run(&self.request, broken);
     }
 
     /// When the run reached an engine of its path; now for any other.
--- a/crates/rookferry_relay/src/path_keeper/repair.rs
+++ b/crates/rookferry_relay/src/path_keeper/repair.rs
@@ -64,7 +64,7 @@
                 };
             }
             // A quarantined request is not moved to further servers.
-            if self.relay.is_held(&self.request) {
+            if self.relay.is_quarantined(&self.request) {
                 return Watched::Fine;
             }
             if clock::now() < self.repair_at {
--- a/crates/rookferry_relay/src/peers/compose.rs
+++ b/crates/rookferry_relay/src/peers/compose.rs
@@ -123,7 +123,7 @@
             out,
             out_count: u32::try_from(out_count).unwrap_or(u32::MAX),
             closed,
-            suspects: self.relay.quarantine.next_told(MAX_SUSPECTS, now),
+            suspects: self.relay.quarantine.next_advertised(MAX_SUSPECTS, now),
             limits: self.relay.beliefs.limits().told(MAX_LIMITS, turn, now),
             departed: self.relay.beliefs.departed().told(MAX_DEPARTED, turn, now),
             members,
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/intake.rs
@@ -57,7 +57,7 @@
         self.take_limits(beat, now);
         self.take_departed(beat);
         self.relay
-            .learn_suspects(&beat.suspects, &beat.instance, now);
+            .merge_suspects(&beat.suspects, &beat.instance, now);
         if !newly_out.is_empty() {
             self.take_doubts(&newly_out, beat, now);
         }
--- a/crates/rookferry_relay/src/plain.rs
+++ b/crates/rookferry_relay/src/plain.rs
@@ -18,8 +18,8 @@
 use crate::event_log::Weight;
 use crate::exchange::Purpose;
 use crate::permits::PathPermits;
-use crate::quarantine::BrokenAt;
 use crate::quarantine::Reach;
+use crate::quarantine::RunBreak;
 use crate::refusal::Refusal;
 use crate::relay::Relay;
 use crate::request::CallerRequest;
@@ -122,14 +122,14 @@
                 arrived += 1;
                 note_failed(relay, &request, server, &error.to_string());
                 if error.may_be_crash() {
-                    let broken = BrokenAt {
+                    let broken = RunBreak {
                         server: server.key,
                         run: rand::random(),
                         reach: Reach::Direct,
                         progress: RunProgress::Begun,
                         joined_at: sent_at,
                     };
-                    relay.run_broke(&request, broken);
+                    relay.record_broken_run(&request, broken);
                 }
                 relay.beliefs.health().failed(server.key, clock::now());
             }
@@ -266,7 +266,7 @@
     relay.is_config_fresh()
         && request.is_allowed_by(index)
         && stay(relay, &view, servers)
-        && !relay.is_held(request)
+        && !relay.is_quarantined(request)
 }
 
 /// The same for another run of a request that has run, without the check of the
@@ -276,7 +276,7 @@
     request: &CallerRequest,
     servers: &[ServerKey],
 ) -> bool {
-    stay(relay, &relay.view.load(), servers) && !relay.is_held(request)
+    stay(relay, &relay.view.load(), servers) && !relay.is_quarantined(request)
 }
 
 /// Whether all servers are listed and none is leaving.
@@ -295,7 +295,7 @@
     answer: WholeAnswer,
 ) -> ServeOutcome {
     if !answer.status.is_server_error() {
-        relay.run_finished(request);
+        relay.record_finished_run(request);
     }
     record_served(relay, request, answer.status.as_u16(), &server.id);
     ServeOutcome::Answer(answer.into_response())
--- a/crates/rookferry_relay/src/probe.rs
+++ b/crates/rookferry_relay/src/probe.rs
@@ -224,7 +224,7 @@
     match relay.call(upstream, request, PROBE_TIMEOUT * 3).await {
         Ok(answer) if is_engine && is_other(&relay, server, &answer) => {}
         Ok(_) | Err(UpstreamError::WrongAttempt { .. }) => relay.server_answered(server),
-        Err(error) if error.shows_exit() => relay.server_ended(server),
+        Err(error) if error.shows_exit() => relay.record_server_exit(server),
         // It stays out, and is probed again.
         Err(_) => {}
     }
--- a/crates/rookferry_relay/src/quarantine.rs
+++ b/crates/rookferry_relay/src/quarantine.rs
@@ -40,10 +40,10 @@
 /// How long a suspected request waits until it is known whether its last server
 /// crashed. A probe within a site takes a millisecond or two, and 80 ms without an
 /// answer.
-const VERDICT_WAIT: Duration = Duration::from_millis(150);
+const CRASH_CHECK_WAIT: Duration = Duration::from_millis(150);
 
 /// How long an event may take from an engine, which may crash meanwhile.
-const EVENT_ON_ITS_WAY: Duration = Duration::from_millis(50);
+const MAX_EVENT_TRANSIT: Duration = Duration::from_millis(50);
 
 /// How a run reached a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,12 +51,12 @@
     /// This instance sent the request there.
     Direct,
     /// The first engine of the path forwarded it.
-    ByAnother,
+    Forwarded,
 }
 
 /// A run that broke at a server.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct BrokenAt {
+pub(crate) struct RunBreak {
     pub(crate) server: ServerKey,
     pub(crate) run: RunId,
     pub(crate) reach: Reach,
@@ -72,7 +72,7 @@
     /// Whether there is a record of any request.
     has_records: AtomicBool,
     /// Notified when this instance has a change that the store may lack.
-    pub(crate) to_store: Notify,
+    pub(crate) store_pending: Notify,
     /// Notified when a request is released, by this instance or another.
     pub(crate) released: Notify,
 }
@@ -92,7 +92,7 @@
     }
 
     /// The records to advertise next, at most `most`.
-    pub(crate) fn next_told(&self, most: usize, now: Instant) -> Vec<SuspectSeen> {
+    pub(crate) fn next_advertised(&self, most: usize, now: Instant) -> Vec<SuspectSeen> {
         if !self.has_records() {
             return Vec::new();
         }
@@ -115,12 +115,12 @@
     }
 
     /// Whether a request is quarantined.
-    pub(crate) fn is_held(&self, request: &CallerRequest) -> bool {
+    pub(crate) fn is_quarantined(&self, request: &CallerRequest) -> bool {
         matches!(self.suspicion(request), Suspicion::Held { .. })
     }
 
     /// The refusal of a quarantined request; none for others.
-    pub(crate) fn refusal_if_held(&self, request: &CallerRequest) -> Option<Refusal> {
+    pub(crate) fn quarantine_refusal(&self, request: &CallerRequest) -> Option<Refusal> {
         let Suspicion::Held { left } = self.suspicion(request) else {
             return None;
         };
@@ -136,31 +136,31 @@
     /// crashed. It could otherwise crash another server while that is checked.
     pub(crate) async fn may_run_again(&self, request: &CallerRequest) -> bool {
         if let Suspicion::Suspected { .. } = self.suspicion(request) {
-            let decided = self.beliefs.broken_runs.decided(request.signature());
+            let decided = self.beliefs.broken_runs.wait_decided(request.signature());
             // After the timeout the run counts as broken without a crash.
-            let _ = tokio::time::timeout(VERDICT_WAIT, decided).await;
+            let _ = tokio::time::timeout(CRASH_CHECK_WAIT, decided).await;
         }
-        let is_held = self.is_held(request);
-        if is_held && let Some(log) = self.events.line(Weight::Notable) {
+        let is_quarantined = self.is_quarantined(request);
+        if is_quarantined && let Some(log) = self.events.line(Weight::Notable) {
             warn!(log, "request: not sent again, it is quarantined"; "event" => "held_back",
                 "request" => &request.attempt, "signature" => %request.signature(),
                 "held_ms" => millis(request.elapsed()));
         }
-        !is_held
+        !is_quarantined
     }
 
     /// Records a run that broke at a server, and has the server probed unless its
     /// state is known or a probe is in flight.
-    pub(crate) fn run_broke(self: &Arc<Self>, request: &CallerRequest, broken: BrokenAt) {
+    pub(crate) fn record_broken_run(self: &Arc<Self>, request: &CallerRequest, broken: RunBreak) {
         let server = broken.server;
         let run = BrokenRun {
             signature: request.signature(),
             request: request.attempt.clone(),
-            end: self.run_end(broken),
+            end: self.crash_of(broken),
         };
         let noted = self.beliefs.broken_runs.lock().note(run, clock::now());
         match noted {
-            BrokenRunNoted::Ended(run) => self.note_runs_crashed(&[run]),
+            BrokenRunNoted::Ended(run) => self.record_crashes(&[run]),
             BrokenRunNoted::Unasked => {
                 let relay = self.clone();
                 tokio::spawn(async move { probe::check_ended(&relay, server).await });
@@ -172,15 +172,15 @@
     /// The crash that the run met if its server has exited. A server is known to have
     /// been alive when it last gave liveness evidence, less an event's transit time, or
     /// when it accepted the request.
-    fn run_end(&self, broken: BrokenAt) -> RunEnd {
+    fn crash_of(&self, broken: RunBreak) -> RunEnd {
         let at = clock::now();
-        let sign_age = self.beliefs.signs.of(broken.server).age(at);
-        let sign_at = at.checked_sub(sign_age);
-        let sign_at = sign_at.and_then(|sign| sign.checked_sub(EVENT_ON_ITS_WAY));
+        let last_seen_age = self.beliefs.signs.of(broken.server).age(at);
+        let last_seen_at = at.checked_sub(last_seen_age);
+        let last_seen_at = last_seen_at.and_then(|seen| seen.checked_sub(MAX_EVENT_TRANSIT));
         let alive_at = match broken.reach {
             // The server accepted the request then.
-            Reach::Direct => sign_at.max(Some(broken.joined_at)),
-            Reach::ByAnother => sign_at,
+            Reach::Direct => last_seen_at.max(Some(broken.joined_at)),
+            Reach::Forwarded => last_seen_at,
         };
         RunEnd {
             server: broken.server,
@@ -193,15 +193,15 @@
     }
 
     /// Records that a server's process has exited, so that its broken runs are crashes.
-    pub(crate) fn server_ended(&self, server: ServerKey) {
+    pub(crate) fn record_server_exit(&self, server: ServerKey) {
         let broken = &self.beliefs.broken_runs;
         let crashed = broken.lock().server_ended(server, clock::now());
-        self.note_runs_crashed(&crashed);
-        broken.tell_decided();
+        self.record_crashes(&crashed);
+        broken.notify_decided();
     }
 
     /// Records runs whose server crashed, and logs them and the resulting changes.
-    fn note_runs_crashed(&self, runs: &[BrokenRun]) {
+    fn record_crashes(&self, runs: &[BrokenRun]) {
         let now = clock::now();
         let ends: Vec<_> = runs.iter().map(|run| (run.signature, run.end)).collect();
         let changes = self
@@ -209,52 +209,52 @@
             .update(|quarantine| quarantine.note_ends(&ends, now));
         for run in runs {
             counter!("rookferry_runs_crashed_total").increment(1);
-            self.tell_run_crashed(run);
+            self.log_run_crash(run);
         }
         for (signature, change) in changes {
-            self.note_own_change(signature, change);
+            self.record_own_change(signature, change);
         }
     }
 
-    fn tell_run_crashed(&self, run: &BrokenRun) {
+    fn log_run_crash(&self, run: &BrokenRun) {
         let Some(log) = self.events.line(Weight::Notable) else {
             return;
         };
-        let (ends, in_turn) = {
+        let (ends, sequential) = {
             let quarantine = self.quarantine.lock();
-            let in_turn = quarantine.ends_in_turn(run.signature);
-            (quarantine.ends(run.signature), in_turn)
+            let sequential = quarantine.ends_in_turn(run.signature);
+            (quarantine.ends(run.signature), sequential)
         };
         warn!(log, "health: a server crashed while it ran a request"; "event" => "run_crashed",
             "request" => &run.request, "signature" => %run.signature,
-            "server" => %run.end.server.addr, "servers_ended" => ends, "in_turn" => in_turn,
+            "server" => %run.end.server.addr, "servers_ended" => ends, "in_turn" => sequential,
             "answering" => run.end.progress == RunProgress::Answering,
             "lasted_ms" => millis(run.end.at.saturating_duration_since(run.end.joined_at)),
             "silent_ms" => millis(run.end.at.saturating_duration_since(run.end.alive_at)));
     }
 
     /// Records a successful run, which releases or clears the request.
-    pub(crate) fn run_finished(&self, request: &CallerRequest) {
+    pub(crate) fn record_finished_run(&self, request: &CallerRequest) {
         let signature = request.signature();
         let now = clock::now();
         let change = self
             .quarantine
             .update(|quarantine| quarantine.note_finished(signature, now));
-        self.note_own_change(signature, change);
+        self.record_own_change(signature, change);
     }
 
     /// Merges records from a peer or the store, which `source` names.
-    pub(crate) fn learn_suspects(&self, told: &[SuspectSeen], source: &str, now: Instant) {
-        for seen in told {
+    pub(crate) fn merge_suspects(&self, observations: &[SuspectSeen], source: &str, now: Instant) {
+        for seen in observations {
             let change = self
                 .quarantine
                 .update(|quarantine| quarantine.learn(seen, now));
-            self.note_change(seen.signature, change, source);
+            self.record_change(seen.signature, change, source);
         }
     }
 
     /// Merges a request that the store has had as quarantined for `age`.
-    pub(crate) fn learn_held(&self, signature: RequestSignature, age: Duration) {
+    pub(crate) fn merge_stored(&self, signature: RequestSignature, age: Duration) {
         let now = clock::now();
         let seen = SuspectSeen {
             signature,
@@ -262,19 +262,19 @@
             finished_ms: None,
             held_ms: Some(millis(age)),
         };
-        self.learn_suspects(&[seen], "store", now);
+        self.merge_suspects(&[seen], "store", now);
     }
 
     /// Logs a change found by this instance, and has it written to the store.
-    fn note_own_change(&self, signature: RequestSignature, change: QuarantineChange) {
-        self.note_change(signature, change, "own");
+    fn record_own_change(&self, signature: RequestSignature, change: QuarantineChange) {
+        self.record_change(signature, change, "own");
         if change != QuarantineChange::None {
-            self.quarantine.to_store.notify_one();
+            self.quarantine.store_pending.notify_one();
         }
     }
 
     /// Logs a quarantined or released request.
-    fn note_change(&self, signature: RequestSignature, change: QuarantineChange, source: &str) {
+    fn record_change(&self, signature: RequestSignature, change: QuarantineChange, source: &str) {
         if change == QuarantineChange::None {
             return;
         }
--- a/crates/rookferry_relay/src/quarantine_keeper.rs
+++ b/crates/rookferry_relay/src/quarantine_keeper.rs
@@ -42,7 +42,7 @@
     };
     loop {
         let may_lack = tokio::select! {
-            () = relay.quarantine.to_store.notified() => true,
+            () = relay.quarantine.store_pending.notified() => true,
             // Without this, instances that start read of a request that was
             // released, and all held it again.
             () = relay.quarantine.released.notified() => keeper.stores_cleared(),
@@ -137,7 +137,7 @@
         let unix_now = clock::unix_now();
         for (signature, since) in self.stored.quarantine.requests() {
             self.relay
-                .learn_held(signature, unix_now.saturating_sub(since));
+                .merge_stored(signature, unix_now.saturating_sub(since));
         }
     }
 
@@ -184,7 +184,7 @@
             }
         }
         // The next look tries again.
-        self.relay.quarantine.to_store.notify_one();
+        self.relay.quarantine.store_pending.notify_one();
     }
 
     /// The object with what is held here, if the store's lacks some of it or
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -299,7 +299,7 @@
     /// A server didn't answer at all: it is out until a probe finds it.
     pub(crate) fn server_lost(&self, server: ServerKey, loss: &ServerLoss) {
         if loss.is_end() {
-            self.server_ended(server);
+            self.record_server_exit(server);
         }
         if !self.beliefs.health().lost(server, clock::now()) {
             return;
--- a/crates/rookferry_relay/src/request_handler.rs
+++ b/crates/rookferry_relay/src/request_handler.rs
@@ -70,7 +70,7 @@
             Ok(request) => request,
             Err(refusal) => return refuse(&relay, refusal, &head, received_at),
         };
-        if let Some(refusal) = relay.refusal_if_held(&request) {
+        if let Some(refusal) = relay.quarantine_refusal(&request) {
             return refuse(&relay, refusal, &head, received_at);
         }
         let served = if request.route.repeatability.is_stream() {
--- a/crates/rookferry_relay/src/stream.rs
+++ b/crates/rookferry_relay/src/stream.rs
@@ -267,7 +267,7 @@
     fn note_ended(&mut self) {
         self.is_over = true;
         self.answer.return_connection();
-        self.target.relay.run_finished(&self.target.request);
+        self.target.relay.record_finished_run(&self.target.request);
         let request = &self.target.request;
         let route = request.route.name.to_string();
         histogram!("rookferry_event_gap_seconds", "route" => route.clone())
