--- a/crates/rookferry_relay/src/path_keeper/mod.rs
+++ b/crates/rookferry_relay/src/path_supervisor/mod.rs
@@ -28,13 +28,13 @@
 use crate::event_log::Weight;
 use crate::event_log::millis;
 use crate::load::LoadGuard;
-use crate::opener::StreamTarget;
 use crate::probe;
 use crate::quarantine::Reach;
 use crate::quarantine::RunBreak;
 use crate::relay::Relay;
 use crate::request::CallerRequest;
 use crate::signs::Sign;
+use crate::stream_opener::StreamTarget;
 
 /// How long a stream may stall before its path is probed. Events arrive every 20 to
 /// 50 ms at the published step times; a pause of 200 ms makes an answer late, and
--- a/crates/rookferry_relay/src/plain.rs
+++ b/crates/rookferry_relay/src/plain.rs
@@ -38,7 +38,7 @@
 /// Cost of a server that fails all its requests, in requests in flight.
 const FAILING_COST: f64 = 30.0;
 /// Tries per request, including refused and unsent ones.
-const MAX_UNRUN_TRIES: usize = 4;
+const MAX_TRIES: usize = 4;
 /// Servers or paths per try for which permits are requested.
 pub(crate) const MAX_PERMIT_TRIES: usize = 16;
 /// A request with less time left is not sent.
@@ -53,7 +53,7 @@
     TimedOut,
 }
 
-/// Serves a request, with up to [`MAX_UNRUN_TRIES`] tries on different servers.
+/// Serves a request, with up to [`MAX_TRIES`] tries on different servers.
 pub(crate) async fn serve(relay: &Arc<Relay>, request: CallerRequest) -> ServeOutcome {
     relay.count_new_request(&request.service);
     let view = relay.view.load_full();
@@ -68,7 +68,7 @@
     let mut has_run = 0;
     let mut arrived = 0;
     let mut last_answer = None;
-    for _ in 0..MAX_UNRUN_TRIES {
+    for _ in 0..MAX_TRIES {
         if request.time_left() < MIN_TIME_LEFT {
             break;
         }
--- a/crates/rookferry_relay/src/stream.rs
+++ b/crates/rookferry_relay/src/stream.rs
@@ -28,19 +28,19 @@
 use crate::event_log::Weight;
 use crate::event_log::millis;
 use crate::event_splitter::EventSplitter;
-use crate::opener::Opener;
-use crate::opener::StreamTarget;
-use crate::path_keeper::PathKeeper;
-use crate::path_keeper::Watched;
+use crate::path_supervisor::PathKeeper;
+use crate::path_supervisor::Watched;
 use crate::refusal::Refusal;
 use crate::relay::Relay;
 use crate::request::CallerRequest;
 use crate::request::end_to_end_headers;
 use crate::request_handler::ServeOutcome;
+use crate::stream_opener::StreamOpener;
+use crate::stream_opener::StreamTarget;
 use crate::upstream::UpstreamAnswer;
 
 /// State of a stream over all its runs.
-struct StreamRun {
+struct StreamState {
     target: StreamTarget,
     /// Monitors the path of the current run.
     keeper: PathKeeper,
@@ -76,13 +76,13 @@
         service,
         model,
     };
-    let mut opener = Opener::first(&target);
+    let mut opener = StreamOpener::first(&target);
     let waiting = Waiting::new(&target);
     let first_run = opener.open(target.request.head.last_event).await;
     waiting.end();
     let (avoided, runs) = (opener.avoided, opener.runs);
     match first_run {
-        Ok((answer, keeper)) => respond(StreamRun {
+        Ok((answer, keeper)) => respond(StreamState {
             splitter: EventSplitter::resuming_after(target.request.head.last_event),
             target,
             keeper,
@@ -134,7 +134,7 @@
 }
 
 /// The response with the answer's head and a body that polls the stream.
-fn respond(run: StreamRun) -> ServeOutcome {
+fn respond(run: StreamState) -> ServeOutcome {
     let status = run.answer.status;
     let mut headers = end_to_end_headers(&run.answer.headers);
     headers.remove(http::header::CONTENT_LENGTH);
@@ -167,7 +167,7 @@
     TimedOut,
 }
 
-impl StreamRun {
+impl StreamState {
     /// The next events for the caller; an error cuts the response short.
     async fn next(&mut self) -> Option<Result<Bytes, io::Error>> {
         if self.is_over {
@@ -310,7 +310,7 @@
         }
         let after = self.splitter.last_id();
         let avoided = std::mem::take(&mut self.avoided);
-        let mut opener = Opener::again(&self.target, avoided, self.runs);
+        let mut opener = StreamOpener::again(&self.target, avoided, self.runs);
         let another = opener.open(after).await;
         self.avoided = std::mem::take(&mut opener.avoided);
         self.runs = opener.runs;
@@ -335,7 +335,7 @@
     }
 }
 
-impl Drop for StreamRun {
+impl Drop for StreamState {
     fn drop(&mut self) {
         if self.is_over {
             return;
--- a/crates/rookferry_relay/src/opener/room.rs
+++ b/crates/rookferry_relay/src/stream_opener/admission.rs
@@ -10,7 +10,7 @@
 use slog::info;
 use slog::warn;
 
-use super::Opener;
+use super::StreamOpener;
 use crate::admission_gate::QueueEntry;
 use crate::event_log::Weight;
 use crate::event_log::millis;
@@ -19,88 +19,88 @@
 
 /// How often the first request of the queue checks for free cache. Changes by peers'
 /// load reports or by an engine's estimated capacity give no notification.
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Result of a check for free cache.
-enum Room {
+enum CacheCheck {
     /// No engines cover the layers.
-    None,
+    NoPath,
     /// All engines of the path have enough free cache.
-    On(PipelinePath),
+    Free(PipelinePath),
     /// The fullest engine of the best path, which lacks free cache.
     Full(PipelineEngine),
     /// The best path crosses the link between failure domains, whose bandwidth is used
     /// up for this time.
-    NoLink(Duration),
+    LinkFull(Duration),
 }
 
-impl Opener<'_> {
+impl StreamOpener<'_> {
     /// Finds a path with free cache for the request, queueing while it can still meet
     /// its latency objective.
     ///
     /// A request that waited at an engine instead would be late, and would delay others
     /// for as long as the site is over its capacity. None if no engines cover the layers.
-    pub(super) async fn choose_with_room(&self) -> Result<Option<PipelinePath>, Refusal> {
+    pub(super) async fn choose_with_free_cache(&self) -> Result<Option<PipelinePath>, Refusal> {
         let request = &self.target.request;
         let gate = &self.target.relay.door;
         let service = &self.target.service.name;
         let objective = request.route.latency_objective;
         let mut full = None;
         if !gate.must_wait(service, request.urgency) {
-            match self.look_for_room() {
-                Room::None => return Ok(None),
-                Room::On(path) => return Ok(Some(path)),
-                Room::Full(engine) => full = Some(engine),
-                Room::NoLink(wait) => return Err(self.turn_away_from_link(wait)),
+            match self.check_free_cache() {
+                CacheCheck::NoPath => return Ok(None),
+                CacheCheck::Free(path) => return Ok(Some(path)),
+                CacheCheck::Full(engine) => full = Some(engine),
+                CacheCheck::LinkFull(wait) => return Err(self.refuse_for_link(wait)),
             }
         }
         let entry = gate.join(service, request.urgency);
         loop {
             if !entry.can_meet_objective(objective, request.elapsed()) {
-                return Err(self.turn_away(full.as_ref(), &entry));
+                return Err(self.refuse_overloaded(full.as_ref(), &entry));
             }
             let left = objective.saturating_sub(request.elapsed());
-            entry.changed(left.min(LOOK_AGAIN)).await;
+            entry.changed(left.min(QUEUE_POLL_INTERVAL)).await;
             if !entry.is_next() {
                 continue;
             }
-            match self.look_for_room() {
-                Room::None => return Ok(None),
-                Room::On(path) => {
-                    self.note_let_in(&entry);
+            match self.check_free_cache() {
+                CacheCheck::NoPath => return Ok(None),
+                CacheCheck::Free(path) => {
+                    self.log_admitted(&entry);
                     return Ok(Some(path));
                 }
-                Room::Full(engine) => full = Some(engine),
-                Room::NoLink(wait) => return Err(self.turn_away_from_link(wait)),
+                CacheCheck::Full(engine) => full = Some(engine),
+                CacheCheck::LinkFull(wait) => return Err(self.refuse_for_link(wait)),
             }
         }
     }
 
     /// Checks whether the best path has free cache, and reserves its share of the link.
-    fn look_for_room(&self) -> Room {
+    fn check_free_cache(&self) -> CacheCheck {
         let home = &self.target.relay.settings.domain;
         let tokens = self.target.request.tokens();
         let found = self.with_finder(&[], |finder| {
             let path = match finder.find(home, tokens) {
                 Ok(path) => path,
                 Err(no_path) => {
-                    self.note_no_path(&no_path);
-                    return Room::None;
+                    self.log_invalid_path(&no_path);
+                    return CacheCheck::NoPath;
                 }
             };
             match finder.fullest(&path, tokens) {
-                Some(full) if full.overfill > 0.0 => Room::Full(full.engine.clone()),
-                _ => Room::On(path),
+                Some(full) if full.overfill > 0.0 => CacheCheck::Full(full.engine.clone()),
+                _ => CacheCheck::Free(path),
             }
         });
-        match found.unwrap_or(Room::None) {
-            Room::On(path) => self.over_link(path),
+        match found.unwrap_or(CacheCheck::NoPath) {
+            CacheCheck::Free(path) => self.reserve_link(path),
             other => other,
         }
     }
 
     /// Reserves the time that a path needs on the link between failure domains.
-    fn over_link(&self, path: PipelinePath) -> Room {
+    fn reserve_link(&self, path: PipelinePath) -> CacheCheck {
         let relay = &self.target.relay;
         let view = relay.view.load();
         let crossings = view
@@ -110,19 +110,19 @@
         let tokens = self.target.request.tokens();
         let needed_ms = self.target.model.crossing_ms(tokens) * crossings as f64;
         if needed_ms <= 0.0 {
-            return Room::On(path);
+            return CacheCheck::Free(path);
         }
         let instances = relay.instances.load(Ordering::Relaxed);
         let taken = lock(&relay.link_pace).take(needed_ms, instances, clock::now());
         match taken {
-            Ok(()) => Room::On(path),
-            Err(wait) => Room::NoLink(wait),
+            Ok(()) => CacheCheck::Free(path),
+            Err(wait) => CacheCheck::LinkFull(wait),
         }
     }
 
     /// Refuses a request for which the link has no bandwidth. If it were sent, it would
     /// stall with all others on the link until its caller gave up.
-    fn turn_away_from_link(&self, wait: Duration) -> Refusal {
+    fn refuse_for_link(&self, wait: Duration) -> Refusal {
         let request = &self.target.request;
         if let Some(log) = self.target.relay.events.line(Weight::Notable) {
             warn!(log, "stream: refused, the link between failure domains is full";
@@ -133,7 +133,7 @@
         Refusal::Overloaded(wait)
     }
 
-    fn note_let_in(&self, entry: &QueueEntry) {
+    fn log_admitted(&self, entry: &QueueEntry) {
         let request = &self.target.request;
         if let Some(log) = self.target.relay.events.line(Weight::Routine) {
             info!(log, "stream: admitted after queueing"; "event" => "let_in",
@@ -143,7 +143,7 @@
     }
 
     /// Refuses a request that can't meet its objective in the queue.
-    fn turn_away(&self, full: Option<&PipelineEngine>, entry: &QueueEntry) -> Refusal {
+    fn refuse_overloaded(&self, full: Option<&PipelineEngine>, entry: &QueueEntry) -> Refusal {
         let overload = self.target.relay.door.refuse();
         let request = &self.target.request;
         if let Some(log) = self.target.relay.events.line(Weight::Notable) {
--- a/crates/rookferry_relay/src/opener/mod.rs
+++ b/crates/rookferry_relay/src/stream_opener/mod.rs
@@ -5,8 +5,8 @@
 //! A request that may have run is sent again only if its route allows repeats, and each
 //! try after one that reached an engine is taken out of the retry budget.
 
-mod refused;
-mod room;
+mod admission;
+mod refusals;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,8 +28,8 @@
 use crate::event_log::Weight;
 use crate::event_log::millis;
 use crate::exchange::Purpose;
-use crate::path_keeper::PathKeeper;
-use crate::path_keeper::Watched;
+use crate::path_supervisor::PathKeeper;
+use crate::path_supervisor::Watched;
 use crate::permits::PathPermits;
 use crate::plain::MAX_PERMIT_TRIES;
 use crate::plain::may_send;
@@ -47,7 +47,7 @@
 use crate::upstream::is_signed;
 
 /// Tries per run, including refused and unsent ones.
-const MAX_UNRUN_TRIES: usize = 4;
+const MAX_TRIES: usize = 4;
 /// A request with less time left is not sent.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(50);
 
@@ -61,13 +61,13 @@
 }
 
 /// Outcome of one try to open a stream.
-enum Opened {
+enum SendOutcome {
     /// The engine answered; with a success status its stream is running.
     Answer(Box<UpstreamAnswer>),
     /// An engine of the path refused, and nothing ran.
     NotRun {
         /// The refusing engine, if the answer names one.
-        at_fault: Option<ServerKey>,
+        refused_by: Option<ServerKey>,
         /// The backoff that the engine asked for.
         backoff: Option<Duration>,
     },
@@ -77,27 +77,27 @@
 }
 
 /// Opens runs of one request.
-pub(crate) struct Opener<'a> {
+pub(crate) struct StreamOpener<'a> {
     target: &'a StreamTarget,
     /// Servers that further tries exclude from their paths.
     pub(crate) avoided: Vec<ServerKey>,
     /// Runs of the request so far, including those that may have run.
     pub(crate) runs: u32,
     /// Tries that have reached an engine.
-    arrived: usize,
+    reached: usize,
     /// Whether the next try has already been taken out of the retry budget.
-    is_paid: bool,
+    is_budgeted: bool,
 }
 
-impl<'a> Opener<'a> {
+impl<'a> StreamOpener<'a> {
     /// For the first run of a request.
     pub(crate) const fn first(target: &'a StreamTarget) -> Self {
         Self {
             target,
             avoided: Vec::new(),
             runs: 0,
-            arrived: 0,
-            is_paid: false,
+            reached: 0,
+            is_budgeted: false,
         }
     }
 
@@ -111,8 +111,8 @@
             target,
             avoided,
             runs,
-            arrived: 1,
-            is_paid: false,
+            reached: 1,
+            is_budgeted: false,
         }
     }
 
@@ -124,15 +124,18 @@
         after: Option<u64>,
     ) -> Result<(Box<UpstreamAnswer>, PathKeeper), ServeOutcome> {
         let may_repeat = self.target.request.route.repeatability.may_repeat();
-        for _ in 0..MAX_UNRUN_TRIES {
+        for _ in 0..MAX_TRIES {
             if self.target.request.time_left() < MIN_TIME_LEFT {
                 break;
             }
             if self.runs > 0 && !self.target.relay.may_run_again(&self.target.request).await {
                 break;
             }
-            let is_paid = std::mem::take(&mut self.is_paid);
-            if self.arrived > 0 && !is_paid && !self.target.relay.take_retry(&self.target.request) {
+            let is_budgeted = std::mem::take(&mut self.is_budgeted);
+            if self.reached > 0
+                && !is_budgeted
+                && !self.target.relay.take_retry(&self.target.request)
+            {
                 break;
             }
             let chosen = self
@@ -140,20 +143,20 @@
                 .await
                 .map_err(ServeOutcome::Refused)?;
             let Some((path, permits)) = chosen else {
-                self.note_failed("", "no engines cover the layers");
+                self.log_failed_try("", "no engines cover the layers");
                 break;
             };
             let first = path.first().server;
             let mut keeper = PathKeeper::new(self.target, path);
             match self.send(&mut keeper, &permits, after).await {
-                Opened::Answer(answer) => {
-                    self.arrived += 1;
+                SendOutcome::Answer(answer) => {
+                    self.reached += 1;
                     self.runs += 1;
                     if answer.status.is_success() {
                         self.target.relay.server_answered(first);
                         return Ok((answer, keeper));
                     }
-                    self.note_failed(&keeper.describe(), answer.status.as_str());
+                    self.log_failed_try(&keeper.describe(), answer.status.as_str());
                     self.target
                         .relay
                         .beliefs
@@ -166,42 +169,45 @@
                     }
                     self.avoided.push(first);
                 }
-                Opened::NotRun { at_fault, backoff } => {
-                    self.arrived += 1;
+                SendOutcome::NotRun {
+                    refused_by,
+                    backoff,
+                } => {
+                    self.reached += 1;
                     let named =
-                        at_fault.map_or_else(String::new, |server| format!(": {}", server.addr));
-                    self.note_failed(&keeper.describe(), &format!("not run{named}"));
-                    let refusing = at_fault.unwrap_or(first);
-                    self.note_refused(first, refusing, backoff);
+                        refused_by.map_or_else(String::new, |server| format!(": {}", server.addr));
+                    self.log_failed_try(&keeper.describe(), &format!("not run{named}"));
+                    let refusing = refused_by.unwrap_or(first);
+                    self.record_engine_refusal(first, refusing, backoff);
                     self.avoided.push(refusing);
                 }
-                Opened::Failed(UpstreamError::Withdrawn) => {
-                    if self.arrived == 0 {
+                SendOutcome::Failed(UpstreamError::Withdrawn) => {
+                    if self.reached == 0 {
                         return Err(ServeOutcome::Withdrawn);
                     }
                     break;
                 }
-                Opened::Failed(error) => {
-                    if !self.goes_on_after(&error, &keeper) {
+                SendOutcome::Failed(error) => {
+                    if !self.may_continue_after(&error, &keeper) {
                         break;
                     }
                 }
-                Opened::TimedOut => return Err(ServeOutcome::Refused(Refusal::TimedOut)),
+                SendOutcome::TimedOut => return Err(ServeOutcome::Refused(Refusal::TimedOut)),
             }
         }
         let is_timed_out = self.target.request.time_left() < MIN_TIME_LEFT;
         let refusal = Refusal::after_failed_tries(self.runs > 0, is_timed_out);
         Err(ServeOutcome::Refused(
-            refusal.or_known_cause(|| self.wait_for_engines()),
+            refusal.or_known_cause(|| self.retry_refusal()),
         ))
     }
 
     /// Records a try without an answer; returns whether another may follow.
-    fn goes_on_after(&mut self, error: &UpstreamError, keeper: &PathKeeper) -> bool {
+    fn may_continue_after(&mut self, error: &UpstreamError, keeper: &PathKeeper) -> bool {
         let relay = &self.target.relay;
         let request = &self.target.request;
         let first = keeper.path().first().server;
-        self.note_failed(&keeper.describe(), &error.to_string());
+        self.log_failed_try(&keeper.describe(), &error.to_string());
         self.avoided.push(first);
         let now = clock::now();
         if error.is_connection_limit() {
@@ -215,7 +221,7 @@
             relay.server_lost(first, &ServerLoss::from(error));
             return true;
         }
-        self.arrived += 1;
+        self.reached += 1;
         self.runs += 1;
         if error.may_be_crash() {
             let broken = RunBreak {
@@ -233,7 +239,7 @@
 
     /// Whether no part of the answer has been produced yet. Only such requests queue
     /// for free cache.
-    fn is_fresh(&self) -> bool {
+    fn is_unstarted(&self) -> bool {
         self.runs == 0 && self.target.request.head.last_event.is_none()
     }
 
@@ -250,8 +256,8 @@
     /// The best path for which the permits of all engines with a limit are granted.
     async fn choose_permitted(&self) -> Result<Option<(PipelinePath, PathPermits)>, Refusal> {
         for _ in 0..MAX_PERMIT_TRIES {
-            let chosen = if self.is_fresh() {
-                self.choose_with_room().await?
+            let chosen = if self.is_unstarted() {
+                self.choose_with_free_cache().await?
             } else {
                 self.choose(&[])
             };
@@ -272,11 +278,13 @@
         let home = &self.target.relay.settings.domain;
         let tokens = self.target.request.tokens();
         let found = self.with_finder(also_avoided, |finder| finder.find(home, tokens))?;
-        found.inspect_err(|no_path| self.note_no_path(no_path)).ok()
+        found
+            .inspect_err(|no_path| self.log_invalid_path(no_path))
+            .ok()
     }
 
     /// Logs a search result that is no valid path, which is a fault of the search.
-    fn note_no_path(&self, no_path: &NoPath) {
+    fn log_invalid_path(&self, no_path: &NoPath) {
         let NoPath::Unusable { fault } = no_path else {
             return;
         };
@@ -316,7 +324,7 @@
         keeper: &mut PathKeeper,
         permits: &PathPermits,
         after: Option<u64>,
-    ) -> Opened {
+    ) -> SendOutcome {
         let relay = &self.target.relay;
         let request = &self.target.request;
         let names = relay.protocol.names();
@@ -327,7 +335,7 @@
         let outbound = request.to_server(names, &first.engine, extra);
         let server = relay.view.load().server(first.server).cloned();
         let Some(server) = server else {
-            return Opened::Failed(UpstreamError::Withdrawn);
+            return SendOutcome::Failed(UpstreamError::Withdrawn);
         };
         let upstream = relay.upstream(first.server, &self.target.service);
         let stages = keeper.path().stages().iter();
@@ -347,7 +355,7 @@
         let sent = loop {
             tokio::select! {
                 sent = &mut sending => break sent,
-                () = clock::sleep_until(request.deadline) => return Opened::TimedOut,
+                () = clock::sleep_until(request.deadline) => return SendOutcome::TimedOut,
                 watched = keeper.watch() => {
                     let message = match watched {
                         Watched::Fine => continue,
@@ -356,7 +364,7 @@
                             continue;
                         }
                         Watched::Hung => {
-                            self.is_paid = true;
+                            self.is_budgeted = true;
                             "no event arrived, and no engine is lost"
                         }
                         // A request that may run only once keeps its run.
@@ -374,39 +382,42 @@
             }
         };
         match sent {
-            Ok(answer) => self.opened(answer, &server, keeper.path()).await,
-            Err(error) => Opened::Failed(error),
+            Ok(answer) => self.classify(answer, &server, keeper.path()).await,
+            Err(error) => SendOutcome::Failed(error),
         }
     }
 
     /// Classifies an answer's head.
-    async fn opened(
+    async fn classify(
         &self,
         answer: UpstreamAnswer,
         server: &BackendServer,
         path: &PipelinePath,
-    ) -> Opened {
+    ) -> SendOutcome {
         let names = self.target.relay.protocol.names();
         if !answer.is_for(names, &self.target.request.attempt) {
-            return Opened::Failed(UpstreamError::WrongAttempt {
+            return SendOutcome::Failed(UpstreamError::WrongAttempt {
                 addr: server.addr(),
             });
         }
         if answer.is_not_run(names) {
-            let at_fault = faulty_server(&answer.headers, &names.faulty_server)
+            let refused_by = faulty_server(&answer.headers, &names.faulty_server)
                 .and_then(|addr| self.target.relay.engine_at(addr, path));
             let backoff = answer.backoff;
             // Reading the body to its end returns the connection to the pool.
             let _ = tokio::time::timeout(MIN_TIME_LEFT, answer.collect(server.addr())).await;
-            return Opened::NotRun { at_fault, backoff };
+            return SendOutcome::NotRun {
+                refused_by,
+                backoff,
+            };
         }
         if !is_signed(answer.status, &answer.headers, names) {
-            return Opened::Failed(UpstreamError::Lost {
+            return SendOutcome::Failed(UpstreamError::Lost {
                 addr: server.addr(),
                 message: "a success without the engine's signature header".to_owned(),
             });
         }
-        Opened::Answer(Box::new(answer))
+        SendOutcome::Answer(Box::new(answer))
     }
 
     /// Passes an engine's error response on to the caller.
@@ -425,7 +436,7 @@
         ServeOutcome::Answer(whole.into_response())
     }
 
-    fn note_failed(&self, path: &str, cause: &str) {
+    fn log_failed_try(&self, path: &str, cause: &str) {
         if let Some(log) = self.target.relay.events.line(Weight::Notable) {
             let avoided: Vec<String> = self
                 .avoided
--- a/crates/rookferry_relay/src/opener/refused.rs
+++ b/crates/rookferry_relay/src/stream_opener/refusals.rs
@@ -7,14 +7,14 @@
 use rookferry_core::ServerKey;
 use rookferry_net::clock;
 
-use super::Opener;
+use super::StreamOpener;
 use super::StreamTarget;
 use crate::probe;
 use crate::refusal::Refusal;
 
-impl Opener<'_> {
+impl StreamOpener<'_> {
     /// Records a refusal by an engine of a path, which `first` forwarded or gave itself.
-    pub(super) fn note_refused(
+    pub(super) fn record_engine_refusal(
         &self,
         first: ServerKey,
         refusing: ServerKey,
@@ -30,7 +30,7 @@
         }
         let has_room = relay.engine_refused(refusing, &self.target.model);
         // The engine may have exited, or restarted without its layers. Its directory
-        // entry shows that seconds later, or, while the store is unavailable, never.
+        // entry shows that seconds later, or, while the store is unavailable, not at all.
         if has_room || refusing != first {
             probe::check_soon(relay, refusing);
         }
@@ -38,7 +38,7 @@
 
     /// The refusal with the time at which there is a path again; none if there is one
     /// now, or no backoff or refused permit is the cause.
-    pub(super) fn wait_for_engines(&self) -> Option<Refusal> {
+    pub(super) fn retry_refusal(&self) -> Option<Refusal> {
         let StreamTarget {
             relay,
             request,
