--- a/crates/rookferry_relay/src/path_supervisor/mod.rs
+++ b/crates/rookferry_relay/src/path_supervisor/mod.rs
@@ -47,9 +47,9 @@
 /// heartbeat of the instances that share the engines fits in.
 const SILENT_BEFORE_FIRST: Duration = Duration::from_millis(200);
 /// How long a stream may wait for its first event before its path is probed.
-const FIRST_EVENT_AFTER: Duration = Duration::from_millis(220);
+const FIRST_EVENT_STALL_AFTER: Duration = Duration::from_millis(220);
 /// Time until a stream that is still stalled is checked again; doubles each time.
-const STALL_AGAIN: Duration = Duration::from_millis(150);
+const STALL_RECHECK_AFTER: Duration = Duration::from_millis(150);
 /// Stall without a lost stage from which another run is worth its cost; clients wait
 /// for two seconds.
 const HUNG_AFTER: Duration = Duration::from_millis(500);
@@ -59,7 +59,7 @@
 /// Stall from which all engines of the path are asked for a report on their speed.
 const SLOW_AFTER: Duration = Duration::from_millis(200);
 /// Age from which an engine's report is requested again.
-const REPORT_AGAIN: Duration = Duration::from_millis(500);
+const MIN_REPORT_AGE: Duration = Duration::from_millis(500);
 
 /// How long a stream whose repair was refused for lack of cache waits until the next
 /// repair; doubles each time.
@@ -67,10 +67,10 @@
 /// Load pattern: a seventh of the engines is lost and the others are full, while the
 /// fleet changes many times a second. With a repair at each change, each stream would
 /// be refused dozens of times.
-const NO_ROOM_PAUSE: Duration = Duration::from_millis(150);
+const REFUSED_REPAIR_PAUSE: Duration = Duration::from_millis(150);
 
 /// The path of a running request, with the state of its monitoring and repair.
-pub(crate) struct PathKeeper {
+pub(crate) struct PathSupervisor {
     relay: Arc<Relay>,
     request: Arc<CallerRequest>,
     service: ServingService,
@@ -79,8 +79,8 @@
     /// Signals changes of the fleet.
     fleet: watch::Receiver<u64>,
     /// When the path is probed unless events arrive before.
-    look_at: Instant,
-    look_pause: Duration,
+    check_at: Instant,
+    check_pause: Duration,
     /// When the last event arrived, or the request was sent.
     stalled_since: Instant,
     /// Engines that refused a repair since the last successful one.
@@ -93,23 +93,23 @@
     /// a check.
     must_check: bool,
     /// Whether no other run can take over, so that a repair may cost any time.
-    keeps_run: bool,
-    progress: Progress,
+    allows_costly_repair: bool,
+    phase: RunPhase,
     /// Whether an event has arrived that all engines of the current path contributed to.
     is_proven: bool,
     /// Engines at which the run broke.
-    broken_at: Vec<ServerKey>,
+    broken_engines: Vec<ServerKey>,
     run: RunId,
     /// When the run reached each engine of its path.
     joined: HashMap<ServerKey, Instant>,
     /// The engines' liveness evidence, in the order of the stages.
-    signs: Vec<Sign>,
+    last_seen: Vec<Sign>,
     load: LoadGuard,
 }
 
 /// How far the current run has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Progress {
+enum RunPhase {
     /// No event has arrived.
     Waiting,
     /// Events arrive.
@@ -120,20 +120,20 @@
 
 /// Result of a check of the path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Watched {
+pub(crate) enum PathCheck {
     /// The path needs no action, or none is possible now.
-    Fine,
+    NoAction,
     /// The first engine is lost, and the run with it.
-    FirstLost,
+    FirstEngineLost,
     /// No engine is lost, but no event has arrived for too long.
     Hung,
     /// A lost stage could only be replaced in another failure domain, or the first
     /// engine asked for a backoff. The link between domains would carry all the
     /// request's tokens again, which takes longer than another run within one domain.
-    Costly,
+    RepairTooCostly,
 }
 
-impl PathKeeper {
+impl PathSupervisor {
     /// Starts monitoring a path, and counts the request at its engines.
     pub(crate) fn new(target: &StreamTarget, path: PipelinePath) -> Self {
         let StreamTarget {
@@ -145,24 +145,24 @@
         let now = clock::now();
         Self {
             load: track_load(relay, request, &path),
-            signs: signs(relay, &path),
+            last_seen: last_seen(relay, &path),
             fleet: relay.fleet_changes.subscribe(),
             relay: relay.clone(),
             request: request.clone(),
             service: service.clone(),
             model: model.clone(),
-            look_at: now + FIRST_EVENT_AFTER,
-            look_pause: STALL_AGAIN,
+            check_at: now + FIRST_EVENT_STALL_AFTER,
+            check_pause: STALL_RECHECK_AFTER,
             stalled_since: now,
             refused: Vec::new(),
             repair_at: now,
-            repair_pause: NO_ROOM_PAUSE,
+            repair_pause: REFUSED_REPAIR_PAUSE,
             repairs: 0,
             must_check: false,
-            keeps_run: false,
-            progress: Progress::Waiting,
+            allows_costly_repair: false,
+            phase: RunPhase::Waiting,
             is_proven: false,
-            broken_at: Vec::new(),
+            broken_engines: Vec::new(),
             run: rand::random(),
             joined: joined(&path, now),
             path,
@@ -183,16 +183,16 @@
     }
 
     /// Records that the run broke at its first engine, or with the connection to it.
-    pub(crate) fn note_broken_at_first(&mut self) {
-        self.note_broken_at(self.path.first().server);
+    pub(crate) fn record_broken_at_first(&mut self) {
+        self.record_broken_at(self.path.first().server);
     }
 
     /// Records that the run broke at an engine of its path; once per engine.
-    fn note_broken_at(&mut self, server: ServerKey) {
-        if self.broken_at.contains(&server) {
+    fn record_broken_at(&mut self, server: ServerKey) {
+        if self.broken_engines.contains(&server) {
             return;
         }
-        self.broken_at.push(server);
+        self.broken_engines.push(server);
         let progress = if self.is_proven {
             RunProgress::Answering
         } else {
@@ -236,73 +236,73 @@
     }
 
     /// Time since the last event, or since the request was sent.
-    pub(crate) fn stands_for(&self, now: Instant) -> Duration {
+    pub(crate) fn stalled_for(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.stalled_since)
     }
 
     /// Records arrived events, which show that all engines of the path are alive.
-    pub(crate) fn progressed(&mut self, now: Instant) {
+    pub(crate) fn record_progress(&mut self, now: Instant) {
         self.stalled_since = now;
-        self.look_at = now + STALL_AFTER;
-        self.look_pause = STALL_AGAIN;
-        if self.progress != Progress::Running {
+        self.check_at = now + STALL_AFTER;
+        self.check_pause = STALL_RECHECK_AFTER;
+        if self.phase != RunPhase::Running {
             self.relay.engines_accepted(self.path.stages(), now);
         }
-        self.progress = Progress::Running;
+        self.phase = RunPhase::Running;
         self.is_proven = true;
-        for sign in &self.signs {
-            sign.note(now);
+        for seen in &self.last_seen {
+            seen.note(now);
         }
     }
 
     /// Waits until the path must be checked, then checks and repairs it.
     ///
     /// May be cancelled at any point; the next call repeats the check.
-    pub(crate) async fn watch(&mut self) -> Watched {
+    pub(crate) async fn watch(&mut self) -> PathCheck {
         if !self.must_check {
             tokio::select! {
-                () = clock::sleep_until(self.look_at) => self.look().await,
+                () = clock::sleep_until(self.check_at) => self.probe_path().await,
                 _ = self.fleet.changed() => {}
             }
             self.must_check = true;
         }
         let watched = self.repair().await;
         self.must_check = false;
-        if watched == Watched::Fine && self.is_hung() {
-            self.progress = Progress::Hung;
-            return Watched::Hung;
+        if watched == PathCheck::NoAction && self.is_hung() {
+            self.phase = RunPhase::Hung;
+            return PathCheck::Hung;
         }
         watched
     }
 
     /// Whether the stream has stalled for too long; true once per stall.
     fn is_hung(&self) -> bool {
-        let bound = match self.progress {
-            Progress::Waiting => FIRST_EVENT_HUNG_AFTER,
-            Progress::Running => HUNG_AFTER,
-            Progress::Hung => return false,
+        let bound = match self.phase {
+            RunPhase::Waiting => FIRST_EVENT_HUNG_AFTER,
+            RunPhase::Running => HUNG_AFTER,
+            RunPhase::Hung => return false,
         };
         clock::since(self.stalled_since) >= bound
     }
 
     /// Probes the engines of a stalled stream's path that were silent for too long, and
     /// asks for the reports of all if the stall goes on.
-    async fn look(&mut self) {
+    async fn probe_path(&mut self) {
         let stalled = clock::since(self.stalled_since);
         let now = clock::now();
-        let silent = self.path.stages().iter().zip(&self.signs);
+        let silent = self.path.stages().iter().zip(&self.last_seen);
         let signs = &self.relay.beliefs.signs;
-        let silent_after = match self.progress {
-            Progress::Waiting => SILENT_BEFORE_FIRST,
-            Progress::Running | Progress::Hung => SILENT_AFTER,
+        let silent_after = match self.phase {
+            RunPhase::Waiting => SILENT_BEFORE_FIRST,
+            RunPhase::Running | RunPhase::Hung => SILENT_AFTER,
         };
-        let is_asked = |server: ServerKey, sign: &Sign| {
-            let is_slow = stalled >= SLOW_AFTER && signs.report_age(server, now) >= REPORT_AGAIN;
-            (is_slow || sign.age(now) >= silent_after)
+        let is_asked = |server: ServerKey, seen: &Sign| {
+            let is_slow = stalled >= SLOW_AFTER && signs.report_age(server, now) >= MIN_REPORT_AGE;
+            (is_slow || seen.age(now) >= silent_after)
                 && signs.begin_asking(server, probe::ASK_AGAIN, now)
         };
         let probes = silent
-            .filter(|(stage, sign)| is_asked(stage.server, sign))
+            .filter(|(stage, seen)| is_asked(stage.server, seen))
             .map(|(stage, _)| {
                 let upstream = self.relay.upstream(stage.server, &self.service);
                 probe::check(&self.relay, upstream)
@@ -317,8 +317,8 @@
                 "request" => &self.request.attempt, "stalled_ms" => millis(stalled),
                 "path" => self.describe(), "probed" => asked, "lost" => lost);
         }
-        self.look_at = clock::now() + self.look_pause;
-        self.look_pause *= 2;
+        self.check_at = clock::now() + self.check_pause;
+        self.check_pause *= 2;
     }
 
     /// The state of a stage; lost if its engine refused a repair.
@@ -342,13 +342,13 @@
     }
 
     /// Allows costly repairs, since no other run can take over.
-    pub(crate) fn keep_run(&mut self) {
-        self.keeps_run = true;
+    pub(crate) fn allow_costly_repair(&mut self) {
+        self.allows_costly_repair = true;
         self.must_check = true;
     }
 }
 
-impl Drop for PathKeeper {
+impl Drop for PathSupervisor {
     fn drop(&mut self) {
         // The load guard is dropped right after this; a woken request checks later.
         self.relay.door.record_freed(&self.service.name);
@@ -378,7 +378,7 @@
 }
 
 /// The liveness evidence of a path's engines, in the order of the stages.
-fn signs(relay: &Relay, path: &PipelinePath) -> Vec<Sign> {
+fn last_seen(relay: &Relay, path: &PipelinePath) -> Vec<Sign> {
     let stages = path.stages().iter();
     stages
         .map(|stage| relay.beliefs.signs.of(stage.server))
--- a/crates/rookferry_relay/src/path_supervisor/repair.rs
+++ b/crates/rookferry_relay/src/path_supervisor/repair.rs
@@ -15,13 +15,13 @@
 use rookferry_net::clock;
 use slog::warn;
 
-use super::NO_ROOM_PAUSE;
-use super::PathKeeper;
+use super::PathCheck;
+use super::PathSupervisor;
+use super::REFUSED_REPAIR_PAUSE;
 use super::STALL_AFTER;
-use super::STALL_AGAIN;
-use super::Watched;
+use super::STALL_RECHECK_AFTER;
 use super::joined;
-use super::signs;
+use super::last_seen;
 use super::track_load;
 use crate::engines::StageState;
 use crate::event_log::Weight;
@@ -35,7 +35,7 @@
 const MAX_REPAIR_TRIES: usize = 3;
 
 /// Outcome of an order to change a request's path.
-enum Moved {
+enum RepathOutcome {
     Done,
     /// The named engine, if any, lacks free cache or can't be reached.
     Refused(Option<ServerKey>),
@@ -45,77 +45,77 @@
     Failed,
 }
 
-impl PathKeeper {
+impl PathSupervisor {
     /// Replaces stages that are lost or leaving, with up to [`MAX_REPAIR_TRIES`] paths.
-    pub(super) async fn repair(&mut self) -> Watched {
+    pub(super) async fn repair(&mut self) -> PathCheck {
         for _ in 0..MAX_REPAIR_TRIES {
             let lost = self.stages_in(StageState::Lost);
             let leaving = self.stages_in(StageState::Leaving);
             let first = self.path.first().clone();
-            self.note_broken(&lost);
+            self.record_broken_stages(&lost);
             if lost.contains(&first) {
                 // An engine that refuses new connections may still serve this one.
                 let stands_still = clock::since(self.stalled_since) >= STALL_AFTER;
                 let is_out = self.relay.beliefs.health().is_out(first.server);
                 return if is_out && stands_still {
-                    Watched::FirstLost
+                    PathCheck::FirstEngineLost
                 } else {
-                    Watched::Fine
+                    PathCheck::NoAction
                 };
             }
             // A quarantined request is not moved to further servers.
             if self.relay.is_quarantined(&self.request) {
-                return Watched::Fine;
+                return PathCheck::NoAction;
             }
             if clock::now() < self.repair_at {
-                return Watched::Fine;
+                return PathCheck::NoAction;
             }
             let Some((replaced, path)) = self.replacement(&lost, &leaving) else {
-                return Watched::Fine;
+                return PathCheck::NoAction;
             };
             if let Some(left) = self.relay.beliefs.backoff_left(first.server) {
-                return self.put_off(left, !lost.is_empty());
+                return self.handle_backoff(left, !lost.is_empty());
             }
-            if !self.keeps_run && self.adds_crossings(&path) {
-                return Watched::Costly;
+            if !self.allows_costly_repair && self.adds_crossings(&path) {
+                return PathCheck::RepairTooCostly;
             }
             // The refused permit excludes its engine from the next path.
             let Some(permits) = self.permits_for_new(&path).await else {
                 continue;
             };
-            let moved_at = clock::now();
-            match self.move_to(&path, &permits).await {
-                Moved::Done => {
-                    self.note_repaired(&replaced, &path);
+            let ordered_at = clock::now();
+            match self.order_repath(&path, &permits).await {
+                RepathOutcome::Done => {
+                    self.record_repair(&replaced, &path);
                     self.load = track_load(&self.relay, &self.request, &path);
-                    self.signs = signs(&self.relay, &path);
-                    self.join(&path, moved_at);
+                    self.last_seen = last_seen(&self.relay, &path);
+                    self.record_joined(&path, ordered_at);
                     self.path = path;
                     self.is_proven = false;
                     self.refused.clear();
-                    self.repair_pause = NO_ROOM_PAUSE;
-                    self.look_at = clock::now() + STALL_AGAIN;
-                    return Watched::Fine;
+                    self.repair_pause = REFUSED_REPAIR_PAUSE;
+                    self.check_at = clock::now() + STALL_RECHECK_AFTER;
+                    return PathCheck::NoAction;
                 }
-                Moved::Refused(Some(engine)) => {
+                RepathOutcome::Refused(Some(engine)) => {
                     self.relay.engine_refused(engine, &self.model);
                     probe::check_soon(&self.relay, engine);
                     self.refused.push(engine);
                 }
-                Moved::Refused(None) => {
+                RepathOutcome::Refused(None) => {
                     self.repair_at = clock::now() + self.repair_pause;
                     self.repair_pause *= 2;
-                    return Watched::Fine;
+                    return PathCheck::NoAction;
                 }
-                Moved::Unknown | Moved::Failed => return Watched::Fine,
+                RepathOutcome::Unknown | RepathOutcome::Failed => return PathCheck::NoAction,
             }
         }
-        Watched::Fine
+        PathCheck::NoAction
     }
 
     /// Records when the run reached the engines of a new path; those it already
     /// passed keep their time.
-    fn join(&mut self, path: &PipelinePath, at: Instant) {
+    fn record_joined(&mut self, path: &PipelinePath, at: Instant) {
         let before = std::mem::replace(&mut self.joined, joined(path, at));
         for (server, joined_at) in before {
             if let Some(known) = self.joined.get_mut(&server) {
@@ -128,20 +128,20 @@
     ///
     /// A stream with a lost stage would stall for that time, so another run is preferred
     /// if one may begin; otherwise the repair is postponed.
-    fn put_off(&mut self, left: Duration, has_lost: bool) -> Watched {
-        if has_lost && !self.keeps_run {
-            return Watched::Costly;
+    fn handle_backoff(&mut self, left: Duration, has_lost: bool) -> PathCheck {
+        if has_lost && !self.allows_costly_repair {
+            return PathCheck::RepairTooCostly;
         }
         self.repair_at = clock::now() + left;
-        Watched::Fine
+        PathCheck::NoAction
     }
 
     /// Records that the run broke at lost stages. The first engine is left out: its
     /// exit ends the run, which is recorded there.
-    fn note_broken(&mut self, lost: &[PathStage]) {
+    fn record_broken_stages(&mut self, lost: &[PathStage]) {
         let first = self.path.first().server;
         for stage in lost.iter().filter(|stage| stage.server != first) {
-            self.note_broken_at(stage.server);
+            self.record_broken_at(stage.server);
         }
     }
 
@@ -211,7 +211,7 @@
     }
 
     /// Orders the first engine to continue the request on another path.
-    async fn move_to(&self, path: &PipelinePath, permits: &PathPermits) -> Moved {
+    async fn order_repath(&self, path: &PipelinePath, permits: &PathPermits) -> RepathOutcome {
         let protocol = &self.relay.protocol;
         let call = protocol.repath_call(&self.request.attempt, path);
         let upstream = self.relay.upstream(path.first().server, &self.service);
@@ -221,35 +221,35 @@
         let answer = match answer {
             Ok(answer) => answer,
             Err(error) => {
-                self.note_failed(&error.to_string(), None);
-                return Moved::Failed;
+                self.log_failed_order(&error.to_string(), None);
+                return RepathOutcome::Failed;
             }
         };
         match answer.status {
-            status if status.is_success() => Moved::Done,
+            status if status.is_success() => RepathOutcome::Done,
             StatusCode::NOT_FOUND => {
-                self.note_failed("the first engine isn't running the request", None);
-                Moved::Unknown
+                self.log_failed_order("the first engine isn't running the request", None);
+                RepathOutcome::Unknown
             }
             status => {
-                let at_fault = protocol.refused_stage(&answer.body);
-                self.note_failed(status.as_str(), at_fault);
-                Moved::Refused(at_fault.and_then(|addr| self.relay.engine_at(addr, path)))
+                let refused_by = protocol.refused_stage(&answer.body);
+                self.log_failed_order(status.as_str(), refused_by);
+                RepathOutcome::Refused(refused_by.and_then(|addr| self.relay.engine_at(addr, path)))
             }
         }
     }
 
     /// Logs an order that failed or was refused, with the address that it names.
-    fn note_failed(&self, cause: &str, at_fault: Option<SocketAddr>) {
+    fn log_failed_order(&self, cause: &str, refused_by: Option<SocketAddr>) {
         if let Some(log) = self.relay.events.line(Weight::Notable) {
             warn!(log, "stream: the order to change its path failed"; "event" => "order_failed",
                 "request" => &self.request.attempt, "order" => "repath", "cause" => cause,
-                "at_fault" => at_fault.map(|addr| addr.to_string()));
+                "at_fault" => refused_by.map(|addr| addr.to_string()));
         }
     }
 
     /// Counts and logs a repair.
-    fn note_repaired(&mut self, lost: &[PathStage], path: &PipelinePath) {
+    fn record_repair(&mut self, lost: &[PathStage], path: &PipelinePath) {
         self.repairs += 1;
         let stalled = clock::since(self.stalled_since);
         counter!("rookferry_path_repairs_total").increment(1);
--- a/crates/rookferry_relay/src/plain.rs
+++ b/crates/rookferry_relay/src/plain.rs
@@ -34,7 +34,7 @@
 
 /// Cost of another failure domain, in requests in flight; its round trip takes a
 /// quarter of a millisecond longer.
-const FAR_COST: f64 = 0.5;
+const REMOTE_COST: f64 = 0.5;
 /// Cost of a server that fails all its requests, in requests in flight.
 const FAILING_COST: f64 = 30.0;
 /// Tries per request, including refused and unsent ones.
@@ -45,7 +45,7 @@
 const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
 /// Outcome of one try.
-enum Tried {
+enum SendOutcome {
     Answer(WholeAnswer),
     /// The server states that it didn't run the request.
     NotRun,
@@ -65,17 +65,17 @@
     };
     let may_repeat = request.route.repeatability.may_repeat();
     let mut avoided: Vec<ServerKey> = Vec::new();
-    let mut has_run = 0;
-    let mut arrived = 0;
+    let mut runs = 0;
+    let mut reached = 0;
     let mut last_answer = None;
     for _ in 0..MAX_TRIES {
         if request.time_left() < MIN_TIME_LEFT {
             break;
         }
-        if has_run > 0 && !relay.may_run_again(&request).await {
+        if runs > 0 && !relay.may_run_again(&request).await {
             break;
         }
-        if arrived > 0 && !relay.take_retry(&request) {
+        if reached > 0 && !relay.take_retry(&request) {
             break;
         }
         let chosen = choose_permitted(relay, &request, table, service, &avoided).await;
@@ -85,42 +85,42 @@
         avoided.push(server.key);
         let sent_at = clock::now();
         match send(relay, &request, service, server, &permits).await {
-            Tried::Answer(answer) => {
-                has_run += 1;
-                arrived += 1;
+            SendOutcome::Answer(answer) => {
+                runs += 1;
+                reached += 1;
                 let is_final = !(answer.status.is_server_error() && may_repeat);
                 if is_final {
-                    return answered(relay, &request, server, answer);
+                    return pass_answer(relay, &request, server, answer);
                 }
-                note_failed(relay, &request, server, answer.status.as_str());
+                log_failed_try(relay, &request, server, answer.status.as_str());
                 relay.beliefs.health().failed(server.key, clock::now());
                 last_answer = Some((server.clone(), answer));
             }
-            Tried::NotRun => {
-                arrived += 1;
-                note_failed(relay, &request, server, "not run");
+            SendOutcome::NotRun => {
+                reached += 1;
+                log_failed_try(relay, &request, server, "not run");
                 // A backoff alone excludes the server; it is no failure.
                 if relay.beliefs.backoff_left(server.key).is_none() {
                     relay.beliefs.health().failed(server.key, clock::now());
                 }
             }
-            Tried::Failed(UpstreamError::Withdrawn) => {
-                if arrived == 0 {
+            SendOutcome::Failed(UpstreamError::Withdrawn) => {
+                if reached == 0 {
                     return ServeOutcome::Withdrawn;
                 }
                 break;
             }
-            Tried::Failed(error) if error.is_local_refusal() => {
-                note_failed(relay, &request, server, &error.to_string());
+            SendOutcome::Failed(error) if error.is_local_refusal() => {
+                log_failed_try(relay, &request, server, &error.to_string());
             }
-            Tried::Failed(error) if error.is_unsent() => {
-                note_failed(relay, &request, server, &error.to_string());
+            SendOutcome::Failed(error) if error.is_unsent() => {
+                log_failed_try(relay, &request, server, &error.to_string());
                 relay.server_lost(server.key, &ServerLoss::from(&error));
             }
-            Tried::Failed(error) => {
-                has_run += 1;
-                arrived += 1;
-                note_failed(relay, &request, server, &error.to_string());
+            SendOutcome::Failed(error) => {
+                runs += 1;
+                reached += 1;
+                log_failed_try(relay, &request, server, &error.to_string());
                 if error.may_be_crash() {
                     let broken = RunBreak {
                         server: server.key,
@@ -133,26 +133,24 @@
                 }
                 relay.beliefs.health().failed(server.key, clock::now());
             }
-            Tried::TimedOut => return ServeOutcome::Refused(Refusal::TimedOut),
+            SendOutcome::TimedOut => return ServeOutcome::Refused(Refusal::TimedOut),
         }
-        let may_go_on = may_repeat || has_run == 0;
-        if !may_go_on || has_run >= request.route.max_servers.max(1) {
+        let may_go_on = may_repeat || runs == 0;
+        if !may_go_on || runs >= request.route.max_servers.max(1) {
             break;
         }
     }
     if let Some((server, answer)) = last_answer {
-        return answered(relay, &request, &server, answer);
+        return pass_answer(relay, &request, &server, answer);
     }
     let is_timed_out = request.time_left() < MIN_TIME_LEFT;
-    let refusal = Refusal::after_failed_tries(has_run > 0, is_timed_out);
-    ServeOutcome::Refused(
-        refusal.or_known_cause(|| wait_for_server(relay, &request, table, service)),
-    )
+    let refusal = Refusal::after_failed_tries(runs > 0, is_timed_out);
+    ServeOutcome::Refused(refusal.or_known_cause(|| retry_refusal(relay, &request, table, service)))
 }
 
 /// The refusal with the time at which a server takes the request again; none if one
 /// takes it now, or no backoff or refused permit is the cause.
-fn wait_for_server(
+fn retry_refusal(
     relay: &Relay,
     request: &CallerRequest,
     table: &ServerTable,
@@ -161,14 +159,14 @@
     let now = clock::now();
     let wait = relay.wait_ends(table, service, request.urgency, now);
     let filter = relay.server_filter(request.urgency);
-    let is_there_at = |at| {
+    let has_server_at = |at| {
         let mut servers = table.of(&service.name);
         servers.any(|server| filter.takes(server, at))
     };
-    if is_there_at(now) {
+    if has_server_at(now) {
         return None;
     }
-    let first = wait.ends.iter().find(|end| is_there_at(**end))?;
+    let first = wait.ends.iter().find(|end| has_server_at(**end))?;
     Some(wait.refusal(*first, now))
 }
 
@@ -203,9 +201,9 @@
         .of(&service.name)
         .filter(|server| filter.takes(server, now) && !avoided.contains(&server.key));
     let cost = |server: &BackendServer| {
-        let is_far = server.domain != relay.settings.domain;
+        let is_remote = server.domain != relay.settings.domain;
         f64::from(relay.load_of(server.key).requests)
-            + if is_far { FAR_COST } else { 0.0 }
+            + if is_remote { REMOTE_COST } else { 0.0 }
             + filter.health.failing_share(server.key, now) * FAILING_COST
     };
     usable.min_by(|left, right| cost(left).total_cmp(&cost(right)))
@@ -218,7 +216,7 @@
     service: &ServingService,
     server: &BackendServer,
     permits: &PathPermits,
-) -> Tried {
+) -> SendOutcome {
     let names = relay.protocol.names();
     let _load = relay
         .beliefs
@@ -244,15 +242,15 @@
     match clock::timeout_at(request.deadline, exchange).await {
         Some(Ok(Some(answer))) if is_signed(answer.status, &answer.headers, names) => {
             relay.server_answered(server.key);
-            Tried::Answer(answer)
+            SendOutcome::Answer(answer)
         }
-        Some(Ok(Some(_))) => Tried::Failed(UpstreamError::Lost {
+        Some(Ok(Some(_))) => SendOutcome::Failed(UpstreamError::Lost {
             addr: server.addr(),
             message: "a success without the server's signature header".to_owned(),
         }),
-        Some(Ok(None)) => Tried::NotRun,
-        Some(Err(error)) => Tried::Failed(error),
-        None => Tried::TimedOut,
+        Some(Ok(None)) => SendOutcome::NotRun,
+        Some(Err(error)) => SendOutcome::Failed(error),
+        None => SendOutcome::TimedOut,
     }
 }
 
@@ -265,7 +263,7 @@
     };
     relay.is_config_fresh()
         && request.is_allowed_by(index)
-        && stay(relay, &view, servers)
+        && none_is_leaving(relay, &view, servers)
         && !relay.is_quarantined(request)
 }
 
@@ -276,11 +274,11 @@
     request: &CallerRequest,
     servers: &[ServerKey],
 ) -> bool {
-    stay(relay, &relay.view.load(), servers) && !relay.is_quarantined(request)
+    none_is_leaving(relay, &relay.view.load(), servers) && !relay.is_quarantined(request)
 }
 
 /// Whether all servers are listed and none is leaving.
-fn stay(relay: &Relay, view: &SiteView, servers: &[ServerKey]) -> bool {
+fn none_is_leaving(relay: &Relay, view: &SiteView, servers: &[ServerKey]) -> bool {
     servers.iter().all(|server| {
         let known = view.server(*server);
         known.is_some_and(|known| !relay.beliefs.is_leaving(known))
@@ -288,7 +286,7 @@
 }
 
 /// Records the outcome and passes a server's answer on.
-fn answered(
+fn pass_answer(
     relay: &Relay,
     request: &CallerRequest,
     server: &BackendServer,
@@ -301,7 +299,7 @@
     ServeOutcome::Answer(answer.into_response())
 }
 
-fn note_failed(relay: &Relay, request: &CallerRequest, server: &BackendServer, cause: &str) {
+fn log_failed_try(relay: &Relay, request: &CallerRequest, server: &BackendServer, cause: &str) {
     if let Some(log) = relay.events.line(Weight::Notable) {
         warn!(log, "request: a try at a server failed"; "event" => "attempt_failed",
             "request" => &request.attempt, "signature" => %request.signature(),
--- a/crates/rookferry_relay/src/stream.rs
+++ b/crates/rookferry_relay/src/stream.rs
@@ -28,8 +28,8 @@
 use crate::event_log::Weight;
 use crate::event_log::millis;
 use crate::event_splitter::EventSplitter;
-use crate::path_supervisor::PathKeeper;
-use crate::path_supervisor::Watched;
+use crate::path_supervisor::PathCheck;
+use crate::path_supervisor::PathSupervisor;
 use crate::refusal::Refusal;
 use crate::relay::Relay;
 use crate::request::CallerRequest;
@@ -43,7 +43,7 @@
 struct StreamState {
     target: StreamTarget,
     /// Monitors the path of the current run.
-    keeper: PathKeeper,
+    supervisor: PathSupervisor,
     answer: Box<UpstreamAnswer>,
     splitter: EventSplitter,
     /// Servers that are excluded from the paths of further runs.
@@ -77,15 +77,15 @@
         model,
     };
     let mut opener = StreamOpener::first(&target);
-    let waiting = Waiting::new(&target);
+    let guard = FirstRunGuard::new(&target);
     let first_run = opener.open(target.request.head.last_event).await;
-    waiting.end();
+    guard.end();
     let (avoided, runs) = (opener.avoided, opener.runs);
     match first_run {
-        Ok((answer, keeper)) => respond(StreamState {
+        Ok((answer, supervisor)) => respond(StreamState {
             splitter: EventSplitter::resuming_after(target.request.head.last_event),
             target,
-            keeper,
+            supervisor,
             answer,
             avoided,
             runs,
@@ -99,13 +99,13 @@
 }
 
 /// Logs a caller that leaves before its stream has begun, when dropped unended.
-struct Waiting {
+struct FirstRunGuard {
     relay: Arc<Relay>,
     request: Arc<CallerRequest>,
     is_over: bool,
 }
 
-impl Waiting {
+impl FirstRunGuard {
     fn new(target: &StreamTarget) -> Self {
         Self {
             relay: target.relay.clone(),
@@ -120,7 +120,7 @@
     }
 }
 
-impl Drop for Waiting {
+impl Drop for FirstRunGuard {
     fn drop(&mut self) {
         if self.is_over {
             return;
@@ -134,13 +134,13 @@
 }
 
 /// The response with the answer's head and a body that polls the stream.
-fn respond(run: StreamState) -> ServeOutcome {
-    let status = run.answer.status;
-    let mut headers = end_to_end_headers(&run.answer.headers);
+fn respond(state: StreamState) -> ServeOutcome {
+    let status = state.answer.status;
+    let mut headers = end_to_end_headers(&state.answer.headers);
     headers.remove(http::header::CONTENT_LENGTH);
-    let events = stream::unfold(run, |mut run| async move {
-        let item = run.next().await?;
-        Some((item.map(http_body::Frame::data), run))
+    let events = stream::unfold(state, |mut state| async move {
+        let item = state.next().await?;
+        Some((item.map(http_body::Frame::data), state))
     });
     let mut response: Response<Body> =
         Response::new(UnsyncBoxBody::new(StreamBody::new(Box::pin(events))));
@@ -154,15 +154,15 @@
     /// Whole events for the caller.
     Events(Bytes),
     /// Nothing to pass on.
-    Nothing,
+    NoEvents,
     /// The answer is complete.
     Ended,
     /// The answer broke off or was invalid.
     Broken(String),
     /// Another run is worth more than a repair or than waiting for the first engine.
-    Costly,
+    NewRunPreferred,
     /// The first engine is unreachable, and no event arrives.
-    FirstLost,
+    FirstEngineLost,
     /// The request's deadline has passed.
     TimedOut,
 }
@@ -176,29 +176,29 @@
         loop {
             match self.step().await {
                 Step::Events(events) => {
-                    self.note_events();
+                    self.record_events();
                     return Some(Ok(events));
                 }
-                Step::Nothing => {}
+                Step::NoEvents => {}
                 Step::Ended => {
-                    self.note_ended();
+                    self.record_end();
                     return None;
                 }
                 Step::TimedOut => return Some(self.cut("the deadline passed")),
-                Step::Costly => {
+                Step::NewRunPreferred => {
                     if !self.resume("a lost stage can't be replaced soon").await {
-                        self.keeper.keep_run();
+                        self.supervisor.allow_costly_repair();
                     }
                 }
-                Step::FirstLost => {
-                    self.keeper.note_broken_at_first();
+                Step::FirstEngineLost => {
+                    self.supervisor.record_broken_at_first();
                     // Without another run the current one stays: the engine may be
                     // shutting down and finish this stream before.
                     self.resume("the first engine is lost").await;
                 }
                 Step::Broken(cause) => {
-                    self.keeper.note_broken_at_first();
-                    let first = self.keeper.path().first().server;
+                    self.supervisor.record_broken_at_first();
+                    let first = self.supervisor.path().first().server;
                     self.target
                         .relay
                         .beliefs
@@ -220,11 +220,11 @@
             frame = self.answer.body.frame() => match frame {
                 Some(Ok(frame)) => {
                     let Some(data) = frame.data_ref() else {
-                        return Step::Nothing;
+                        return Step::NoEvents;
                     };
                     match self.splitter.push(data) {
                         Ok(Some(events)) => Step::Events(events),
-                        Ok(None) => Step::Nothing,
+                        Ok(None) => Step::NoEvents,
                         Err(_) => Step::Broken("an event exceeds the size limit".to_owned()),
                     }
                 }
@@ -235,23 +235,23 @@
                 None => Step::Ended,
             },
             () = clock::sleep_until(deadline) => Step::TimedOut,
-            watched = self.keeper.watch() => match watched {
-                Watched::Fine => Step::Nothing,
-                Watched::FirstLost => Step::FirstLost,
-                Watched::Costly | Watched::Hung => Step::Costly,
+            watched = self.supervisor.watch() => match watched {
+                PathCheck::NoAction => Step::NoEvents,
+                PathCheck::FirstEngineLost => Step::FirstEngineLost,
+                PathCheck::RepairTooCostly | PathCheck::Hung => Step::NewRunPreferred,
             }
         }
     }
 
     /// Records events that are about to be passed on.
-    fn note_events(&mut self) {
+    fn record_events(&mut self) {
         let now = clock::now();
-        let stood = self.keeper.stands_for(now);
-        self.keeper.progressed(now);
+        let stalled = self.supervisor.stalled_for(now);
+        self.supervisor.record_progress(now);
         if self.first_event_at.is_none() {
             self.first_event_at = Some(now);
             let service = &self.target.service.name;
-            self.target.relay.door.record_first_event(service, stood);
+            self.target.relay.door.record_first_event(service, stalled);
             let wait = now.saturating_duration_since(self.target.request.received_at);
             let route = self.target.request.route.name.to_string();
             histogram!("rookferry_first_event_seconds", "route" => route)
@@ -264,7 +264,7 @@
     }
 
     /// Records the end of a stream that was delivered whole.
-    fn note_ended(&mut self) {
+    fn record_end(&mut self) {
         self.is_over = true;
         self.answer.return_connection();
         self.target.relay.record_finished_run(&self.target.request);
@@ -277,11 +277,11 @@
             let first = self.first_event_at.unwrap_or(self.last_event_at);
             info!(log, "stream: delivered"; "event" => "served",
                 "request" => &request.attempt, "route" => &*request.route.name,
-                "path" => self.keeper.describe(), "status" => 200,
+                "path" => self.supervisor.describe(), "status" => 200,
                 "first_event_ms" => millis(first.saturating_duration_since(request.received_at)),
                 "longest_gap_ms" => millis(self.longest_gap),
                 "took_ms" => millis(clock::since(request.received_at)),
-                "runs" => self.runs, "repairs" => self.keeper.repairs(),
+                "runs" => self.runs, "repairs" => self.supervisor.repairs(),
                 "config_version" => request.config_version);
         }
     }
@@ -294,7 +294,7 @@
             warn!(log, "stream: cut short"; "event" => "stream_cut",
                 "request" => &self.target.request.attempt,
                 "signature" => %self.target.request.signature(), "cause" => cause,
-                "path" => self.keeper.describe(), "runs" => self.runs,
+                "path" => self.supervisor.describe(), "runs" => self.runs,
                 "last_event" => self.splitter.last_id(),
                 "left_ms" => millis(self.target.request.time_left()));
         }
@@ -314,7 +314,7 @@
         let another = opener.open(after).await;
         self.avoided = std::mem::take(&mut opener.avoided);
         self.runs = opener.runs;
-        let Ok((answer, keeper)) = another else {
+        let Ok((answer, supervisor)) = another else {
             return false;
         };
         if answer.status != StatusCode::OK {
@@ -326,11 +326,11 @@
                 "request" => &self.target.request.attempt,
                 "signature" => %self.target.request.signature(), "cause" => cause,
                 "after_event" => after,
-                "paused_ms" => millis(paused), "runs" => self.runs, "path" => keeper.describe());
+                "paused_ms" => millis(paused), "runs" => self.runs, "path" => supervisor.describe());
         }
         self.splitter.drop_partial();
         self.answer = answer;
-        self.keeper = keeper;
+        self.supervisor = supervisor;
         true
     }
 }
--- a/crates/rookferry_relay/src/stream_opener/mod.rs
+++ b/crates/rookferry_relay/src/stream_opener/mod.rs
@@ -28,8 +28,8 @@
 use crate::event_log::Weight;
 use crate::event_log::millis;
 use crate::exchange::Purpose;
-use crate::path_supervisor::PathKeeper;
-use crate::path_supervisor::Watched;
+use crate::path_supervisor::PathCheck;
+use crate::path_supervisor::PathSupervisor;
 use crate::permits::PathPermits;
 use crate::plain::MAX_PERMIT_TRIES;
 use crate::plain::may_send;
@@ -122,7 +122,7 @@
     pub(crate) async fn open(
         &mut self,
         after: Option<u64>,
-    ) -> Result<(Box<UpstreamAnswer>, PathKeeper), ServeOutcome> {
+    ) -> Result<(Box<UpstreamAnswer>, PathSupervisor), ServeOutcome> {
         let may_repeat = self.target.request.route.repeatability.may_repeat();
         for _ in 0..MAX_TRIES {
             if self.target.request.time_left() < MIN_TIME_LEFT {
@@ -147,16 +147,16 @@
                 break;
             };
             let first = path.first().server;
-            let mut keeper = PathKeeper::new(self.target, path);
-            match self.send(&mut keeper, &permits, after).await {
+            let mut supervisor = PathSupervisor::new(self.target, path);
+            match self.send(&mut supervisor, &permits, after).await {
                 SendOutcome::Answer(answer) => {
                     self.reached += 1;
                     self.runs += 1;
                     if answer.status.is_success() {
                         self.target.relay.server_answered(first);
-                        return Ok((answer, keeper));
+                        return Ok((answer, supervisor));
                     }
-                    self.log_failed_try(&keeper.describe(), answer.status.as_str());
+                    self.log_failed_try(&supervisor.describe(), answer.status.as_str());
                     self.target
                         .relay
                         .beliefs
@@ -176,7 +176,7 @@
                     self.reached += 1;
                     let named =
                         refused_by.map_or_else(String::new, |server| format!(": {}", server.addr));
-                    self.log_failed_try(&keeper.describe(), &format!("not run{named}"));
+                    self.log_failed_try(&supervisor.describe(), &format!("not run{named}"));
                     let refusing = refused_by.unwrap_or(first);
                     self.record_engine_refusal(first, refusing, backoff);
                     self.avoided.push(refusing);
@@ -188,7 +188,7 @@
                     break;
                 }
                 SendOutcome::Failed(error) => {
-                    if !self.may_continue_after(&error, &keeper) {
+                    if !self.may_continue_after(&error, &supervisor) {
                         break;
                     }
                 }
@@ -203,11 +203,11 @@
     }
 
     /// Records a try without an answer; returns whether another may follow.
-    fn may_continue_after(&mut self, error: &UpstreamError, keeper: &PathKeeper) -> bool {
+    fn may_continue_after(&mut self, error: &UpstreamError, supervisor: &PathSupervisor) -> bool {
         let relay = &self.target.relay;
         let request = &self.target.request;
-        let first = keeper.path().first().server;
-        self.log_failed_try(&keeper.describe(), &error.to_string());
+        let first = supervisor.path().first().server;
+        self.log_failed_try(&supervisor.describe(), &error.to_string());
         self.avoided.push(first);
         let now = clock::now();
         if error.is_connection_limit() {
@@ -226,10 +226,10 @@
         if error.may_be_crash() {
             let broken = RunBreak {
                 server: first,
-                run: keeper.run(),
+                run: supervisor.run(),
                 reach: Reach::Direct,
                 progress: RunProgress::Begun,
-                joined_at: keeper.joined_at(first),
+                joined_at: supervisor.joined_at(first),
             };
             relay.record_broken_run(request, broken);
         }
@@ -321,15 +321,18 @@
     /// path meanwhile.
     async fn send(
         &mut self,
-        keeper: &mut PathKeeper,
+        supervisor: &mut PathSupervisor,
         permits: &PathPermits,
         after: Option<u64>,
     ) -> SendOutcome {
         let relay = &self.target.relay;
         let request = &self.target.request;
         let names = relay.protocol.names();
-        let first = keeper.path().first().clone();
-        let path = (names.path.clone(), relay.protocol.path_value(keeper.path()));
+        let first = supervisor.path().first().clone();
+        let path = (
+            names.path.clone(),
+            relay.protocol.path_value(supervisor.path()),
+        );
         let resume = after.map(|id| (names.last_event.clone(), HeaderValue::from(id)));
         let extra = std::iter::once(path).chain(resume);
         let outbound = request.to_server(names, &first.engine, extra);
@@ -338,7 +341,7 @@
             return SendOutcome::Failed(UpstreamError::Withdrawn);
         };
         let upstream = relay.upstream(first.server, &self.target.service);
-        let stages = keeper.path().stages().iter();
+        let stages = supervisor.path().stages().iter();
         let servers: Vec<ServerKey> = stages.map(|stage| stage.server).collect();
         let has_run = self.runs > 0;
         let may_repeat = request.route.repeatability.may_repeat();
@@ -356,23 +359,23 @@
             tokio::select! {
                 sent = &mut sending => break sent,
                 () = clock::sleep_until(request.deadline) => return SendOutcome::TimedOut,
-                watched = keeper.watch() => {
+                watched = supervisor.watch() => {
                     let message = match watched {
-                        Watched::Fine => continue,
-                        Watched::FirstLost => "the first engine is lost",
-                        Watched::Hung if self.runs > 0 || !self.can_start_elsewhere(first.server) => {
+                        PathCheck::NoAction => continue,
+                        PathCheck::FirstEngineLost => "the first engine is lost",
+                        PathCheck::Hung if self.runs > 0 || !self.can_start_elsewhere(first.server) => {
                             continue;
                         }
-                        Watched::Hung => {
+                        PathCheck::Hung => {
                             self.is_budgeted = true;
                             "no event arrived, and no engine is lost"
                         }
                         // A request that may run only once keeps its run.
-                        Watched::Costly if self.runs > 0 || !may_repeat => {
-                            keeper.keep_run();
+                        PathCheck::RepairTooCostly if self.runs > 0 || !may_repeat => {
+                            supervisor.allow_costly_repair();
                             continue;
                         }
-                        Watched::Costly => "a lost stage can't be replaced soon",
+                        PathCheck::RepairTooCostly => "a lost stage can't be replaced soon",
                     };
                     break Err(UpstreamError::Abandoned {
                         addr: first.addr(),
@@ -382,7 +385,7 @@
             }
         };
         match sent {
-            Ok(answer) => self.classify(answer, &server, keeper.path()).await,
+            Ok(answer) => self.classify(answer, &server, supervisor.path()).await,
             Err(error) => SendOutcome::Failed(error),
         }
     }
