--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -332,7 +332,7 @@
         let left = end.saturating_duration_since(now);
         match self.spread {
             // Told the same moment, all that were refused would come back at once.
-            Some(spread) => Refusal::RateLimited(left + spread.mul_f64(rand::random())),
+            Some(spread) => Refusal::AtLimit(left + spread.mul_f64(rand::random())),
             None => Refusal::BackedOff(left),
         }
     }
--- a/crates/rookferry_relay/src/exchange.rs
+++ b/crates/rookferry_relay/src/exchange.rs
@@ -213,12 +213,12 @@
 
     /// Starts a backoff that a server asked this instance for.
     pub(crate) fn back_off(&self, server: ServerKey, asked: Duration) {
-        let kept = self.beliefs.back_off(server, asked);
+        let applied = self.beliefs.back_off(server, asked);
         counter!("rookferry_server_backoffs_total").increment(1);
         if let Some(log) = self.events.line(Weight::Notable) {
             info!(log, "health: a server asked for a backoff";
                 "event" => "server_backoff", "server" => %server.addr,
-                "asked_ms" => millis(asked), "kept_ms" => millis(kept));
+                "asked_ms" => millis(asked), "kept_ms" => millis(applied));
         }
     }
 
--- a/crates/rookferry_relay/src/path_supervisor/mod.rs
+++ b/crates/rookferry_relay/src/path_supervisor/mod.rs
@@ -43,8 +43,8 @@
 /// Age of an engine's last liveness evidence, from any stream, from which a stalled
 /// stream has it probed.
 const SILENT_AFTER: Duration = Duration::from_millis(60);
-/// The same before the first event, where prefill is the likelier cause. A
-/// heartbeat of the instances that share the engines fits in.
+/// The same before the first event, where prefill is the likelier cause. It covers a
+/// heartbeat of the instances that share the engines.
 const SILENT_BEFORE_FIRST: Duration = Duration::from_millis(200);
 /// How long a stream may wait for its first event before its path is probed.
 const FIRST_EVENT_STALL_AFTER: Duration = Duration::from_millis(220);
@@ -127,9 +127,9 @@
     FirstEngineLost,
     /// No engine is lost, but no event has arrived for too long.
     Hung,
-    /// A lost stage could only be replaced in another failure domain, or the first
-    /// engine asked for a backoff. The link between domains would carry all the
-    /// request's tokens again, which takes longer than another run within one domain.
+    /// A lost stage could only be replaced in another failure domain. The link between
+    /// domains would carry all the request's tokens again, which takes longer than
+    /// another run within one domain. Or the first engine asked for a backoff.
     RepairTooCostly,
 }
 
--- a/crates/rookferry_relay/src/permits.rs
+++ b/crates/rookferry_relay/src/permits.rs
@@ -48,8 +48,8 @@
 /// Instances that are asked for one permit: the granter, and a second one if the first
 /// doesn't answer or isn't the granter.
 const MAX_INSTANCES_ASKED: usize = 2;
-/// Age from which an instance grants; by then it has received which other instances
-/// could be the granter.
+/// Age from which an instance grants; by then heartbeats have shown it the other
+/// instances that may be the granter.
 const MIN_GRANTER_AGE: Duration = Duration::from_secs(1);
 /// The refusal where no granter answered.
 const NO_GRANTER: PermitRefusal = PermitRefusal {
--- a/crates/rookferry_relay/src/pool.rs
+++ b/crates/rookferry_relay/src/pool.rs
@@ -150,8 +150,9 @@
             return;
         }
         self.servers.rcu(|servers| {
-            let kept = servers.iter().filter(|(server, _)| is_known(**server));
-            kept.map(|(server, pool)| (*server, pool.clone()))
+            let retained = servers.iter().filter(|(server, _)| is_known(**server));
+            retained
+                .map(|(server, pool)| (*server, pool.clone()))
                 .collect::<HashMap<_, _>>()
         });
     }
--- a/crates/rookferry_relay/src/quarantine.rs
+++ b/crates/rookferry_relay/src/quarantine.rs
@@ -176,7 +176,7 @@
         let at = clock::now();
         let last_seen_age = self.beliefs.signs.of(broken.server).age(at);
         let last_seen_at = at.checked_sub(last_seen_age);
-        let last_seen_at = last_seen_at.and_then(|seen| seen.checked_sub(MAX_EVENT_TRANSIT));
+        let last_seen_at = last_seen_at.and_then(|instant| instant.checked_sub(MAX_EVENT_TRANSIT));
         let alive_at = match broken.reach {
             // The server accepted the request then.
             Reach::Direct => last_seen_at.max(Some(broken.joined_at)),
--- a/crates/rookferry_relay/src/refusal.rs
+++ b/crates/rookferry_relay/src/refusal.rs
@@ -47,7 +47,7 @@
     /// All servers asked this instance for a backoff, which ends after this time.
     BackedOff(Duration),
     /// The servers' limits for all instances are reached; retry after this time.
-    RateLimited(Duration),
+    AtLimit(Duration),
     /// Servers crashed each time that they ran the request; it is quarantined for
     /// `wait`.
     Quarantined {
@@ -96,7 +96,7 @@
             | Self::NoServer
             | Self::Overloaded(_)
             | Self::BackedOff(_)
-            | Self::RateLimited(_)
+            | Self::AtLimit(_)
             | Self::Quarantined { .. }
             | Self::TimedOutNotRun => StatusCode::SERVICE_UNAVAILABLE,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
@@ -119,7 +119,7 @@
             Self::NoServer => "no_server",
             Self::Overloaded(_) => "overloaded",
             Self::BackedOff(_) => "servers_backed_off",
-            Self::RateLimited(_) => "servers_limited",
+            Self::AtLimit(_) => "servers_limited",
             Self::Quarantined { .. } => "quarantined",
             Self::TimedOutNotRun => "time_over_not_run",
             Self::TimedOut => "time_over",
@@ -153,9 +153,7 @@
             Self::Starting(_) | Self::ConfigUnknown | Self::ConfigStale => ReasonCode::NotReady,
             Self::Leaving => ReasonCode::Leaving,
             Self::NoServer => ReasonCode::NoChain,
-            Self::Overloaded(_) | Self::BackedOff(_) | Self::RateLimited(_) => {
-                ReasonCode::Overloaded
-            }
+            Self::Overloaded(_) | Self::BackedOff(_) | Self::AtLimit(_) => ReasonCode::Overloaded,
             Self::Quarantined { .. } => ReasonCode::Quarantined,
             Self::TimedOutNotRun | Self::TimedOut => ReasonCode::DeadlinePassed,
             Self::Unknown => ReasonCode::EngineLost,
@@ -174,7 +172,7 @@
             Self::Starting(wait)
             | Self::Overloaded(wait)
             | Self::BackedOff(wait)
-            | Self::RateLimited(wait)
+            | Self::AtLimit(wait)
             | Self::Quarantined { wait, .. } => Some(wait),
             Self::TimedOutNotRun | Self::BodyTooSlow => Some(Duration::from_millis(100)),
             _ => None,
@@ -195,9 +193,7 @@
             Self::NoServer => "no server can take the request now; retry after the stated time",
             Self::Overloaded(_) => "the engines' caches are full; retry after the stated time",
             Self::BackedOff(_) => "all servers asked for a backoff; retry when it ends",
-            Self::RateLimited(_) => {
-                "the servers' request limits are reached; retry after the stated time"
-            }
+            Self::AtLimit(_) => "the servers' request limits are reached; retry when stated",
             Self::Quarantined { .. } => {
                 "servers crashed each time that they ran this request; it is quarantined for a time"
             }
--- a/crates/rookferry_relay/src/request.rs
+++ b/crates/rookferry_relay/src/request.rs
@@ -175,8 +175,9 @@
         let name = name.as_str();
         !HOP_BY_HOP_HEADERS.contains(&name) && !named.iter().any(|other| other == name)
     };
-    let kept = headers.iter().filter(|(name, _)| passes(name));
-    kept.map(|(name, value)| (name.clone(), value.clone()))
+    let end_to_end = headers.iter().filter(|(name, _)| passes(name));
+    end_to_end
+        .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
 
--- a/crates/rookferry_relay/src/stream_opener/refusals.rs
+++ b/crates/rookferry_relay/src/stream_opener/refusals.rs
@@ -28,10 +28,10 @@
             }
             return;
         }
-        let has_room = relay.engine_refused(refusing, &self.target.model);
+        let has_free_cache = relay.engine_refused(refusing, &self.target.model);
         // The engine may have exited, or restarted without its layers. Its directory
         // entry shows that seconds later, or, while the store is unavailable, not at all.
-        if has_room || refusing != first {
+        if has_free_cache || refusing != first {
             probe::check_soon(relay, refusing);
         }
     }
--- a/crates/rookferry_relay/src/upstream.rs
+++ b/crates/rookferry_relay/src/upstream.rs
@@ -190,7 +190,7 @@
 }
 
 impl WholeAnswer {
-    /// The response for the caller, with the server's status, end-to-end headers and body.
+    /// The response for the caller: the server's status, end-to-end headers and body.
     pub(crate) fn into_response(self) -> Response<Body> {
         let body = Full::new(self.body).map_err(|never| match never {});
         let mut response: Response<Body> = Response::new(UnsyncBoxBody::new(body));
