--- a/crates/rookferry_core/src/serving/age.rs
+++ b/crates/rookferry_core/src/serving/age.rs
@@ -1,20 +1,21 @@
-//! How long ago something was known to be the newest of its kind.
+//! The time at which a version of the configuration or the server list was last confirmed
+//! to be the newest.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use super::ListVersion;
 
-/// The age of a configuration.
+/// The confirmation time of a configuration.
 pub type ConfigAge = VersionAge<u64>;
-/// The age of a list of servers.
+/// The confirmation time of a list of servers.
 pub type ServersAge = VersionAge<ListVersion>;
 
-/// The time at which a version was last confirmed to be the newest.
+/// A version, and when it was last confirmed to be the newest.
 ///
-/// It counts from before the call that confirmed it was sent, so that a pause of
-/// the process, or of the network, only makes it look older than it is. Its
-/// instants must be of a clock that goes on while the machine is suspended.
+/// The confirmation time is the time before the confirming call was sent, so that a pause
+/// of the process or the network can only make the version look older than it is. All
+/// instants must come from a clock that advances while the machine is suspended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct VersionAge<V> {
     version: V,
@@ -22,16 +23,16 @@
 }
 
 impl<V: Copy + Default + Ord> VersionAge<V> {
-    /// Nothing is confirmed.
+    /// No version is confirmed.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A version was the newest at some time.
+    /// Records that `version` was the newest at `at`; an older version is ignored.
     ///
-    /// The time never goes back: what an older version was confirmed for, all
-    /// that was acknowledged before, is in a newer version too.
+    /// The confirmation time never decreases: a newer version contains all writes that
+    /// were acknowledged when the older one was confirmed.
     pub fn confirm(&mut self, version: V, at: Instant) {
         if version < self.version {
             return;
@@ -46,20 +47,20 @@
         self.version
     }
 
-    /// When it was confirmed last; `None` if it never was.
+    /// When the version was last confirmed; `None` if it never was.
     #[must_use]
     pub const fn confirmed_at(&self) -> Option<Instant> {
         self.confirmed_at
     }
 
-    /// How long ago it was confirmed; `None` if it never was.
+    /// Time since the last confirmation; `None` if there was none.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
         let confirmed_at = self.confirmed_at?;
         Some(now.saturating_duration_since(confirmed_at))
     }
 
-    /// Whether it was confirmed within a time.
+    /// Whether the last confirmation is less than `bound` ago.
     #[must_use]
     pub fn is_fresh(&self, now: Instant, bound: Duration) -> bool {
         self.age(now).is_some_and(|age| age < bound)
--- a/crates/rookferry_core/src/serving/backend_server.rs
+++ b/crates/rookferry_core/src/serving/backend_server.rs
@@ -13,41 +13,40 @@
 
 use super::ServerKey;
 
-/// A backend server.
+/// The entry of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BackendServer {
-    /// Its name.
+    /// The server's name.
     pub id: EngineId,
-    /// Its service.
+    /// The service that it belongs to.
     pub service: ServiceId,
-    /// This start of it, and where it listens.
+    /// Its address and the hash of its start.
     pub key: ServerKey,
-    /// When it started, in Unix milliseconds; without it, each start has a
-    /// name of its own.
+    /// When it started, in Unix milliseconds; `None` if each start has a name of its own.
     pub incarnation: Option<Incarnation>,
-    /// How often it has written its entry since its start.
+    /// How often it has written its entry since it started.
     pub writes: u64,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Requests it works on at once.
+    /// How many requests it processes at once.
     pub slots: u32,
-    /// Whether it has said that it leaves.
+    /// Whether it has announced that it is leaving.
     pub is_leaving: bool,
-    /// Its accelerator's kind, if it is a model engine.
+    /// The kind of its accelerator; `None` unless it is a model engine.
     pub accelerator: Option<Arc<str>>,
-    /// The layers it holds, ready to run.
+    /// The model layers that it has loaded; `None` if it has none.
     pub held: Option<LayerRange>,
 }
 
 impl BackendServer {
-    /// Where it listens.
+    /// The address that it listens on.
     #[must_use]
     pub const fn addr(&self) -> SocketAddr {
         self.key.addr
     }
 
-    /// Whether another entry says the same of the same start, however often it
-    /// was written.
+    /// Whether both entries describe the same start with the same content, `writes`
+    /// aside.
     #[must_use]
     pub fn says_the_same(&self, other: &Self) -> bool {
         let Self {
--- a/crates/rookferry_core/src/serving/broken_runs.rs
+++ b/crates/rookferry_core/src/serving/broken_runs.rs
@@ -1,9 +1,10 @@
-//! Runs that broke, until it is known whether their server has ended.
+//! Broken runs whose server isn't known yet to have exited.
 //!
-//! A connection that breaks in the middle of a run says little: it may have
-//! been reset on its way, or the server may have broken off one answer. Only a
-//! server that refuses connections, or answers as another start, has ended, and
-//! each run that it had may be why.
+//! A connection that breaks in the middle of a run isn't proof of a crash: it may have
+//! been reset on the network, or the server may have aborted one answer. Only a server
+//! that refuses connections, or answers as another start, has exited, and any of the runs
+//! that it had may be the cause. So a broken run waits here until a probe of its server
+//! decides; then the caller records it as a crash or drops it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,13 +14,13 @@
 use super::RunEnd;
 use super::ServerKey;
 
-/// How long a broken run waits for word of its server: a probe takes up to
-/// 0.6 s, and a second one follows 0.3 s later.
+/// How long a broken run waits for a probe of its server: a probe takes up to 0.6 s, and
+/// a second one follows 0.3 s later.
 const UNDECIDED_KEPT: Duration = Duration::from_secs(2);
-/// How long it is kept that a server has ended; a stream that stands still
-/// finds its run broken within seconds.
+/// How long the exit of a server is remembered. A stalled stream finds its run broken
+/// within seconds.
 const ENDED_KEPT: Duration = Duration::from_mins(1);
-/// Most broken runs that wait: what ten engines have under way.
+/// Most broken runs that wait; ten engines have about that many requests in flight.
 const MAX_UNDECIDED: usize = 2_048;
 
 /// A run that broke.
@@ -27,39 +28,39 @@
 pub struct BrokenRun {
     /// The request's signature.
     pub signature: RequestSignature,
-    /// Its id, for logs.
+    /// The request's id, for logs.
     pub request: String,
-    /// The end that it met, if the server has ended.
+    /// The crash to record if the server has exited.
     pub end: RunEnd,
 }
 
-/// What is known when a run breaks.
+/// What is known of the server when a run breaks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BrokenRunNoted {
-    /// Its server has ended.
+    /// The server has exited; the run isn't stored.
     Ended(BrokenRun),
-    /// Nobody knows yet, and nobody asks.
+    /// Unknown; the caller is to probe the server.
     Unasked,
-    /// Nobody knows yet; it is being asked.
+    /// Unknown; an earlier broken run has caused a probe already.
     Asked,
 }
 
-/// The runs that broke lately.
+/// Broken runs that are undecided, and servers that exited lately.
 #[derive(Clone, Debug, Default)]
 pub struct BrokenRuns {
     undecided: Vec<(BrokenRun, Instant)>,
-    /// Servers that have ended, for runs that are found broken later.
+    /// When servers exited, for runs that are found broken later.
     ended: HashMap<ServerKey, Instant>,
 }
 
 impl BrokenRuns {
-    /// None.
+    /// No broken runs.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A run broke.
+    /// Records a broken run and returns what is known of its server.
     pub fn note(&mut self, run: BrokenRun, now: Instant) -> BrokenRunNoted {
         self.expire(now);
         if self.ended.contains_key(&run.end.server) {
@@ -77,20 +78,20 @@
         }
     }
 
-    /// A server has ended; gives back the runs that broke with it.
+    /// Records that a server has exited, and removes and returns its broken runs.
     pub fn server_ended(&mut self, server: ServerKey, now: Instant) -> Vec<BrokenRun> {
         self.expire(now);
         self.ended.insert(server, now);
         self.take(server)
     }
 
-    /// A server answers: its broken runs, which are given back, have another
-    /// cause.
+    /// Removes and returns the broken runs of a server that is still running: they have
+    /// another cause.
     pub fn server_answered(&mut self, server: ServerKey) -> Vec<BrokenRun> {
         self.take(server)
     }
 
-    /// Whether it isn't known yet of a server at which a request's run broke.
+    /// Whether a run of the request waits for a probe of its server.
     #[must_use]
     pub fn is_undecided(&self, signature: RequestSignature) -> bool {
         let mut undecided = self.undecided.iter();
--- a/crates/rookferry_core/src/serving/closed.rs
+++ b/crates/rookferry_core/src/serving/closed.rs
@@ -1,11 +1,10 @@
-//! Servers that take no new work though they have room.
+//! Servers that refuse requests although their load is low.
 //!
-//! Load pattern: a fifth of the engines begin to leave at once, and their
-//! entries tell of it a second or more later. An engine that refuses at once
-//! looks idle, so that every instance goes on choosing it, spends its retry
-//! budget there and then turns callers away. So one that refuses with little
-//! under way counts as closed, the instances tell each other, and it is tried
-//! again after a time that doubles.
+//! Load pattern: a fifth of the engines start to leave at once, and their entries in the
+//! store show it a second or more later. An engine that refuses at once looks idle, so
+//! every instance keeps choosing it, spends its retry budget on it and then refuses
+//! callers. So a server that refuses at low load counts as refusing: it gets no new work,
+//! peers are informed by heartbeat, and it is tried again after an exponential delay.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,30 +17,29 @@
 use super::turns::told_in_turn;
 use crate::millis::millis;
 
-/// The part of its room under which a server that refuses isn't just full.
-/// What is known of its load is some tenths of a second old, in which a tenth
-/// of its room may fill.
+/// Share of its cache capacity below which a server that refuses isn't merely full. The
+/// known load is some tenths of a second old, in which a tenth of the capacity may fill.
 const FULL_PART: f64 = 0.5;
-/// How long a server counts as closed after its first refusal: three
-/// heartbeats, so that others hear of it before they try it themselves.
+/// How long a server is excluded after its first refusal: three heartbeats, so that peers
+/// receive the report before they try the server themselves.
 const FIRST_CLOSED: Duration = Duration::from_millis(500);
-/// Instances leave a server alone for up to this many times longer than the
-/// least patient does, so that its word on the next refusal is there before
-/// most others try.
+/// Up to how many times longer than the shortest delay an instance excludes a server.
+/// Instances differ, so that the report of the next refusal reaches most of them before
+/// they try.
 const PATIENCE_SPREAD: f64 = 2.0;
-/// The longest time, which is how late an entry may tell that an engine left.
+/// Longest delay: an entry may show this late that an engine has left.
 const LONGEST_CLOSED: Duration = Duration::from_secs(4);
-/// Refusals in a row that are told apart; more close for the longest time.
+/// Consecutive refusals are counted up to this; at this count the delay is the longest.
 const MOST_REFUSALS: u8 = 8;
 
-/// A server that takes no new work, as instances tell each other.
+/// A refusing server, as reported to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClosedSeen {
     /// The server.
     pub server: ServerKey,
-    /// How long ago it refused, in milliseconds.
+    /// Time since its last refusal that counted, in milliseconds.
     pub age_ms: u64,
-    /// How often in a row it refused after having been left alone.
+    /// Consecutive refusals, each after the server had been excluded for a time.
     pub refusals: u8,
 }
 
@@ -50,20 +48,21 @@
     /// The last refusal that counted.
     refused_at: Option<Instant>,
     refusals: u8,
-    /// When it last took work.
+    /// When it last accepted work.
     accepted_at: Option<Instant>,
 }
 
-/// The servers that take no new work.
+/// Refusals at low load, by server.
 #[derive(Clone, Debug)]
 pub struct ClosedServers {
-    /// How many times as long as the least this instance leaves one alone.
+    /// The instance's factor on the delay; at least 1.
     patience: f64,
     records: HashMap<ServerKey, Record>,
 }
 
 impl ClosedServers {
-    /// None. `chance`, from 0 to 1, is the instance's own.
+    /// No refusing servers. `chance`, from 0 to 1, sets the instance's factor on the
+    /// delay.
     #[must_use]
     pub fn new(chance: f64) -> Self {
         Self {
@@ -72,8 +71,9 @@
         }
     }
 
-    /// A server refused a request, with some tokens under way by what is known
-    /// and room for others. Tells whether it counts as closed for that.
+    /// Records a refusal by a server whose load is known as `used_tokens` of
+    /// `room_tokens`. Returns whether the load was low enough for the server to count as
+    /// refusing.
     pub fn refused(
         &mut self,
         server: ServerKey,
@@ -92,8 +92,8 @@
         true
     }
 
-    /// Another instance's word. Tells whether a server counts as closed for it
-    /// that didn't before.
+    /// Merges a peer's report; returns whether the server is refusing due to it and
+    /// wasn't before.
     pub fn learn(&mut self, seen: ClosedSeen, now: Instant) -> bool {
         let Some(at) = now.checked_sub(Duration::from_millis(seen.age_ms)) else {
             return false;
@@ -107,7 +107,7 @@
         !was_closed && self.is_closed(seen.server, now)
     }
 
-    /// A server took work.
+    /// Records that a server accepted work.
     pub fn accepted(&mut self, server: ServerKey, now: Instant) {
         if let Some(record) = self.records.get_mut(&server) {
             record.refused_at = None;
@@ -116,19 +116,19 @@
         }
     }
 
-    /// A server's entry changed: what it refused before says nothing now.
+    /// Drops the refusals of a server whose entry has changed, as they no longer apply.
     pub fn changed(&mut self, server: ServerKey) {
         self.records.remove(&server);
     }
 
-    /// Whether a server is left alone for now.
+    /// Whether a server is excluded at `now`.
     #[must_use]
     pub fn is_closed(&self, server: ServerKey, now: Instant) -> bool {
         let record = self.records.get(&server);
         record.is_some_and(|record| record.is_closed(self.patience, now))
     }
 
-    /// Those that are left alone, to tell others in a turn: at most `most`.
+    /// At most `most` refusing servers to advertise in round `turn`.
     #[must_use]
     pub fn told(&self, most: usize, turn: usize, now: Instant) -> Vec<ClosedSeen> {
         let mut seen = self.seen(now);
@@ -136,7 +136,7 @@
         told_in_turn(&seen, most, turn)
     }
 
-    /// Those that are left alone.
+    /// All refusing servers.
     #[must_use]
     pub fn seen(&self, now: Instant) -> Vec<ClosedSeen> {
         let closed = self
@@ -154,7 +154,7 @@
         seen.collect()
     }
 
-    /// Forgets servers that `is_known` doesn't know.
+    /// Drops servers for which `is_known` is false.
     pub fn retain(&mut self, is_known: impl Fn(ServerKey) -> bool) {
         self.records.retain(|server, _| is_known(*server));
     }
--- a/crates/rookferry_core/src/serving/config.rs
+++ b/crates/rookferry_core/src/serving/config.rs
@@ -1,4 +1,7 @@
-//! Routes, services and client accounts, and the look-ups of a request.
+//! Routes, services and client accounts of a site, and their look-ups for a request.
+//!
+//! [`ServingConfig`] is the form that is stored and passed between instances;
+//! [`ServingIndex`] adds the tables that an instance uses for each request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,126 +14,126 @@
 
 use crate::ModelShape;
 
-/// How often a request of a route may run.
+/// How often a request of a route may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeatability {
-    /// As often as needed.
+    /// Any number of times.
     Idempotent,
-    /// Once at most.
+    /// At most once.
     AtMostOnce,
-    /// A stream of events; another run may go on where one broke off if
-    /// `resumable`, else it runs once at most.
+    /// The answer is an event stream. If `resumable`, another run may continue it where
+    /// one broke off; otherwise the request runs at most once.
     Stream {
-        /// Whether another run may go on.
+        /// Whether another run may continue the stream.
         resumable: bool,
     },
 }
 
 impl Repeatability {
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may have been executed can be sent again.
     #[must_use]
     pub const fn may_repeat(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Whether the answer is a series of events.
+    /// Whether the answer is an event stream.
     #[must_use]
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// A service that a route leads to.
+/// A service that a route sends requests to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteTarget {
     /// The service.
     pub service: ServiceId,
-    /// Its part of the requests, against the other targets' weights.
+    /// Its weight relative to the route's other targets.
     pub weight: u32,
 }
 
-/// A route.
+/// A route: which requests it matches, and how they are served.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServingRoute {
-    /// Its name.
+    /// The route's name.
     pub name: Arc<str>,
-    /// The host that it answers to, in lower case.
+    /// The host that it matches, in lower case.
     pub host: String,
-    /// What the path starts with; begins and ends with a slash.
+    /// Prefix of the paths that it matches; begins and ends with a slash.
     pub path_prefix: String,
-    /// How often a request may run.
+    /// How often a request may be executed.
     pub repeatability: Repeatability,
-    /// The longest that a request is held.
+    /// Longest time until a request has to be answered.
     pub timeout: Duration,
-    /// The time within which an answer is wanted.
+    /// Objective for the time to the answer.
     pub latency_objective: Duration,
-    /// The longest pause between events that is wanted.
+    /// Objective for the longest gap between two events of a stream, if there is one.
     pub gap_objective: Option<Duration>,
-    /// The most servers that a request is sent to.
+    /// Most servers that one request is sent to.
     pub max_servers: u32,
-    /// How urgent its requests are, 0 first.
+    /// Priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// Whether it takes requests without a key.
+    /// Whether it accepts requests without a key.
     pub is_public: bool,
-    /// Where its requests go; not empty.
+    /// The services that its requests go to; not empty.
     pub targets: Vec<RouteTarget>,
 }
 
 /// A service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServingService {
-    /// Its name.
+    /// The service's name.
     pub name: ServiceId,
-    /// Path at which its servers tell their health.
+    /// Path of the health check on its servers.
     pub health_path: String,
-    /// Connections that each of its servers takes from all callers.
+    /// Most connections to each of its servers, over all callers.
     pub max_connections: u32,
-    /// The model, if its servers run one over several engines.
+    /// The model, if its servers are engines that run one model together.
     pub model: Option<Arc<ModelShape>>,
 }
 
 /// A client account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServingAccount {
-    /// Its name.
+    /// The account's name.
     pub name: AccountId,
-    /// Its keys.
+    /// The account's API keys.
     pub keys: Vec<String>,
-    /// How urgent its requests are, 0 first; goes before a route's.
+    /// Priority of its requests; 0 is the most urgent. Precedes the route's priority.
     pub priority: u8,
 }
 
-/// What callers are held to.
+/// Limits on what a caller may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Longest body.
+    /// Longest body of a request, in bytes.
     pub max_body_bytes: usize,
-    /// Longest head.
+    /// Longest head of a request, in bytes.
     pub max_head_bytes: usize,
-    /// How long a head or a body may take.
+    /// Longest time in which a head or a body has to arrive.
     pub head_timeout: Duration,
-    /// How long a connection may rest.
+    /// Longest time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
-/// A configuration of a site.
+/// The serving configuration of a site.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServingConfig {
-    /// Its version; rises with each change.
+    /// The version; increases with each change.
     pub version: u64,
-    /// Its routes.
+    /// The routes.
     pub routes: Vec<ServingRoute>,
-    /// Its services.
+    /// The services.
     pub services: Vec<ServingService>,
-    /// Its client accounts; if there are none, no key is asked for.
+    /// The client accounts; if there are none, no key is required.
     pub accounts: Vec<ServingAccount>,
-    /// What callers are held to.
+    /// Limits on what a caller may send.
     pub limits: CallerLimits,
 }
 
 impl ServingConfig {
-    /// The longest pause between two events that is in time on every route to
-    /// a service; none if no route has an objective.
+    /// The strictest gap objective of the routes to a service; `None` if none of them has
+    /// one.
     #[must_use]
     pub fn longest_pause(&self, service: &ServiceId) -> Option<Duration> {
         let routes = self.routes.iter();
@@ -142,7 +145,7 @@
     }
 }
 
-/// A configuration with the tables for look-ups.
+/// A configuration with look-up tables.
 #[derive(Debug)]
 pub struct ServingIndex {
     config: ServingConfig,
@@ -184,7 +187,8 @@
         &self.config
     }
 
-    /// The route of a host and a path: the longest prefix that fits.
+    /// The route for a host and a path: the longest matching prefix. A port in `host` is
+    /// ignored.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&ServingRoute> {
         let name = host.split(':').next().unwrap_or(host);
@@ -201,14 +205,14 @@
         !self.config.accounts.is_empty()
     }
 
-    /// The account of a key.
+    /// The account that owns a key.
     #[must_use]
     pub fn account(&self, key: &str) -> Option<&ServingAccount> {
         let index = self.by_key.get(key)?;
         Some(&self.config.accounts[*index])
     }
 
-    /// A service.
+    /// The service of a name.
     #[must_use]
     pub fn service(&self, name: &ServiceId) -> Option<&ServingService> {
         let index = self.by_service.get(name)?;
@@ -217,7 +221,7 @@
 }
 
 impl ServingRoute {
-    /// The target of a request, by a draw that is uniform over all values.
+    /// The target of a request, by weight; `draw` must be uniform over all `u32` values.
     #[must_use]
     pub fn target(&self, draw: u32) -> Option<&RouteTarget> {
         let total: u64 = self
--- a/crates/rookferry_core/src/serving/departed.rs
+++ b/crates/rookferry_core/src/serving/departed.rs
@@ -1,9 +1,10 @@
-//! Servers that leave, as facts that all instances pass on.
+//! Servers that are leaving or whose entries were removed, as facts that instances pass
+//! on to each other.
 //!
-//! A list of servers says it too, but comes as one body from one reader of the
-//! store, and an older list may come after a newer one. That a start of a server
-//! leaves never becomes untrue, so it is kept and told by itself, whichever list is
-//! in force. That its entry went is true until a later list has it again.
+//! A list of servers shows this too, but it comes as a whole from one store reader, and
+//! an older list may arrive after a newer one. That a start of a server is leaving never
+//! becomes untrue, so it is stored and advertised on its own, whichever list is in use.
+//! That its entry was removed is true until a later list contains it again.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -17,53 +18,55 @@
 use super::turns::told_in_turn;
 use crate::millis::millis;
 
-/// How long it is kept of a server without an entry that it leaves: entries go,
-/// and come back, with the store's outages of some ten seconds.
+/// How long a leaving server without an entry is remembered. Entries are removed and come
+/// back during outages of the store, which last some ten seconds.
 const LEAVING_KEPT: Duration = Duration::from_mins(10);
-/// How long it is kept that an entry went, if no list shows it meanwhile.
+/// How long the removal of an entry is remembered if no list confirms it meanwhile.
 const GONE_KEPT: Duration = Duration::from_secs(30);
-/// How long others are told; several times the longest bound in which all must know.
+/// How long a departure is advertised: several times the longest bound within which all
+/// instances must know it.
 const TOLD_FOR: Duration = Duration::from_secs(10);
 
 /// Why a server gets no new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Departure {
-    /// It says that it leaves.
+    /// It has announced that it is leaving.
     Leaving,
-    /// Its entry went with this version of the list.
+    /// Its entry was removed in this version of the list.
     Gone(ListVersion),
 }
 
-/// One instance's word on a server that leaves.
+/// A departure, as reported to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DepartureSeen {
     /// The server.
     pub server: ServerKey,
     /// Why it gets no new work.
     pub departure: Departure,
-    /// How long ago any instance knew, in milliseconds.
+    /// Time since the first instance knew it, in milliseconds.
     pub age_ms: u64,
 }
 
-/// The servers that leave, as one instance knows them.
+/// The departed servers that an instance knows of.
 #[derive(Clone, Debug, Default)]
 pub struct DepartedServers {
-    /// Those that say so, and since when it is known.
+    /// Servers that announced it, and when it became known.
     leaving: HashMap<ServerKey, Instant>,
-    /// Those whose entry went after the list in force.
+    /// Servers whose entry was removed, in which version and since when.
     gone: HashMap<ServerKey, (ListVersion, Instant)>,
-    /// The version of the list in force.
+    /// The version of the list in use.
     list: ListVersion,
 }
 
 impl DepartedServers {
-    /// None is known to leave.
+    /// No departed servers.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A server leaves, as known since a time. Tells whether that is news.
+    /// Records a departure that has been known since `since`. Returns whether it is new;
+    /// a removal only counts as new if it is later than the list in use.
     pub fn note(&mut self, server: ServerKey, departure: Departure, since: Instant) -> bool {
         if self.knows(server, departure) {
             return false;
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Whether that a server leaves is known already, or later word is.
+    /// Whether the departure, or a later one of the same kind, is known already.
     #[must_use]
     pub fn knows(&self, server: ServerKey, departure: Departure) -> bool {
         match departure {
@@ -92,7 +95,7 @@
         }
     }
 
-    /// Takes another instance's word in. Tells whether it is news.
+    /// Merges a peer's report; returns whether it is new.
     pub fn hear(&mut self, seen: DepartureSeen, now: Instant) -> bool {
         let age = Duration::from_millis(seen.age_ms);
         let since = now.checked_sub(age).unwrap_or(now);
@@ -106,8 +109,9 @@
         self.leaving.contains_key(&server) || gone.is_some_and(|(version, _)| *version > self.list)
     }
 
-    /// A list of a version is in force: its word goes before what was heard of entries
-    /// up to it. What is over is forgotten, and servers that `is_known` doesn't know.
+    /// Records that the list of `version` is now in use; it overrides removals up to that
+    /// version. Drops expired departures; a leaving server stays while `is_known` is
+    /// true.
     pub fn listed(
         &mut self,
         version: ListVersion,
@@ -121,9 +125,8 @@
         self.gone.retain(|_, (_, since)| age(since) < GONE_KEPT);
     }
 
-    /// What others are told in a turn: at most `most`. Some of them are those that
-    /// became known last; the others follow in turn, so that in a release or a
-    /// scale-in of any size each is told again and again.
+    /// At most `most` departures to advertise in round `turn`: the latest, and a rotating
+    /// part of the others, so that each is repeated however many servers leave at once.
     #[must_use]
     pub fn told(&self, most: usize, turn: usize, now: Instant) -> Vec<DepartureSeen> {
         let leaving = self
@@ -149,7 +152,7 @@
         .collect()
     }
 
-    /// Whether nothing is kept.
+    /// Whether no departure is stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.leaving.is_empty() && self.gone.is_empty()
--- a/crates/rookferry_core/src/serving/directory.rs
+++ b/crates/rookferry_core/src/serving/directory.rs
@@ -1,18 +1,19 @@
-//! What is known of the backend servers, from a list that may lapse and that
-//! others write to.
+//! The backend servers that an instance knows, from entries in the store that the servers
+//! write themselves and that expire.
 //!
-//! While the platform is away, entries of servers that live can lapse. So an
-//! entry that is missing right after an outage is kept for a moment, in which
-//! a server that lives writes itself back.
+//! Inputs are whole lists and single changes read from the store; the output is the set
+//! of servers in use. While the store is unavailable, entries of live servers can expire.
+//! So an entry that is missing right after an outage is retained for a grace period, in
+//! which a live server writes its entry again.
 //!
-//! Load pattern: a seventh of the engines is cut off, crashes and starts again
-//! at the same addresses. What the former processes wrote arrives late, so
-//! that for three heartbeats each address is listed twice, and the former
-//! entries name layers that nobody holds any more. One address is one process,
-//! so only the latest start at an address is in use.
+//! Load pattern: a seventh of the engines is cut off, crashes and restarts at the same
+//! addresses. What the former processes wrote arrives late, so that for three heartbeats
+//! each address is listed twice, and the former entries name layers that no engine holds
+//! any more. Only one process listens at an address, so only the latest start there is
+//! used.
 //!
-//! A store that is restored from a copy shows entries as they once were. What is
-//! known of a start stays, also that it left, until the server writes again.
+//! A store that is restored from a backup shows old entries. What is known of a start,
+//! also that it left, stays in force until the server writes again.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,80 +25,80 @@
 
 use super::BackendServer;
 
-/// How long a name whose entry went is known as that of an earlier start. What
-/// a process wrote before it ended came up to 4 s after its successor's entry;
-/// the longest outage of the store takes some 10 s more.
+/// How long the entry of a removed name still counts as an earlier start. Writes of a
+/// process that exited have arrived up to 4 s after the entry of its successor; the
+/// longest outage of the store adds some 10 s.
 const FORMER_KEPT: Duration = Duration::from_secs(30);
 
-/// A change of the directory.
+/// A change to the entry of one server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DirectoryChange {
-    /// A server is new or says something new.
+    /// The entry is new or has changed.
     Updated(BackendServer),
-    /// A server's entry is gone.
+    /// The entry was removed.
     Removed(EngineId),
-    /// What stands under a name doesn't describe a server any more.
+    /// The entry can't be parsed as a server any more.
     Unusable(EngineId),
 }
 
-/// What may be wrong with a list.
+/// In which ways a list may be wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListDoubts {
-    /// A server that it lacks may only have lapsed, during an outage.
+    /// A server that isn't in the list may merely have expired during an outage.
     pub may_lack: bool,
-    /// It may show servers as they once were, by a restore. Of one that had gone the
-    /// entry is believed if it stands for this time, in which the entry of one that
-    /// has ended goes.
+    /// The list may show old entries after a restore. The entry of a server that had been
+    /// removed is only accepted if it persists for this time, in which the entry of an
+    /// exited server expires.
     pub may_be_old: Option<Duration>,
-    /// So may be servers that the list before lacked: they may have gone before this
-    /// instance knew of any.
+    /// Like `may_be_old`, for servers that the previous list lacked: they may have been
+    /// removed before this instance knew of any.
     pub may_have_gone_unseen: bool,
 }
 
 impl ListDoubts {
-    /// It has all that was acknowledged, and nothing else.
+    /// The list is complete and contains nothing outdated.
     pub const NONE: Self = Self {
         may_lack: false,
         may_be_old: None,
         may_have_gone_unseen: false,
     };
-    /// It is from right after an outage.
+    /// The list was read right after an outage.
     pub const AFTER_OUTAGE: Self = Self {
         may_lack: true,
         ..Self::NONE
     };
 }
 
-/// An entry, and the order in which its start was first seen.
+/// An entry, and in which read its start was first seen.
 #[derive(Clone, Debug)]
 struct Listed {
     server: BackendServer,
     seen: SeenOrder,
 }
 
-/// In which read a start was first seen; higher is later.
+/// Number of the read in which a start was first seen.
 type SeenOrder = u64;
 
-/// A start whose entry went.
+/// A start whose entry was removed.
 #[derive(Clone, Debug)]
 struct Former {
     listed: Listed,
     gone_at: Instant,
 }
 
-/// A server that may have gone, and whose entry is there after a restore.
+/// An entry that reappeared after a restore and isn't accepted yet.
 #[derive(Clone, Debug)]
 struct Restored {
     server: BackendServer,
     believed_at: Instant,
 }
 
-/// Servers whose time was over.
+/// What [`Directory::expire`] changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Expired {
-    /// They were missing for too long, and have left.
+    /// Servers that were removed after the grace period.
     pub gone: Vec<EngineId>,
-    /// Their restored entries stand.
+    /// Servers whose restored entries were accepted.
     pub back: Vec<EngineId>,
 }
 
@@ -109,7 +110,7 @@
     }
 }
 
-/// The servers.
+/// The entries of all known servers.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     entries: BTreeMap<EngineId, Listed>,
@@ -131,9 +132,9 @@
         self.entries.values().map(|listed| &listed.server)
     }
 
-    /// The servers in use: of those at one address that `is_usable` takes, the
-    /// latest start. The others don't count at all, so that an entry which
-    /// names no service of the site can't hide the server at its address.
+    /// The servers in use: per address the latest start among those for which `is_usable`
+    /// is true. Other entries are ignored, so that one which names no service of the site
+    /// can't hide the server at its address.
     #[must_use]
     pub fn in_use(&self, is_usable: impl Fn(&BackendServer) -> bool) -> Vec<BackendServer> {
         let mut latest: BTreeMap<SocketAddr, &Listed> = BTreeMap::new();
@@ -152,8 +153,8 @@
         servers
     }
 
-    /// The entries that `is_usable` doesn't take; others may, who know of a
-    /// newer configuration.
+    /// The entries for which `is_usable` is false. An instance with a newer configuration
+    /// may use them.
     pub fn unusable(
         &self,
         is_usable: impl Fn(&BackendServer) -> bool,
@@ -167,8 +168,8 @@
         self.entries.get(id).map(|listed| &listed.server)
     }
 
-    /// Takes a change in. Tells whether it is news: what an earlier start wrote
-    /// never replaces a later one's entry.
+    /// Applies a change; returns false if it is outdated or has no effect. A write of an
+    /// earlier start never replaces the entry of a later one.
     pub fn apply(&mut self, change: DirectoryChange, now: Instant) -> bool {
         self.reads += 1;
         match change {
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Whether an entry is from before what is known of its start, which counts its
-    /// writes: written late, or in a list that is older than it looks.
+    /// Whether an entry has fewer writes than the known entry of the same start: it was
+    /// delayed, or comes from a list that is older than it looks.
     fn is_late_word(&self, server: &BackendServer) -> bool {
         let known = self.entries.get(&server.id);
         known.is_some_and(|known| {
@@ -196,12 +197,12 @@
         })
     }
 
-    /// Takes a whole list in. Where servers that aren't in it may have lapsed, they
-    /// stay until [`Directory::expire`] finds their time over.
+    /// Applies a whole list. If absent servers may merely have expired, they stay until
+    /// [`Directory::expire`] removes them after the grace period.
     pub fn replace(&mut self, list: Vec<BackendServer>, doubts: ListDoubts, now: Instant) {
         self.reads += 1;
         let doubts = ListDoubts {
-            // Without a list before, none is unheard of.
+            // On the first list no server counts as removed before.
             may_have_gone_unseen: doubts.may_have_gone_unseen && !self.entries.is_empty(),
             ..doubts
         };
@@ -234,8 +235,8 @@
         }
     }
 
-    /// Takes an entry that may be as it once was; one of a server that may have gone
-    /// counts from a time on, if it is still there.
+    /// Applies an entry that may be outdated; that of a server which may have been
+    /// removed is only accepted at `believed_at`, if it is still there.
     fn take_restored(&mut self, server: BackendServer, doubts: ListDoubts, believed_at: Instant) {
         if let Some(known) = self.entries.get(&server.id)
             && known.server.key == server.key
@@ -260,15 +261,15 @@
         self.insert(server);
     }
 
-    /// Keeps a server whose entry went during an outage for now.
+    /// Retains a server whose entry was removed during an outage for the grace period.
     pub fn lapse(&mut self, id: &EngineId, now: Instant) {
         if self.entries.contains_key(id) {
             self.missing_since.entry(id.clone()).or_insert(now);
         }
     }
 
-    /// Drops the servers that have been missing for longer than `grace`, and takes
-    /// those in use again whose restored entries stand; tells what changed.
+    /// Removes servers that have been missing for `grace`, and accepts restored entries
+    /// that have persisted; returns both.
     pub fn expire(&mut self, now: Instant, grace: Duration) -> Expired {
         self.former
             .retain(|_, former| now.saturating_duration_since(former.gone_at) < FORMER_KEPT);
@@ -294,7 +295,7 @@
         Expired { gone, back }
     }
 
-    /// When [`Directory::expire`] has something to do next, if it may.
+    /// When [`Directory::expire`] is next due; `None` if nothing is pending.
     #[must_use]
     pub fn expires_at(&self, grace: Duration) -> Option<Instant> {
         let missing = self.missing_since.values().map(|since| *since + grace);
@@ -309,7 +310,7 @@
         if known.is_some_and(|known| known.server.incarnation > server.incarnation) {
             return false;
         }
-        // A start that was known before keeps its place among the starts.
+        // A start that was known before keeps its number.
         let seen = known
             .filter(|known| known.server.key == server.key)
             .map_or(self.reads, |known| known.seen);
@@ -334,9 +335,9 @@
 }
 
 impl Listed {
-    /// Whether it is the entry of a later start than another at its address.
-    /// The servers' own word goes first; then which was seen first; of two in
-    /// one list, the one that has written itself less often since its start.
+    /// Whether this is the entry of a later start than `other` at the same address: by
+    /// the incarnations if both have one; else by the read in which each was first seen;
+    /// within one read by the fewer writes.
     fn is_later_than(&self, other: &Self) -> bool {
         let started = |listed: &Self| listed.server.incarnation;
         if let (Some(own), Some(others)) = (started(self), started(other)) {
--- a/crates/rookferry_core/src/serving/era_tracker.rs
+++ b/crates/rookferry_core/src/serving/era_tracker.rs
@@ -1,35 +1,35 @@
-//! Which era the platform's store is in, from answers that may be late, tell
-//! nothing, or tell something that isn't so.
+//! The store's era (how often it has been restored from a backup), derived from answers
+//! that may be late, lack an era or state a wrong one.
 //!
-//! An answer to a call from before a later era was heard of is late. One that tells
-//! a lower era though it was asked after is the store's own word that there is no
-//! such later era: without that, a single wrong number would have all later answers
+//! An answer to a call that was sent before a later era became known is late. If a call
+//! was sent afterwards and its answer states a lower era, the store itself denies the
+//! later era. Without this rule a single wrong number would cause all later answers to be
 //! dropped.
 
 use std::time::Instant;
 
 use rookferry_wire::StoreEra;
 
-/// What the era of an answer says of it.
+/// How the era in an answer relates to the known era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EraVerdict {
-    /// It is of the known era, or tells none.
+    /// The same era, or the answer states none.
     Current,
-    /// It is the first of another era; what was known of revisions is void.
+    /// A different era; what was known of revisions is void.
     Changed {
         /// The era known before.
         before: Option<StoreEra>,
     },
-    /// It is of an era that is over.
+    /// An outdated era.
     Late,
 }
 
-/// The era of the store, as one instance knows it.
+/// The store's era, as one instance knows it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EraTracker {
     known: Option<StoreEra>,
     known_since: Option<Instant>,
-    /// The lowest era that was heard of and that the store has denied.
+    /// The lowest era that was reported and that the store has denied.
     denied: Option<StoreEra>,
 }
 
@@ -44,13 +44,13 @@
         }
     }
 
-    /// The era; 0 while none was heard of.
+    /// The era; 0 while none is known.
     #[must_use]
     pub fn era(&self) -> StoreEra {
         self.known.unwrap_or(0)
     }
 
-    /// Takes in what an answer of the store tells; it was asked at a time.
+    /// Evaluates the era in an answer of the store to a call that was sent at `asked_at`.
     pub fn observe(
         &mut self,
         told: Option<StoreEra>,
@@ -77,7 +77,8 @@
         EraVerdict::Changed { before }
     }
 
-    /// Another instance knows of an era; tells whether it is news here.
+    /// Merges an era that a peer reported; returns whether it is later than the known
+    /// one.
     pub fn hear(&mut self, era: StoreEra, now: Instant) -> bool {
         let is_news = self.era() < era && !self.is_denied(era);
         if is_news {
@@ -87,7 +88,7 @@
         is_news
     }
 
-    /// Whether the store has said that there is no such era.
+    /// Whether the store has denied the era, or a lower one.
     #[must_use]
     pub fn is_denied(&self, era: StoreEra) -> bool {
         self.denied.is_some_and(|denied| era >= denied)
--- a/crates/rookferry_core/src/serving/health.rs
+++ b/crates/rookferry_core/src/serving/health.rs
@@ -1,9 +1,9 @@
-//! Which servers failed lately, from what requests met.
+//! Health of backend servers, from the outcome of requests and probes.
 //!
-//! Three things are kept apart: a server that didn't answer at all is out until
-//! a probe finds it, one that fails part of its requests is avoided by a
-//! decaying share while others are there, and one that had no room for a
-//! request counts as smaller than published until that has worn off.
+//! Three conditions are tracked separately: a server that doesn't answer is out until a
+//! probe succeeds; one that fails a share of its requests is avoided by that share, which
+//! decays, while other servers are available; one that refused a request for lack of
+//! cache capacity counts as smaller than it published for a time.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 use super::ServerKey;
 use super::turns::told_in_turn;
 
-/// Time after which a failure counts for about a third.
+/// Time constant of the decay: a failure counts for about a third after it.
 const DECAY: Duration = Duration::from_secs(3);
-/// How long a server that turned a request away for want of room counts as
-/// full; about the time in which a few requests end there.
+/// How long a server that refused a request counts as full: about the time in which a few
+/// of its requests finish.
 const FULL_FOR: Duration = Duration::from_millis(150);
-/// The part of what was in use when a server had no room that still counts as
-/// room: below it, so that the next request doesn't meet the same end.
+/// Share of the tokens in use at a refusal that still counts as capacity. Less than 1, so
+/// that the next request isn't refused too.
 const SEEN_ROOM_PART: f64 = 0.95;
-/// The part of the published room that is believed again each second. Requests
-/// take two to three seconds, so a wrong estimate is gone after a few of them.
+/// Share of the published capacity that is trusted again each second. Requests take two
+/// to three seconds, so a wrong estimate is gone after a few of them.
 const ROOM_REGAINED_PER_S: f64 = 0.05;
 /// Weight of one request in the failing share.
 const SAMPLE_WEIGHT: f64 = 0.25;
@@ -35,28 +35,28 @@
     no_room: Option<NoRoom>,
 }
 
-/// A request that found no room.
+/// A refusal for lack of cache capacity.
 #[derive(Clone, Copy, Debug)]
 struct NoRoom {
-    /// Tokens that were in use by what was known.
+    /// Tokens known to be in use at that time.
     used_tokens: f64,
     at: Instant,
 }
 
-/// What requests met at each server.
+/// Outcomes of requests and probes, by server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerHealth {
     records: HashMap<ServerKey, Record>,
 }
 
 impl ServerHealth {
-    /// Nothing is known.
+    /// Nothing is recorded.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A request or probe went as it should.
+    /// Records that a request or probe succeeded; the server is no longer out.
     pub fn succeeded(&mut self, server: ServerKey, now: Instant) {
         if let Some(record) = self.records.get_mut(&server) {
             record.out_since = None;
@@ -65,14 +65,14 @@
         }
     }
 
-    /// A request failed at a server that answers.
+    /// Records that a request failed at a server that answers.
     pub fn failed(&mut self, server: ServerKey, now: Instant) {
         let record = self.record(server, now);
         record.failing_share = decayed(record, now) * (1.0 - SAMPLE_WEIGHT) + SAMPLE_WEIGHT;
         record.updated_at = now;
     }
 
-    /// A server doesn't answer. Tells whether that is news.
+    /// Records that a server doesn't answer; returns whether it is newly out.
     pub fn lost(&mut self, server: ServerKey, now: Instant) -> bool {
         let record = self.record(server, now);
         let is_news = record.out_since.is_none();
@@ -80,13 +80,13 @@
         is_news
     }
 
-    /// A server turned a request away.
+    /// Records that a server refused a request.
     pub fn turned_away(&mut self, server: ServerKey, now: Instant) {
         self.record(server, now).full_at = Some(now);
     }
 
-    /// A server had no room for a request while it was known to hold some
-    /// tokens.
+    /// Records that a server refused a request for lack of capacity while `used_tokens`
+    /// were known to be in use.
     pub fn had_no_room(&mut self, server: ServerKey, used_tokens: f64, now: Instant) {
         self.turned_away(server, now);
         self.record(server, now).no_room = Some(NoRoom {
@@ -95,8 +95,8 @@
         });
     }
 
-    /// Tokens that a server can be expected to hold: what is published, or
-    /// less if it lately had no room before that.
+    /// The server's expected capacity in tokens: what it published, or less if it lately
+    /// refused a request below that.
     #[must_use]
     pub fn room_tokens(&self, server: ServerKey, published_tokens: f64, now: Instant) -> f64 {
         let no_room = self.records.get(&server).and_then(|record| record.no_room);
@@ -108,7 +108,7 @@
         published_tokens.min(used_tokens * SEEN_ROOM_PART + regained_tokens)
     }
 
-    /// Whether a server turned a request away a moment ago.
+    /// Whether a server refused a request within the last 150 ms.
     #[must_use]
     pub fn is_full(&self, server: ServerKey, now: Instant) -> bool {
         let full_at = self.records.get(&server).and_then(|record| record.full_at);
@@ -121,7 +121,7 @@
         self.out_since(server).is_some()
     }
 
-    /// Since when a server is out.
+    /// Since when a server is out; `None` if it isn't.
     #[must_use]
     pub fn out_since(&self, server: ServerKey) -> Option<Instant> {
         self.records.get(&server)?.out_since
@@ -144,7 +144,7 @@
         records.filter(|record| record.out_since.is_some()).count()
     }
 
-    /// The servers that are out, as others are told in a turn: at most `most`.
+    /// At most `most` servers that are out, to advertise in round `turn`.
     #[must_use]
     pub fn told(&self, most: usize, turn: usize) -> Vec<ServerKey> {
         let records = self.records.iter();
@@ -163,7 +163,7 @@
             .map_or(0.0, |record| decayed(record, now))
     }
 
-    /// Forgets servers that `is_known` doesn't know.
+    /// Drops servers for which `is_known` is false.
     pub fn retain(&mut self, is_known: impl Fn(ServerKey) -> bool) {
         self.records.retain(|server, _| is_known(*server));
     }
--- a/crates/rookferry_core/src/serving/list_history.rs
+++ b/crates/rookferry_core/src/serving/list_history.rs
@@ -1,14 +1,13 @@
-//! What has changed in the list of servers, for instances that have an earlier one.
+//! Differences between lists of servers, for peers that have an earlier list.
 //!
-//! Load pattern: a release replaces a hundred of three thousand servers, one after the
-//! other, and a thousand instances hear of each. The whole list with each change is the
-//! number of servers times the changes times the instances, and fills the link of a
-//! small machine. So an instance that has an earlier list is given the entries that
-//! differ.
+//! Load pattern: a release replaces a hundred of three thousand servers one by one, and a
+//! thousand instances receive each change. Sending the whole list for each change would
+//! be the product of servers, changes and instances, and fill the link of a small
+//! machine. So an instance that has an earlier list is sent only the entries that differ.
 //!
-//! Two instances can have put lists of one version together in different ways. A digest
-//! over all entries tells whether they have the same; where they haven't, or the earlier
-//! list isn't remembered, the whole list is given.
+//! Two instances may have built lists of one version in different ways. A digest over all
+//! entries shows whether they agree; if not, or if the earlier list is no longer stored,
+//! the whole list is sent.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -25,35 +24,35 @@
 use super::BackendServer;
 use super::ListVersion;
 
-/// Lists that are remembered: those of several seconds in which each brings a change.
+/// Most earlier lists that are stored: several seconds' worth with a change in each.
 const MOST_REMEMBERED: usize = 64;
-/// The part of a list that differs from which on the whole list is given.
+/// Divisor of the list's length: if more than that part differs, the whole list is sent.
 const WHOLE_FROM: usize = 2;
 
-/// A digest over the entries of a list, in whichever order.
+/// XOR of the entries' hashes; independent of their order.
 pub type ListDigest = u64;
 
-/// A list that an instance has.
+/// Identifies a list by version and content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListMark {
-    /// Its version.
+    /// The version.
     pub version: ListVersion,
-    /// The digest over its entries.
+    /// The digest of the entries.
     pub digest: ListDigest,
 }
 
-/// What differs between two lists.
+/// The differences between two lists.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ListDelta {
-    /// Entries that are new, or say something else.
+    /// Entries that are new or have changed.
     pub changed: Vec<BackendServer>,
-    /// Names whose entries are gone.
+    /// Names whose entries were removed.
     pub gone: Vec<EngineId>,
 }
 
 impl ListDelta {
-    /// The list that it makes of an earlier one; `None` if that doesn't come to the
-    /// digest, since the two lists weren't the same.
+    /// Applies the differences to an earlier list. `None` if the result doesn't match
+    /// `digest`, since the earlier list wasn't the one that they refer to.
     #[must_use]
     pub fn applied<'a>(
         self,
@@ -74,7 +73,7 @@
     }
 }
 
-/// Counts the lists, so that changes can be put in order.
+/// Consecutive number of a list.
 type ListNumber = u64;
 
 #[derive(Clone, Copy, Debug)]
@@ -83,15 +82,16 @@
     changed_in: ListNumber,
 }
 
-/// The list in force, and in which list each of its entries changed last.
+/// The current list, and in which list each of its entries last changed.
 #[derive(Clone, Debug, Default)]
 pub struct ListHistory {
     number: ListNumber,
     mark: ListMark,
     entries: HashMap<EngineId, Entry>,
-    /// Names that were in a list which is still remembered, and when they went.
+    /// Names that a stored list contains and a later one lacks, and the first list
+    /// without.
     gone: HashMap<EngineId, ListNumber>,
-    /// Earlier lists, the latest last.
+    /// Earlier lists, oldest first.
     earlier: VecDeque<(ListMark, ListNumber)>,
 }
 
@@ -102,13 +102,13 @@
         Self::default()
     }
 
-    /// The list in force.
+    /// The fingerprint of the current list.
     #[must_use]
     pub const fn mark(&self) -> ListMark {
         self.mark
     }
 
-    /// A list is in force from now on.
+    /// Makes `list` the current one.
     pub fn put<'a>(
         &mut self,
         version: ListVersion,
@@ -131,7 +131,7 @@
         self.mark = ListMark { version, digest };
     }
 
-    /// Keeps the list in force among the earlier ones.
+    /// Moves the current list to the earlier ones.
     fn remember(&mut self) {
         if self.number > 0 {
             self.earlier.push_back((self.mark, self.number));
@@ -147,8 +147,8 @@
         self.gone.retain(|_, gone_in| *gone_in > oldest);
     }
 
-    /// What differs in the list in force from an earlier one; `entry` gives the entry of
-    /// a name. `None` if that list isn't remembered, or most of it differs.
+    /// The differences between an earlier list and the current one; `entry` looks up the
+    /// current entry of a name. `None` if that list isn't stored or too much differs.
     #[must_use]
     pub fn since(
         &self,
--- a/crates/rookferry_core/src/serving/list_version.rs
+++ b/crates/rookferry_core/src/serving/list_version.rs
@@ -1,4 +1,4 @@
-//! Versions of the list of servers that instances pass on.
+//! Versions of the list of servers that instances exchange.
 
 use std::fmt;
 
@@ -9,27 +9,27 @@
 
 /// A version of the list of servers.
 ///
-/// A list changes with the store, and by time alone: an entry that lapsed during an
-/// outage counts until the time in which it may come back is over. Without a number
-/// for that, others would have no reason to ask for the list that lacks it.
+/// A list changes with the store, and also with time alone: an entry that expired during
+/// an outage is retained until its grace period is over. Without an edition number peers
+/// would not request the list that lacks it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ListVersion {
-    /// The state of the store that it is of.
+    /// The state of the store that the list is based on.
     pub store: StoreVersion,
-    /// How often it has changed by time alone since.
+    /// How many changes by time alone followed.
     pub edition: u32,
 }
 
 impl ListVersion {
-    /// The list as the store had it.
+    /// The list as read from the store.
     #[must_use]
     pub const fn of(store: StoreVersion) -> Self {
         Self { store, edition: 0 }
     }
 
-    /// The list after a change by time alone.
+    /// The version after a change by time alone.
     #[must_use]
     pub const fn changed(self) -> Self {
         Self {
--- a/crates/rookferry_core/src/serving/mod.rs
+++ b/crates/rookferry_core/src/serving/mod.rs
@@ -1,20 +1,31 @@
-//! Serving requests in front of backend servers that the router doesn't step.
+//! Serving requests in front of backend servers that schedule their own work: the router
+//! does not drive their steps.
 //!
-//! [`ServingConfig`] is what the operator wants: routes, services and client
-//! accounts. [`Directory`] is what is known of the backend servers, and
-//! [`ServerKey`] one start of one of them; [`DepartedServers`] which of them leave.
-//! [`StoreVersion`] orders what the store shows over its restores, [`EraTracker`]
-//! notices them, [`StoreContact`] says as of when the store is known, and
-//! [`NewsBudget`] how long its news may take.
-//! [`ConfigAge`] bounds how old a configuration may be when a request is sent,
-//! [`RetryWindow`] what may be sent twice, and [`ServerHealth`] whom to avoid.
-//! [`RoomQueue`] says who waits for room and how long, [`Overload`] when those
-//! that are turned away come back, [`LinkPace`] who may cross between domains,
-//! [`ClosedServers`] who takes no new work, [`Backoffs`] which servers asked for
-//! none for a time. [`RequestSignature`] tells which requests are the same
-//! one again, [`Quarantine`] which of them are kept from servers;
-//! [`BrokenRuns`] waits for what it counts. [`pause_in_line`] spares a store that
-//! doesn't answer.
+//! Everything here is computed in memory: callers pass in observations with an
+//! [`Instant`] (`std::time`) and act on the answers. No module does I/O, starts tasks or
+//! reads a clock.
+//!
+//! Configuration and servers: [`ServingConfig`] holds the routes, services and client
+//! accounts; [`Directory`] the list of backend servers, [`ServerKey`] identifies one
+//! start of a server, and [`DepartedServers`] records which servers are leaving.
+//! [`ListHistory`] computes the differences between two lists.
+//!
+//! The platform's store: [`StoreVersion`] orders its states across restores,
+//! [`EraTracker`] detects a restore, [`StoreContact`] tracks how old the knowledge of the
+//! store is, [`NewsBudget`] bounds how long a change may take to reach all instances,
+//! [`StartLine`] and [`pause_in_line`] limit the load on a store at a start and in an
+//! outage. [`ConfigAge`] bounds how old the configuration may be when a request is sent.
+//!
+//! Choice of servers: [`ServerHealth`] records failures, [`ClosedServers`] servers that
+//! refuse work although their load is low, [`Backoffs`] servers that asked for a pause.
+//!
+//! Admission and retries: [`RoomQueue`] queues requests that wait for cache capacity,
+//! [`Overload`] computes the retry time of refused requests, [`LinkPace`] limits the
+//! prompts that cross the link between failure domains, [`RetryWindow`] limits retries.
+//!
+//! Quarantine: [`RequestSignature`] recognises a request that is sent again,
+//! [`Quarantine`] withholds requests that crash servers, and [`BrokenRuns`] keeps broken
+//! runs until it is known whether their server exited.
 
 mod age;
 mod backend_server;
--- a/crates/rookferry_core/src/serving/news_budget.rs
+++ b/crates/rookferry_core/src/serving/news_budget.rs
@@ -1,20 +1,20 @@
-//! How long each step of the store's news may take, so that all instances know in
-//! time.
+//! Time budget for the propagation of a change of a server from the store to all
+//! instances.
 //!
-//! From the store's word that a server leaves to the last request that reaches it
-//! there is a bound. Whatever way the news takes, its steps must add up to less. So
-//! each step is a part of the bound, and all of them stand in one table here.
+//! From the store's statement that a server is leaving to the last request that reaches
+//! this server there is a bound. Whichever path the change takes, the steps must add up
+//! to less. So each step is a fraction of the bound, and all fractions are defined here.
 //!
 //! | step | part of the bound |
 //! |---|---|
 //! | [`NewsBudget::watch_wait`] | a watch waits for changes |
-//! | [`NewsBudget::overdue`] | a watch that should have ended is waited for, until another is sent beside it |
+//! | [`NewsBudget::overdue`] | an overdue watch is awaited until another is sent beside it |
 //! | [`NewsBudget::read`] | the store answers a call |
-//! | [`NewsBudget::tell`] | a heartbeat and a lost one |
-//! | [`NewsBudget::look`] | between two looks whether to read the store |
-//! | [`NewsBudget::reader_kept`] | a silent reader of the store counts as one |
-//! | [`NewsBudget::line`] | the last in line waits for those before it |
-//! | [`NewsBudget::pause`] | the first in line pauses after failed calls |
+//! | [`NewsBudget::tell`] | a heartbeat and the repetition of a lost one |
+//! | [`NewsBudget::look`] | between two checks whether to read the store |
+//! | [`NewsBudget::reader_kept`] | a silent store reader still counts as one |
+//! | [`NewsBudget::line`] | the last-ranked instance waits for those before it |
+//! | [`NewsBudget::pause`] | the first-ranked instance pauses after failed calls |
 //! | [`NewsBudget::spread`] | from one instance of a domain to all of them |
 
 use std::time::Duration;
@@ -29,28 +29,29 @@
 const LINE: u32 = 80;
 const PAUSE: u32 = 125;
 const SPREAD: u32 = 250;
-/// Places in line that are told apart.
+/// Highest rank that still adds delay.
 const LINE_PLACES: u32 = 4;
 
-/// A way that news of a server takes to the last instance of a domain.
+/// A path that a change of a server takes to the last instance of a failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NewsWay {
-    /// The reader's watch brings it.
+    /// The store reader's watch returns it.
     Watch,
-    /// The connection of the reader's watch died silently.
+    /// The connection of the store reader's watch was lost without an error.
     SilentWatch,
-    /// The reader ended, or is cut off from its domain.
+    /// The store reader exited, or is cut off from its domain.
     ReaderGone,
-    /// The reader is cut off from the store, and says so.
+    /// The store reader is cut off from the store, and reports it.
     ReaderCutOff,
-    /// What the reader told last has grown old.
+    /// The store reader's last report is too old.
     OldWord,
-    /// Calls to the store failed before; the first in line reads it first.
+    /// Calls to the store failed before; the first-ranked instance is the first to read
+    /// it.
     AfterFailures,
 }
 
 impl NewsWay {
-    /// All ways.
+    /// All paths.
     pub const ALL: [Self; 6] = [
         Self::Watch,
         Self::SilentWatch,
@@ -61,14 +62,15 @@
     ];
 }
 
-/// The steps of one bound.
+/// The steps within one bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NewsBudget {
     bound: Duration,
 }
 
 impl NewsBudget {
-    /// The steps within a bound, from the store's word to the last request.
+    /// The steps within `bound`, which runs from the store's statement to the last
+    /// request.
     #[must_use]
     pub const fn new(bound: Duration) -> Self {
         Self { bound }
@@ -84,7 +86,7 @@
         self.part(WATCH_WAIT)
     }
 
-    /// How long a watch may take beyond its wait before another is sent beside it.
+    /// How long a watch may exceed its wait before another is sent beside it.
     #[must_use]
     pub fn overdue(&self) -> Duration {
         self.part(OVERDUE)
@@ -96,52 +98,54 @@
         self.part(READ)
     }
 
-    /// How long a word takes to others of the domain, one datagram lost.
+    /// How long a report takes to the peers of the domain if one datagram is lost.
     #[must_use]
     pub fn tell(&self) -> Duration {
         self.part(TELL)
     }
 
-    /// How often an instance that relies on its peers looks whether it still may.
+    /// How often an instance that relies on its peers checks whether it still may.
     #[must_use]
     pub fn look(&self) -> Duration {
         self.part(LOOK)
     }
 
-    /// How long a member that isn't heard counts as a reader of the store.
+    /// How long a silent instance still counts as a store reader.
     #[must_use]
     pub fn reader_kept(&self) -> Duration {
         self.part(READER_KEPT)
     }
 
-    /// How old the peers' word on the store may grow before it isn't relied on. With a
-    /// reader that is well it is up to two waits of its watch old, and as told.
+    /// Age up to which the peers' knowledge of the store is relied on. With a working
+    /// store reader it is up to two waits of its watch old, plus the overdue time and a
+    /// heartbeat.
     #[must_use]
     pub fn rely(&self) -> Duration {
         2 * self.watch_wait() + self.overdue() + self.tell()
     }
 
-    /// How much longer than the first an instance behind `rank` others relies on it.
+    /// How much longer than the first-ranked instance one ranked after `rank` others
+    /// relies on it.
     #[must_use]
     pub fn line(&self, rank: usize) -> Duration {
         let places = u32::try_from(rank).unwrap_or(LINE_PLACES).min(LINE_PLACES);
         self.part(LINE) * places / LINE_PLACES
     }
 
-    /// The longest pause of the first in line after failed calls; once it has read, the
-    /// others take its word.
+    /// Longest pause of the first-ranked instance after failed calls. Once it has read,
+    /// the others use its report.
     #[must_use]
     pub fn pause(&self) -> Duration {
         self.part(PAUSE)
     }
 
-    /// How long news take from one instance of a domain to all of them.
+    /// How long a change takes from one instance of a domain to all of them.
     #[must_use]
     pub fn spread(&self) -> Duration {
         self.part(SPREAD)
     }
 
-    /// The longest time from the store's word to the last instance of a domain.
+    /// Longest time from the store's statement to the last instance of a domain.
     #[must_use]
     pub fn longest(&self, way: NewsWay) -> Duration {
         let until_read = match way {
@@ -149,7 +153,8 @@
             NewsWay::SilentWatch => self.watch_wait() + self.overdue(),
             NewsWay::ReaderGone => self.reader_kept() + self.look(),
             NewsWay::ReaderCutOff => self.watch_wait() + self.overdue() + self.tell() + self.look(),
-            // What was confirmed last is a wait old when the reader falls silent.
+            // The last confirmation is up to one wait old when the store reader falls
+            // silent.
             NewsWay::OldWord => {
                 self.rely().saturating_sub(self.watch_wait()) + self.line(usize::MAX) + self.look()
             }
--- a/crates/rookferry_core/src/serving/overload.rs
+++ b/crates/rookferry_core/src/serving/overload.rs
@@ -1,31 +1,31 @@
-//! How long a site has been turning requests away, and when to come back.
+//! Duration of an overload, and the retry time of refused requests.
 //!
-//! Nothing tells how long an overload will last. One that has lasted for some
-//! time is, on the mean of all that could be, halfway through; so callers are
-//! asked to come back after about as long as it has lasted so far, each at a
-//! time of its own, so that they don't return together.
+//! How long an overload will last is unknown. On average one is observed halfway through,
+//! so callers are asked to retry after about the time that it has lasted so far, each
+//! after a randomised delay, so that they don't return together.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time without a refusal after which an overload is over. Room comes free
-/// whenever a request ends, every few tens of milliseconds on a busy site.
+/// Time without a refusal after which an overload is over. Capacity is released whenever
+/// a request finishes, every few tens of milliseconds on a busy site.
 const OVER_AFTER: Duration = Duration::from_secs(1);
-/// Least time to come back after: some requests have ended by then.
+/// Shortest retry time: some requests have finished by then.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Callers are spread from this part of the expected time to as much above it.
+/// Lower end of the spread, as a factor on the retry time; the upper end is as far above
+/// 1.
 const SPREAD_FROM: f64 = 0.5;
 
-/// What a request that is turned away is told.
+/// What a refused request is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overloaded {
     /// How long the overload has lasted.
     pub lasted: Duration,
-    /// When to come back.
+    /// Time after which to retry.
     pub retry_after: Duration,
 }
 
-/// Refusals for want of room, as one instance gave them.
+/// Refusals for lack of capacity by one instance.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Overload {
     since: Option<Instant>,
@@ -33,7 +33,7 @@
 }
 
 impl Overload {
-    /// None so far.
+    /// No refusals.
     #[must_use]
     pub const fn new() -> Self {
         Self {
@@ -42,7 +42,8 @@
         }
     }
 
-    /// A request is turned away. `chance` is the caller's own, from 0 to 1.
+    /// Records that a request is refused. `chance`, from 0 to 1, is drawn per request and
+    /// spreads the retry times.
     pub fn refused(&mut self, now: Instant, chance: f64) -> Overloaded {
         let is_over = self
             .last_refused_at
--- a/crates/rookferry_core/src/serving/quarantine/ends.rs
+++ b/crates/rookferry_core/src/serving/quarantine/ends.rs
@@ -1,12 +1,12 @@
-//! Servers that ended under a request, and which of them count.
+//! Server crashes under a request, and which of them count as evidence against it.
 //!
-//! Load pattern: several servers go at the same moment, by a rack, a switch or a bad
-//! release. A run over many of them meets all of these ends, is sent on to some that
-//! have gone as well, and the same words of other callers meet them, too. A request
-//! at fault ends servers in turn, each by a run that comes to it while it is there. So
-//! an end counts beside an earlier one only if its server is known to have been there
-//! after that; and if it is the same run that met both, only if the run came there
-//! after it.
+//! Load pattern: several servers fail at the same moment, because of a rack, a switch or
+//! a bad release. A run that spans many of them meets all of these crashes, is sent on to
+//! servers that have failed as well, and runs of the same request by other callers meet
+//! them too. A faulty request crashes servers one after the other, each by a run that
+//! reaches it while it is alive. So a crash counts in addition to an earlier one only if
+//! its server is known to have been alive after the earlier one, and, if the same run met
+//! both, only if the run reached the server after it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,23 +17,24 @@
 use crate::millis::millis;
 use crate::serving::ServerKey;
 
-/// A number that tells one run of a request from its others; drawn for each.
+/// A random number that distinguishes the runs of a request.
 pub type RunId = u32;
 
-/// What an end says against a request that had just begun on the server, and
-/// against one whose answer had begun to come.
+/// Points against a request if the server crashed before any of its answer came, and if
+/// it crashed after part of the answer.
 const BEGUN_POINTS: u32 = 2;
 const ANSWERING_POINTS: u32 = 1;
-/// From here on a server that the request came to after an earlier end has been there,
-/// though it gave no sign: that one had gone as well would be known by then.
+/// If a request reached a server this long after an earlier crash, the server counts as
+/// having been alive then, even without evidence: a failure at the same time as the
+/// earlier one would be known by then.
 const KNOWN_AFTER: Duration = Duration::from_secs(1);
 
-/// How far a run had come when its server ended.
+/// How far a run had got when its server crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RunProgress {
-    /// Part of the answer had come.
+    /// Part of the answer had arrived.
     Answering,
-    /// Nothing of the answer had come since the server got the request.
+    /// The server had received the request; no part of the answer had arrived.
     Begun,
 }
 
@@ -46,25 +47,26 @@
     }
 }
 
-/// A server's end under a run of a request.
+/// A server's crash under a run of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunEnd {
     /// The server.
     pub server: ServerKey,
-    /// Tells the run from others of the request.
+    /// The run.
     pub run: RunId,
-    /// How far the run had come.
+    /// How far the run had got.
     pub progress: RunProgress,
-    /// When the run came to the server.
+    /// When the run reached the server.
     pub joined_at: Instant,
-    /// When the server was last known to be there.
+    /// When the server was last known to be alive.
     pub alive_at: Instant,
     /// When the run was found broken.
     pub at: Instant,
 }
 
 impl RunEnd {
-    /// Whether it has another cause than an earlier end, if it isn't the request.
+    /// Whether it is independent of an earlier crash, unless the request is the cause of
+    /// both.
     fn follows(&self, earlier: &Self) -> bool {
         let was_there = self.alive_at >= earlier.at;
         let is_known = self.joined_at >= earlier.at + KNOWN_AFTER;
@@ -73,20 +75,20 @@
     }
 }
 
-/// A server's end under a request, as instances tell each other.
+/// A server's crash under a request, as reported to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndSeen {
     /// The server.
     pub server: ServerKey,
-    /// Tells the run from others of the request.
+    /// The run.
     pub run: RunId,
-    /// How far the run had come.
+    /// How far the run had got.
     pub progress: RunProgress,
-    /// How long ago the run was found broken, in milliseconds.
+    /// Time since the run was found broken, in milliseconds.
     pub age_ms: u64,
-    /// How long it had been on the server by then, in milliseconds.
+    /// How long the run had been on the server by then, in milliseconds.
     pub lasted_ms: u64,
-    /// How long the server had given no sign by then, in milliseconds.
+    /// How long before that the server was last known to be alive, in milliseconds.
     pub silent_ms: u64,
 }
 
@@ -103,7 +105,8 @@
         }
     }
 
-    /// The end by this instance's clock; none if it is from before that.
+    /// The crash in this instance's time; `None` if the clock doesn't reach back that
+    /// far.
     pub(super) fn end(&self, now: Instant) -> Option<RunEnd> {
         let at = now.checked_sub(Duration::from_millis(self.age_ms))?;
         let before_end = |ms| at.checked_sub(Duration::from_millis(ms));
@@ -118,15 +121,15 @@
     }
 }
 
-/// What ends in turn say against a request.
+/// The evidence of sequential crashes against a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Evidence {
     pub(super) points: u32,
-    /// How many they are.
+    /// How many crashes there are.
     pub(super) ends: usize,
 }
 
-/// Of ends in the order of their times, those in turn that say the most.
+/// The strongest evidence of sequential crashes; `ends` must be in order of time.
 pub(super) fn in_turn(ends: &[RunEnd]) -> Evidence {
     let mut up_to: Vec<Evidence> = Vec::with_capacity(ends.len());
     for (index, end) in ends.iter().enumerate() {
--- a/crates/rookferry_core/src/serving/quarantine/mod.rs
+++ b/crates/rookferry_core/src/serving/quarantine/mod.rs
@@ -1,16 +1,16 @@
-//! Requests that are kept from servers because servers end under them.
+//! Quarantine of requests that crash servers.
 //!
-//! Load pattern: a request makes each server end that begins to run it, and
-//! comes again under another id, at any instance, for as long as its caller
-//! tries. Each end costs the server's other requests their run and the site the
-//! server for seconds. So instances keep under which requests servers have ended,
-//! whatever their ids, and tell each other.
+//! Load pattern: a request crashes each server that starts to run it, and is sent again
+//! under another id, to any instance, for as long as its caller retries. Each crash costs
+//! the server's other requests their run, and the site the server for seconds. So
+//! instances record under which request signatures servers have crashed, and report it to
+//! each other.
 //!
-//! An end says little by itself, as every request that the server had is under
-//! it. What tells the one at fault from those beside it: it never ends well, so
-//! a run that does clears a request; its server ends when it has begun, so an end
-//! after part of the answer had come counts for half; and it ends servers in turn,
-//! so that ends of servers that may have gone together count as one.
+//! One crash is weak evidence, as it hits every request that the server was running. What
+//! distinguishes the faulty request: it never succeeds, so a successful run clears a
+//! request; its server crashes at the start, so a crash after part of the answer counts
+//! for half; and it crashes servers sequentially, so crashes of servers that may have
+//! failed together count as one.
 
 mod ends;
 mod record;
@@ -33,112 +33,114 @@
 pub use ends::RunId;
 pub use ends::RunProgress;
 
-/// How long a request is held after the last end under it: an end then costs
-/// one server a restart of seconds each ten minutes, and a mended one is served.
+/// How long a request is quarantined after the last crash under it. A crash then costs
+/// one server a restart of seconds every ten minutes, and a corrected request is served
+/// again.
 pub(in crate::serving) const HELD_FOR: Duration = Duration::from_mins(10);
-/// How long an end counts; one after a time of being held holds it again.
+/// How long a crash counts; the first one after a quarantine starts it again.
 const KEPT: Duration = Duration::from_hours(1);
-/// How long it is kept that a request was cleared, for those that are yet to
-/// hear of an end before.
+/// How long it is remembered that a request was cleared, for peers that have yet to
+/// receive an earlier crash.
 const CLEARED_KEPT: Duration = Duration::from_secs(30);
-/// Most requests that are kept: those of ten engines that end full, twice.
+/// Most requests that are recorded: those of ten engines that crash fully loaded, twice.
 const MAX_RECORDS: usize = 4_096;
-/// The part of them that goes at once where there is no room, one in so many.
+/// Divisor of the records: that part is dropped at once when there are too many.
 const DROPPED_PART: usize = 8;
-/// Ends that are kept of one request; more change nothing.
+/// Most crashes that are stored per request; more don't change the decision.
 const MAX_ENDS: usize = 5;
-/// Rounds in which a change is told: two to other failure domains, and as many
-/// heartbeats to its own as make a lost one no matter.
+/// Rounds in which a change is advertised: two to other failure domains, and so many
+/// heartbeats to its own that a lost one doesn't matter.
 const TOLD_ROUNDS: u8 = 8;
 
-/// What is known of a request, as instances tell each other.
+/// What is known of a request, as reported to peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectSeen {
     /// The request.
     pub signature: RequestSignature,
-    /// Servers that ended under it.
+    /// Servers that crashed under it.
     pub ends: Vec<EndSeen>,
-    /// How long ago a run of it ended well, in milliseconds, if one did.
+    /// Time since a run of it succeeded, in milliseconds, if one did.
     pub finished_ms: Option<u64>,
-    /// How long ago it was first held, in milliseconds, if it is.
+    /// Time since its quarantine started or was extended, in milliseconds, if it is
+    /// quarantined.
     pub held_ms: Option<u64>,
 }
 
-/// What is to be done with a request.
+/// What is known against a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Suspicion {
-    /// Nothing speaks against it.
+    /// Nothing.
     None,
-    /// Servers ended under it, too few to hold it.
+    /// Servers crashed under it, too few to quarantine it.
     Suspected {
         /// How many.
         servers: usize,
     },
-    /// It is held.
+    /// It is quarantined.
     Held {
-        /// How much longer.
+        /// Time until the quarantine ends.
         left: Duration,
     },
 }
 
-/// What a change came to.
+/// How the state of a request changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// It says nothing new, or not enough.
+    /// It did not.
     None,
-    /// The request is held from now on.
+    /// The request was quarantined.
     Held,
-    /// It isn't held any more: it ended well.
+    /// The quarantine ended, since a run of the request succeeded.
     Released,
 }
 
-/// What accounts for a server's end.
+/// The request to which a server's crash is attributed.
 #[derive(Clone, Copy, Debug)]
 struct Accounting {
     by: RequestSignature,
-    /// What speaks against it.
+    /// Points against the request.
     points: u32,
 }
 
-/// The requests under which servers ended.
+/// The requests under which servers crashed.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     records: HashMap<RequestSignature, Record>,
-    /// Servers whose ends a held request accounts for. Those that were beside it on
-    /// each of them look alike, and one is at fault.
+    /// Servers whose crashes are attributed to a quarantined request. Other requests that
+    /// ran on the same servers look alike, but only one is the cause.
     accounted: HashMap<ServerKey, Accounting>,
-    /// Those that ended well lately.
+    /// Requests that succeeded lately.
     finished: FinishedRequests,
-    /// The held request that was last told without being news.
+    /// The quarantined request that was last advertised without a change.
     last_told: Option<RequestSignature>,
 }
 
 impl Quarantine {
-    /// Nothing speaks against any request.
+    /// Nothing is recorded.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Whether nothing is kept of any request.
+    /// Whether no request has a record.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// How many requests something is kept of.
+    /// How many requests have a record.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Of how many requests it is kept that they ended well.
+    /// How many requests are recorded as having succeeded.
     #[must_use]
     pub fn finished_len(&self) -> usize {
         self.finished.len()
     }
 
-    /// A server ended under a request.
+    /// Records that a server crashed under a request.
     pub fn note_end(
         &mut self,
         signature: RequestSignature,
@@ -148,14 +150,16 @@
         self.update(signature, now, |record| record.add(end))
     }
 
-    /// A server ended under several requests; tells which changed, and how. Of those
-    /// with enough against them the one with the most is held, as one is at fault.
+    /// Records a server's crash under several requests and returns how each changed. Of
+    /// those with enough points only the one with the strongest evidence is quarantined,
+    /// as one is the cause.
     pub fn note_ends(
         &mut self,
         ends: &[(RequestSignature, RunEnd)],
         now: Instant,
     ) -> Vec<(RequestSignature, QuarantineChange)> {
-        // By request, whether it was held: several runs of one may have been there.
+        // Whether each request was quarantined before; it may have had several runs
+        // there.
         let mut suspects: HashMap<RequestSignature, bool> = HashMap::new();
         for (signature, end) in ends {
             let was_held = self.change(*signature, now, |record| record.add(*end));
@@ -173,7 +177,7 @@
         decided.collect()
     }
 
-    /// A run of a request ended well.
+    /// Records that a run of a request succeeded.
     pub fn note_finished(&mut self, signature: RequestSignature, now: Instant) -> QuarantineChange {
         self.finished.note(signature, now);
         if !self.records.contains_key(&signature) {
@@ -182,7 +186,7 @@
         self.update(signature, now, |record| record.finish(now))
     }
 
-    /// Takes another instance's word in.
+    /// Merges a peer's report.
     pub fn learn(&mut self, seen: &SuspectSeen, now: Instant) -> QuarantineChange {
         let before = |age_ms: u64| now.checked_sub(Duration::from_millis(age_ms));
         let ends = seen.ends.iter().take(MAX_ENDS);
@@ -197,7 +201,7 @@
         })
     }
 
-    /// What is to be done with a request.
+    /// What is known against a request.
     #[must_use]
     pub fn suspicion(&self, signature: RequestSignature, now: Instant) -> Suspicion {
         let Some(record) = self.records.get(&signature) else {
@@ -212,28 +216,28 @@
         }
     }
 
-    /// How many servers ended under a request since it last ended well.
+    /// How many servers crashed under a request since it last succeeded.
     #[must_use]
     pub fn ends(&self, signature: RequestSignature) -> usize {
         let record = self.records.get(&signature);
         record.map_or(0, |record| record.ends.len())
     }
 
-    /// How many of them count: those that ended in turn.
+    /// How many of these crashes count, as they were sequential.
     #[must_use]
     pub fn ends_in_turn(&self, signature: RequestSignature) -> usize {
         let record = self.records.get(&signature);
         record.map_or(0, Record::in_turn)
     }
 
-    /// Whether a request is known to have ended well, and isn't held.
+    /// Whether a request is known to have succeeded and isn't quarantined.
     #[must_use]
     pub fn is_cleared(&self, signature: RequestSignature) -> bool {
         let record = self.records.get(&signature);
         record.is_some_and(|record| record.finished_at.is_some() && record.held_at.is_none())
     }
 
-    /// The requests that are held.
+    /// The quarantined requests, each with the start of its quarantine.
     pub fn held(&self, now: Instant) -> impl Iterator<Item = (RequestSignature, Instant)> {
         let records = self.records.iter();
         records.filter_map(move |(signature, record)| {
@@ -242,8 +246,8 @@
         })
     }
 
-    /// What to tell in the next round: changes, at most `most`, and one of the
-    /// held requests in turn, for those that have started since.
+    /// What to advertise in the next round: changes, at most `most`, and in rotation one
+    /// of the quarantined requests, for instances that have started since.
     pub fn next_told(&mut self, most: usize, now: Instant) -> Vec<SuspectSeen> {
         self.expire(now);
         let mut told = Vec::new();
@@ -252,7 +256,7 @@
             .iter_mut()
             .filter(|(_, record)| record.rounds_left > 0)
             .collect();
-        // Those held or nearest to it first, and of these the newest.
+        // Those with most points first, and of these the latest.
         news.sort_by_key(|(_, record)| Reverse((record.points(), record.changed_at)));
         for (signature, record) in news.into_iter().take(most) {
             record.rounds_left -= 1;
@@ -267,7 +271,7 @@
         told
     }
 
-    /// What an instance is told that has just started.
+    /// What to send to an instance that has just started.
     #[must_use]
     pub fn told_at_start(&self, most: usize, now: Instant) -> Vec<SuspectSeen> {
         let held = self.held(now).take(most);
@@ -288,7 +292,8 @@
         Some(self.records.get(&next)?.seen(next, now))
     }
 
-    /// Changes what is kept of a request; `change` tells whether it is news.
+    /// Changes the record of a request and decides on it; `change` returns whether the
+    /// record changed.
     fn update(
         &mut self,
         signature: RequestSignature,
@@ -299,7 +304,8 @@
         self.decide(signature, was_held, now)
     }
 
-    /// The same without a decision; tells whether it was held before.
+    /// Changes the record without a decision; returns whether the request was quarantined
+    /// before.
     fn change(
         &mut self,
         signature: RequestSignature,
@@ -328,7 +334,8 @@
             return QuarantineChange::None;
         };
         let points = record.points();
-        // One with more against it than the one that is held may well be at fault.
+        // A request with more points than the one that a crash is attributed to may
+        // itself be the cause.
         record.decide(|server| {
             let accounting = self.accounted.get(&server);
             accounting.is_some_and(|one| one.by != signature && one.points >= points)
@@ -358,8 +365,8 @@
         }
     }
 
-    /// Makes room for another request: drops what is old, or else a part of
-    /// those with the least against them.
+    /// Ensures that one more record fits: drops expired ones, or else a part of those
+    /// with the weakest evidence.
     fn make_room(&mut self, signature: RequestSignature, now: Instant) {
         if self.records.len() < MAX_RECORDS || self.records.contains_key(&signature) {
             return;
@@ -382,7 +389,7 @@
         }
     }
 
-    /// Drops what is too old to count.
+    /// Drops records that have expired.
     pub fn expire(&mut self, now: Instant) {
         self.records.retain(|_, record| {
             let kept = if record.is_cleared() {
--- a/crates/rookferry_core/src/serving/quarantine/record.rs
+++ b/crates/rookferry_core/src/serving/quarantine/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of one request.
+//! The record of one request: crashes under it, its last success and its quarantine.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -15,18 +15,19 @@
 use super::ends::in_turn;
 use crate::millis::millis;
 
-/// Points from which on a request is held: three servers that ended as it had
-/// begun, or five that ended later. One attempt meets two ends and its caller's
-/// retry two more, so that one that was beside others each time is still run.
+/// Points from which on a request is quarantined: three servers that crashed at the start
+/// of a run, or five that crashed later. One attempt meets two crashes and the caller's
+/// retry two more, so a request that merely ran beside the cause each time is still
+/// served.
 const HELD_POINTS: u32 = 5;
-/// The same for a request that ended well within [`HELD_FOR`] before: five
-/// servers that ended as it had begun. One at fault has no run that ends well, so
-/// it is most likely beside one, as those are that many callers send.
+/// The same for a request that succeeded within [`HELD_FOR`] before: five servers that
+/// crashed at the start of a run. A faulty request has no successful run, so this one
+/// most likely ran beside the cause, as requests do that many callers send.
 const HELD_POINTS_AFTER_FINISH: u32 = 10;
 
 #[derive(Clone, Debug)]
 pub(super) struct Record {
-    /// In the order of their times.
+    /// In order of time.
     pub(super) ends: Vec<RunEnd>,
     pub(super) finished_at: Option<Instant>,
     pub(super) held_at: Option<Instant>,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// A server's end; tells whether it is news.
+    /// Adds a crash; returns whether the record changed.
     pub(super) fn add(&mut self, end: RunEnd) -> bool {
         if self.finished_at.is_some_and(|at| end.at <= at) {
             return false;
@@ -70,8 +71,8 @@
         true
     }
 
-    /// Drops the end without which the others say the most; of those alike the
-    /// oldest, as of a request that is held again the last end is the one that counts.
+    /// Drops the crash without which the evidence stays strongest; among equals the
+    /// oldest, as the last crash counts if the request is quarantined again.
     fn drop_one(&mut self) {
         let points_without = |index: usize| {
             let mut others = self.ends.clone();
@@ -85,13 +86,14 @@
         }
     }
 
-    /// It ended well; what was before says nothing against it.
+    /// Records a success and drops the crashes before it; returns whether to advertise
+    /// it.
     pub(super) fn finish(&mut self, at: Instant) -> bool {
         if self.finished_at >= Some(at) {
             return false;
         }
-        // A word that went round only comes back a little later; as news it would
-        // go round for ever.
+        // A report that merely went round comes back slightly later; if it counted as a
+        // change, it would circulate for ever.
         let is_first = self.finished_at.is_none();
         self.finished_at = Some(at);
         let before = self.ends.len();
@@ -103,8 +105,8 @@
         is_first || was_held || self.ends.len() < before
     }
 
-    /// Another's word that it is held; tells whether there is something to tell
-    /// others, be it that it isn't, since it ended well.
+    /// Merges a peer's report of a quarantine. Returns whether there is something to
+    /// advertise, which may be that the request succeeded and isn't quarantined.
     pub(super) fn hold(&mut self, at: Instant) -> bool {
         if self.finished_at.is_some_and(|finished| at <= finished) {
             return false;
@@ -120,9 +122,9 @@
         true
     }
 
-    /// Holds it if enough speaks against it beside ends that are accounted for by
-    /// others; releases it if it turns out that it ended well a while before, which
-    /// takes more.
+    /// Quarantines the request if the crashes that aren't attributed to other requests
+    /// are enough. Ends the quarantine if the request turns out to have succeeded within
+    /// [`HELD_FOR`] before, which takes more points.
     pub(super) fn decide(&mut self, is_accounted: impl Fn(ServerKey) -> bool) {
         let Some(at) = self.held_at.or(self.last_end()) else {
             return;
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Whether it ended well within a while before a time.
+    /// Whether it succeeded within [`HELD_FOR`] before `at`.
     fn ended_well_before(&self, at: Instant) -> bool {
         self.finished_at
             .is_some_and(|finished| at.saturating_duration_since(finished) < HELD_FOR)
@@ -156,15 +158,15 @@
         self.evidence().points
     }
 
-    /// What speaks against it, to be compared: points, and of those alike how soon
-    /// the servers ended after it had come to them.
+    /// Evidence against it, for comparison: points, and among equals how soon the servers
+    /// crashed after it reached them.
     pub(super) fn strength(&self) -> (u32, Reverse<Duration>) {
         let ends = self.ends.iter();
         let lasted = ends.map(|end| end.at.saturating_duration_since(end.joined_at));
         (self.points(), Reverse(lasted.sum()))
     }
 
-    /// How many ends count.
+    /// How many crashes count.
     pub(super) fn in_turn(&self) -> usize {
         self.evidence().ends
     }
@@ -177,18 +179,18 @@
         self.ends.iter().map(|end| end.at).max()
     }
 
-    /// How much longer it is held, if it is.
+    /// Time until its quarantine ends; `None` if it isn't quarantined.
     pub(super) fn held_for(&self, now: Instant) -> Option<Duration> {
         let held = now.saturating_duration_since(self.held_at?);
         HELD_FOR.checked_sub(held).filter(|left| !left.is_zero())
     }
 
-    /// Whether nothing speaks against it.
+    /// Whether there is no crash and no quarantine.
     pub(super) fn is_cleared(&self) -> bool {
         self.ends.is_empty() && self.held_at.is_none()
     }
 
-    /// Whether it says nothing, not even that it was cleared.
+    /// Whether nothing is recorded, not even a success.
     pub(super) fn is_blank(&self) -> bool {
         self.is_cleared() && self.finished_at.is_none()
     }
--- a/crates/rookferry_core/src/serving/quarantine_object.rs
+++ b/crates/rookferry_core/src/serving/quarantine_object.rs
@@ -1,9 +1,8 @@
-//! Held requests as the platform's store keeps them.
+//! Quarantined requests, as stored in the platform's store.
 //!
-//! Instances keep nothing of their own over a restart, and all of a site may be
-//! restarted at once. So the few requests that are held stand in one small
-//! object, which an instance that starts reads, and which reaches those that
-//! hear no other.
+//! Instances keep no state over a restart, and a whole site may restart at once. So the
+//! few requests that are quarantined are written to one small object, which an instance
+//! reads at its start, and which also reaches instances that receive no heartbeats.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,28 +14,28 @@
 use super::quarantine::HELD_FOR;
 use crate::millis::millis;
 
-/// Most requests in the object, the last held first: 60 bytes each, 15 KB.
+/// Most requests in the object, those quarantined last first: 60 bytes each, 15 KB.
 const MAX_STORED: usize = 256;
 
-/// The held requests of a site.
+/// The quarantined requests of a site.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineObject {
     /// The requests.
     pub held: Vec<HeldRequest>,
 }
 
-/// A held request.
+/// A quarantined request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldRequest {
-    /// Its signature in hex.
+    /// Its signature in hexadecimal.
     pub signature: String,
-    /// When it was held last, in Unix milliseconds.
+    /// When it was last quarantined, in Unix milliseconds.
     pub since_ms: u64,
 }
 
 impl QuarantineObject {
-    /// The same with what an instance holds; each with the time since when,
-    /// as Unix time. What isn't held any more at `now` is left out.
+    /// Merges the requests that an instance quarantines, each with its start as Unix
+    /// time. Requests whose quarantine is over at `now` are left out.
     #[must_use]
     pub fn with(
         &self,
@@ -62,7 +61,7 @@
         }
     }
 
-    /// The same without some of the requests.
+    /// The object without the requests for which `is_left_out` is true.
     #[must_use]
     pub fn without(&self, is_left_out: impl Fn(RequestSignature) -> bool) -> Self {
         let is_kept = |held: &&HeldRequest| {
@@ -74,8 +73,8 @@
         }
     }
 
-    /// The requests, each with the time since when it is held, as Unix time. A
-    /// signature that doesn't read is no request's.
+    /// The requests, each with the start of its quarantine as Unix time. Signatures that
+    /// can't be parsed are skipped.
     pub fn requests(&self) -> impl Iterator<Item = (RequestSignature, Duration)> {
         self.held.iter().filter_map(|held| {
             let signature = held.signature.parse().ok()?;
--- a/crates/rookferry_core/src/serving/request_signature.rs
+++ b/crates/rookferry_core/src/serving/request_signature.rs
@@ -1,7 +1,7 @@
-//! Which requests are the same request.
+//! Identity of a request over retries.
 //!
-//! A caller that sends a request again gives it a new id, and another instance
-//! may get it. What it asks for stays: who asks, the method, the path with its
+//! A caller that retries gives the request a new id, and another instance may receive it.
+//! What stays the same is hashed: the client account, the method, the path with its
 //! query, and the body.
 
 use std::fmt;
@@ -14,30 +14,30 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
-/// Bytes of the hash that are kept: heartbeats carry signatures, and among a
-/// million requests two are alike by chance once in 37 million times.
+/// Bytes of the hash that are kept. Heartbeats carry signatures, so they are short; among
+/// a million requests the chance that any two collide is 1 in 37 million.
 const SIGNATURE_BYTES: usize = 8;
 
-/// Text that is no signature.
+/// The text is not a valid signature.
 #[derive(Debug, Snafu)]
-#[snafu(display("{text:?} is no signature of a request: {source}"))]
+#[snafu(display("invalid request signature {text:?}: {source}"))]
 pub struct SignatureError {
     text: String,
     source: hex::FromHexError,
 }
 
-/// A hash of what a request asks for, the same for each time it is sent.
+/// A hash over the content of a request; the same for each retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestSignature([u8; SIGNATURE_BYTES]);
 
 impl RequestSignature {
-    /// The signature of a request of a client account, if it has one, to a
-    /// path with its query.
+    /// The signature of a request; `account` is `None` without a client account, `path`
+    /// includes the query.
     #[must_use]
     pub fn new(account: Option<&str>, method: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
         for part in [account.unwrap_or_default(), method, path] {
-            // With its length, so that no part runs into the next.
+            // The length separates a part from the next.
             hasher.update(part.len().to_be_bytes());
             hasher.update(part);
         }
--- a/crates/rookferry_core/src/serving/retry_window.rs
+++ b/crates/rookferry_core/src/serving/retry_window.rs
@@ -1,25 +1,25 @@
-//! What an instance may send a second time, within a site's shared budget.
+//! Limit on retries of one instance, within the shared retry budget of a site.
 //!
-//! The site allows `ratio` x fresh requests + `slack` repeats in a sliding
-//! window, over all instances. Each instance keeps to its own part without
-//! asking the others: the ratio of its own requests, and an equal part of the
-//! slack. An instance that has just restarted doesn't know what it spent of the
-//! slack before, so it keeps to a part that was left for that.
+//! The site allows `ratio` x new requests + `slack` retries in a sliding window, over all
+//! instances. Each instance keeps to its share without coordination: the ratio of its own
+//! requests, and an equal share of the slack. An instance that has just restarted doesn't
+//! know what it spent of the slack before, so it keeps to a part that is reserved for
+//! this.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use std::time::Instant;
 
-/// The part of the budget that is used, since another instance's count of
-/// members can be late.
+/// Part of the budget that is used. The rest is a margin, since the known number of
+/// instances can be out of date.
 const USED_PART: f64 = 0.8;
 
-/// The part of the slack that is used in the first window after a restart: half
-/// of what is otherwise left, so that a site may restart twice in a window.
-/// With the whole part instances that are killed together exceed the budget.
+/// Part of the slack that is used in the first window after a restart: half of the
+/// margin, so that a site may restart twice in a window. Without this limit, instances
+/// that are killed together exceed the budget.
 const USED_PART_AFTER_RESTART: f64 = (1.0 - USED_PART) / 2.0;
 
-/// Repeats and fresh requests of one instance for one service.
+/// Retries and new requests of one instance for one service.
 #[derive(Clone, Debug)]
 pub struct RetryWindow {
     window: Duration,
@@ -31,8 +31,8 @@
 }
 
 impl RetryWindow {
-    /// A window with nothing in it. `restarted_at` is when an instance started
-    /// on a site that has run before: what it spent until then isn't known.
+    /// An empty window. `restarted_at` is when the instance started, if the site had run
+    /// before: what it spent until then is unknown.
     #[must_use]
     pub const fn new(
         window: Duration,
@@ -50,13 +50,13 @@
         }
     }
 
-    /// A fresh request came.
+    /// Records a new request.
     pub fn note_fresh(&mut self, now: Instant) {
         self.forget(now);
         self.fresh.push_back(now);
     }
 
-    /// Takes one repeat, if the instance's part allows it.
+    /// Takes one retry from the budget; false if the instance's share is used up.
     pub fn take(&mut self, now: Instant, instances: usize) -> bool {
         self.forget(now);
         let has_just_restarted = self
--- a/crates/rookferry_core/src/serving/room_queue.rs
+++ b/crates/rookferry_core/src/serving/room_queue.rs
@@ -1,10 +1,9 @@
-//! Requests that wait at the door for room on the engines.
+//! Queue of requests that wait for cache capacity on the engines.
 //!
-//! A request that finds no room may still be in time if some comes free soon.
-//! The more urgent wait in front, and of those alike the earlier. A request
-//! waits only while it can be in time by what was observed: how long first
-//! events take once a request is sent, and how often room comes free. One that
-//! can't is turned away at once.
+//! A request that finds no free cache can still meet its objective if some is released
+//! soon. More urgent requests come first, then earlier ones. The caller keeps a request
+//! waiting only while it can be in time by the observed times: from sending to the first
+//! event, and between two releases of cache. A request that can't is refused at once.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,30 +12,30 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Weight of one observation in a running mean; it follows within some ten.
+/// Weight of one observation in a running mean, which follows within some ten.
 const SAMPLE_WEIGHT: f64 = 0.125;
-/// Deviations above the mean that a first event is reckoned to take, as for
-/// retransmission timers.
+/// Deviations above the mean within which a first event is expected, as for
+/// retransmission timers (RFC 6298).
 const DEVIATIONS: f64 = 4.0;
 
-/// How urgent a request is; the lowest goes first, an account's before a
-/// route's.
+/// Urgency of a request: the account's priority first, then the route's; the lowest value
+/// goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Urgency {
-    /// Of its client account.
+    /// Priority of its client account.
     pub account: u8,
-    /// Of its route.
+    /// Priority of its route.
     pub route: u8,
 }
 
-/// A place in the queue.
+/// The position of a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RoomTicket {
     urgency: Urgency,
     number: u64,
 }
 
-/// A running mean and the mean deviation from it.
+/// A running mean and its mean deviation, in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct RunningMean {
     mean_s: f64,
@@ -61,7 +60,7 @@
     }
 }
 
-/// Who waits for room, and what is known of how long that takes.
+/// The waiting requests, and observed times from which waits are estimated.
 #[derive(Clone, Debug, Default)]
 pub struct RoomQueue {
     next_number: u64,
@@ -72,13 +71,13 @@
 }
 
 impl RoomQueue {
-    /// Nobody waits.
+    /// An empty queue.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A request begins to wait.
+    /// Adds a request.
     pub fn join(&mut self, urgency: Urgency) -> RoomTicket {
         let ticket = RoomTicket {
             urgency,
@@ -89,50 +88,50 @@
         ticket
     }
 
-    /// A request waits no more.
+    /// Removes a request.
     pub fn leave(&mut self, ticket: RoomTicket) {
         self.waiting.remove(&ticket);
     }
 
-    /// Whether a request of some urgency would have to wait behind others.
+    /// Whether a request of this urgency would have to wait behind others.
     #[must_use]
     pub fn is_behind(&self, urgency: Urgency) -> bool {
         let first = self.waiting.first();
         first.is_some_and(|first| first.urgency <= urgency)
     }
 
-    /// Whether a request is the next to be let in.
+    /// Whether a request is the first in the queue.
     #[must_use]
     pub fn is_next(&self, ticket: RoomTicket) -> bool {
         self.waiting.first() == Some(&ticket)
     }
 
-    /// How many wait.
+    /// How many requests wait.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// A request has ended and left its room.
+    /// Records that a request has finished and released its cache.
     pub fn note_freed(&mut self, now: Instant) {
         if let Some(before) = self.freed_at.replace(now) {
             self.freed_every.note(now.saturating_duration_since(before));
         }
     }
 
-    /// A first event came some time after its request was sent.
+    /// Records the time from sending a request to its first event.
     pub fn note_first_event(&mut self, took: Duration) {
         self.first_event.note(took);
     }
 
-    /// How long a request can wait before it is sent and still have its first
-    /// event within an objective; none where first events take longer.
+    /// Longest time that a request can wait and still have its first event within
+    /// `objective`; zero if first events take longer than that.
     #[must_use]
     pub fn patience(&self, objective: Duration) -> Duration {
         let first_s = self.first_event.mean_s + DEVIATIONS * self.first_event.deviation_s;
@@ -140,8 +139,8 @@
         objective.saturating_sub(first)
     }
 
-    /// How long a request is expected to wait: until room came free for it and
-    /// for all in front of it.
+    /// Expected wait of a request: until cache has been released for it and for all
+    /// requests in front of it.
     #[must_use]
     pub fn expected_wait(&self, ticket: RoomTicket) -> Duration {
         let in_front = self.waiting.range(..ticket).count();
--- a/crates/rookferry_core/src/serving/server_key.rs
+++ b/crates/rookferry_core/src/serving/server_key.rs
@@ -1,11 +1,10 @@
-//! Which process is meant: a server's name, and its start.
+//! Identity of one start of a backend server.
 //!
-//! A server may start again under its name, at the same address or another,
-//! and an address may be taken over by another server. The new process holds
-//! and knows nothing of before. So all that is believed of a server (its load,
-//! its signs of life, what it refused) is kept by this key, and instances tell
-//! each other of servers by it: news of the former process, however late, is
-//! about the former key and says nothing of the new one.
+//! A server may restart under its name, at the same address or another, and an address
+//! may be taken over by another server. The new process has none of the former one's
+//! state. So all state about a server (its load, when it last answered, what it refused)
+//! is stored under this key, and peers report on servers by it: a late report about the
+//! former process doesn't affect the new one.
 
 use std::net::SocketAddr;
 
@@ -15,29 +14,29 @@
 use sha2::Digest;
 use sha2::Sha256;
 
-/// One start of a backend server.
+/// The key of one start of a backend server.
 ///
-/// Of the name and the start it holds a hash, since heartbeats carry a key for
-/// each server in use: 12 bytes in place of some 30. As bytes, since a whole
-/// number of its size would take five.
+/// It contains a hash of the name and the start, since heartbeats carry a key for each
+/// server in use: 12 bytes instead of some 30. The hash is a byte array, since an integer
+/// of this size would be encoded in five bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerKey {
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
-    /// A hash of its name and incarnation; tells apart those that had the
-    /// address one after the other.
+    /// A hash of its name and incarnation, which distinguishes successive servers at one
+    /// address.
     start_hash: [u8; 4],
 }
 
 impl ServerKey {
-    /// The start of a server of a name; without an incarnation, each start has
-    /// a name of its own.
+    /// The key of a server that started as `incarnation`; `None` if each start has a name
+    /// of its own.
     #[must_use]
     pub fn new(addr: SocketAddr, id: &str, incarnation: Option<Incarnation>) -> Self {
         let mut hasher = Sha256::new();
         hasher.update(id.as_bytes());
         if let Some(incarnation) = incarnation {
-            // Names don't hold a zero byte, so no name runs into a start.
+            // Names contain no zero byte, so it separates the name from the incarnation.
             hasher.update([0]);
             hasher.update(incarnation.to_be_bytes());
         }
--- a/crates/rookferry_core/src/serving/start_line.rs
+++ b/crates/rookferry_core/src/serving/start_line.rs
@@ -1,74 +1,76 @@
-//! When an instance that has just started reads the store.
+//! When an instance that has just started reads the store, and what happens to requests
+//! until it knows the site.
 //!
-//! Load pattern: a thousand instances that start or restart together, each with a
-//! configuration and pages of thousands of backend servers to read. Where each of them
-//! reads the store, its rate and its link are used up for seconds, and so are the
-//! links of small instances. So they stand in line: the first few of a failure domain
-//! read, and the others get what was read over a tree of peers.
+//! Load pattern: a thousand instances start or restart together, each with a
+//! configuration and pages of thousands of backend servers to read. If each of them read
+//! the store, its rate and its link would be used up for seconds, and so would the links
+//! of small instances. So they are ranked: the first few of a failure domain read, and
+//! the others get what was read over a tree of peers.
 //!
-//! An instance that restarts alone is offered everything within moments. Only where
-//! nobody offers anything does the place in line count.
+//! An instance that restarts alone is offered everything by peers within moments. The
+//! rank only matters if no peer offers anything.
 
 use std::time::Duration;
 
-/// How long an instance that restarts leaves the store alone where no peer
-/// offers what it needs: peers that are there answer within a few milliseconds.
+/// How long the first-ranked instance waits before it reads the store if no peer offers
+/// what it needs. Live peers answer within a few milliseconds.
 const FIRST_READ: Duration = Duration::from_millis(120);
-/// The same while a peer gives it: one peer that is asked in vain.
+/// The same while a peer offers it: time for one unanswered request to a peer.
 const FIRST_READ_OFFERED: Duration = Duration::from_millis(500);
-/// The same where the whole site starts for the first time: all instances are
-/// there and heard after three rounds of heartbeats, and no caller waits yet.
+/// The same if the whole site starts for the first time: all instances are running and
+/// known after three rounds of heartbeats, and no caller waits yet.
 const FIRST_READ_OF_SITE: Duration = Duration::from_millis(700);
-/// How long a peer's word that it has something holds: two heartbeats of a head.
+/// How long a peer's offer is valid: two heartbeats of an aggregator.
 const OFFER_KEPT: Duration = Duration::from_millis(650);
-/// How much longer than the one in front of it an instance waits at least: an
-/// answer of the store, and a heartbeat.
+/// Least delay between consecutive ranks: an answer of the store and a heartbeat.
 const READ_STEP: Duration = Duration::from_millis(100);
-/// Places in line that are told apart.
+/// Highest rank that still adds delay.
 const READ_STEPS: u32 = 8;
-/// The size of what is read at a start: a configuration, and a list of a thousand
-/// servers.
+/// Size of what is read at a start, in megabits: a configuration, and a list of a
+/// thousand servers.
 const BODY_MBIT: f64 = 4.0;
-/// The longest that a body counts as being on its way over a link.
+/// Upper limit of the estimated transfer time of a body.
 const LONGEST_BODY: Duration = Duration::from_millis(400);
 
-/// How long a request waits at most for an instance that has just started: a stream has
+/// Longest time that a request waits for an instance that has just started. A stream has
 /// to begin within its objective after that.
 const LONGEST_WAIT: Duration = Duration::from_millis(330);
-/// The least that callers are told to stay away: instances that start together know a
-/// small site within about this.
+/// Shortest retry time for callers: instances that start together know a small site
+/// within about this time.
 const LEAST_AWAY: Duration = Duration::from_millis(400);
-/// How many times as long the last of them stay away, so that not all come at once.
+/// Upper end of the spread of retry times, as a factor, so that callers don't return all
+/// at once.
 const AWAY_SPREAD: f64 = 1.25;
-/// How long an instance counts as starting at least while it doesn't know the site.
+/// Least time for which an instance counts as starting while it doesn't know the site.
 const STARTING: Duration = Duration::from_millis(1_500);
-/// How many times as long as it is likely to take an instance counts as starting.
+/// Factor on the expected time until the site is known; an instance counts as starting
+/// for the product.
 const STARTING_SPREAD: u32 = 2;
 
-/// From when on an instance has heard of most of those that start with it.
+/// Age at which an instance knows most of those that start with it.
 const MEMBERS_KNOWN_AFTER: Duration = Duration::from_millis(500);
-/// How often a body is taken to be passed on while the others aren't known: as among
-/// some hundreds.
+/// Assumed hops of a body between peers while they aren't known yet: enough for some
+/// hundreds.
 const HOPS_IF_UNKNOWN: u32 = 9;
 
-/// An instance that has just started, in line for its first read of the store.
+/// An instance that has just started and waits for its first read of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StartLine {
     /// Whether the whole site starts for the first time.
     pub is_first_start: bool,
-    /// How many instances of its failure domain stand before it.
+    /// How many instances of its failure domain are ranked before it.
     pub rank: usize,
-    /// How long ago a peer last told that it has what the instance needs, if any has.
+    /// Time since a peer last offered what the instance needs, if any has.
     pub offered_ago: Option<Duration>,
     /// The bandwidth of its link, if it is known.
     pub link_mbps: Option<f64>,
 }
 
 impl StartLine {
-    /// How long after its start the instance leaves the store alone.
+    /// Time from its start to its first read of the store.
     ///
-    /// One with a slow link waits as much longer as its own read would take: a faster
-    /// one has read by then, and offers what it has.
+    /// An instance with a slow link waits longer, by the time that its own read would
+    /// take: a faster one has read by then, and offers the result.
     #[must_use]
     pub fn first_read_after(&self) -> Duration {
         let body = self.body_time();
@@ -81,11 +83,11 @@
         }
     }
 
-    /// How long after its start an instance of an age is likely to know the site, where
-    /// all start together.
+    /// Expected time from its start until the instance knows the site, if all instances
+    /// start together.
     fn known_after(&self, age: Duration) -> Duration {
         let body = self.body_time();
-        // Others are only just heard of.
+        // Peers are only becoming known.
         let is_early = age < MEMBERS_KNOWN_AFTER && self.offered_ago.is_none();
         let least_hops = if is_early { HOPS_IF_UNKNOWN } else { 0 };
         self.first_of_line() + READ_STEP + body * (self.hops().max(least_hops) + 1)
@@ -95,38 +97,38 @@
         self.offered_ago.is_some_and(|ago| ago < OFFER_KEPT)
     }
 
-    /// Whether an instance of an age counts as starting while it doesn't know the site.
+    /// Whether an instance of this age counts as starting while it doesn't know the site.
     #[must_use]
     pub fn is_starting(&self, age: Duration) -> bool {
         age < STARTING.max(self.known_after(age) * STARTING_SPREAD)
     }
 
-    /// How long a request waits at most that comes at an age; `None` if it is refused at
+    /// How long a request that arrives at this age may wait; `None` if it is refused at
     /// once.
     ///
-    /// Load pattern: all of a site start again, and callers come all the while. One that
-    /// waits in vain has lost the time in which it could have come back, and one that
-    /// comes back too early meets another instance that doesn't know the site either,
-    /// and gives up. So it waits only where the instance is likely to know in time.
+    /// Load pattern: all instances of a site restart while callers keep sending. A caller
+    /// that waits in vain has lost time in which it could have retried; one that retries
+    /// too early reaches another instance that doesn't know the site either, and gives
+    /// up. So a request waits only if the instance is likely to know the site in time.
     #[must_use]
     pub fn wait(&self, age: Duration) -> Option<Duration> {
         (self.left(age) <= LONGEST_WAIT).then_some(LONGEST_WAIT)
     }
 
-    /// When a request that is refused at an age is to come back; `chance`, from 0 to 1, is
-    /// its own.
+    /// Retry time of a request that is refused at this age; `chance`, from 0 to 1, is
+    /// drawn per request and spreads the retry times.
     #[must_use]
     pub fn come_back_after(&self, age: Duration, chance: f64) -> Duration {
         let spread = chance.clamp(0.0, 1.0) * (AWAY_SPREAD - 1.0);
         self.left(age).max(LEAST_AWAY).mul_f64(1.0 + spread)
     }
 
-    /// How much longer it is likely to take until the instance knows the site.
+    /// Expected time left until the instance knows the site.
     fn left(&self, age: Duration) -> Duration {
         self.known_after(age).saturating_sub(age)
     }
 
-    /// When the first in line reads.
+    /// When the first-ranked instance reads.
     fn first_of_line(&self) -> Duration {
         if self.is_first_start {
             FIRST_READ_OF_SITE
@@ -135,13 +137,13 @@
         }
     }
 
-    /// How often a body is passed on until it reaches the instance: those that have it
-    /// double with each time that it is sent.
+    /// Hops of a body from peer to peer until it reaches the instance: the instances that
+    /// have it double with each.
     fn hops(&self) -> u32 {
         self.rank.checked_ilog2().map_or(1, |hops| hops + 2)
     }
 
-    /// How long a body takes over the instance's link.
+    /// Transfer time of a body over the instance's link.
     fn body_time(&self) -> Duration {
         let seconds = self
             .link_mbps
--- a/crates/rookferry_core/src/serving/store_contact.rs
+++ b/crates/rookferry_core/src/serving/store_contact.rs
@@ -1,29 +1,30 @@
-//! Whether an instance knows what the platform's store has, and as of when.
+//! How old an instance's knowledge of the platform's store is.
 //!
-//! It says nothing of versions: a store that was restored may have an older
-//! configuration than the one in force, and is read all the same.
+//! Versions play no part here: a restored store may have an older configuration than the
+//! one in use, and has been read all the same. Times of this instance's calls and of
+//! reports by peers of its failure domain come in; the age decides whether requests are
+//! still served and whether the instance reads the store itself.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// How much of an answer's delay is still counted with the next answer.
+/// Factor by which the largest delay decays with each answer.
 const DELAY_KEPT: f64 = 0.875;
-/// How often the usual delay an answer may take before it is overdue.
+/// An answer is overdue after this many times the usual delay.
 const OVERDUE_DELAYS: u32 = 2;
-/// The longest that an answer is waited for before it is overdue, however slow the
-/// store has been.
+/// Longest time until an answer is overdue, however slow the store has been.
 const LONGEST_OVERDUE: Duration = Duration::from_millis(600);
 
-/// When the store was last known to answer all that is read of it.
+/// When the store was last known to answer all reads.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreContact {
     config_at: Option<Instant>,
     servers_at: Option<Instant>,
-    /// By the word of others of the domain.
+    /// As reported by peers of the failure domain.
     heard_at: Option<Instant>,
-    /// Whether a watch of this instance's is overdue.
+    /// Whether a watch of this instance is overdue.
     is_overdue: bool,
-    /// How late answers are, the latest most.
+    /// Decaying maximum of the answers' delays.
     delay: Duration,
 }
 
@@ -34,42 +35,42 @@
         Self::default()
     }
 
-    /// The configuration was read, by a call that was sent at a time.
+    /// Records that the configuration was read by a call that was sent at `at`.
     pub fn read_config(&mut self, at: Instant) {
         self.config_at = self.config_at.max(Some(at));
         self.is_overdue = false;
     }
 
-    /// The servers were read, by a call that was sent at a time.
+    /// Records that the servers were read by a call that was sent at `at`.
     pub fn read_servers(&mut self, at: Instant) {
         self.servers_at = self.servers_at.max(Some(at));
         self.is_overdue = false;
     }
 
-    /// Another instance of the domain has its word from the store as of a time.
+    /// Records that a peer's knowledge of the store is as of `at`.
     pub fn hear(&mut self, at: Instant) {
         self.heard_at = self.heard_at.max(Some(at));
     }
 
-    /// A watch is overdue: what others are told of the store is not to be relied on.
+    /// Records that a watch is overdue: peers must not rely on this instance until its
+    /// next read.
     pub fn watch_overdue(&mut self) {
         self.is_overdue = true;
     }
 
-    /// An answer came later than it could have by this.
+    /// Records how much later than possible an answer came.
     pub fn note_delay(&mut self, delay: Duration) {
         self.delay = delay.max(self.delay.mul_f64(DELAY_KEPT));
     }
 
-    /// How long an answer may be late before it is overdue: as planned, or longer if
-    /// the store is slow.
+    /// Delay after which an answer is overdue: `planned`, or longer if the store is slow.
     #[must_use]
     pub fn overdue_after(&self, planned: Duration) -> Duration {
         let by_delay = self.delay.saturating_mul(OVERDUE_DELAYS);
         planned.max(by_delay.min(LONGEST_OVERDUE))
     }
 
-    /// How long ago what is known of the store was so; `None` if nothing is known.
+    /// Age of the knowledge of the store; `None` if nothing is known.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
         let own = self.config_at.min(self.servers_at);
@@ -77,13 +78,13 @@
         Some(now.saturating_duration_since(known_at))
     }
 
-    /// The same, as others are told.
+    /// The age to advertise; `None` while a watch is overdue.
     #[must_use]
     pub fn told_age(&self, now: Instant) -> Option<Duration> {
         self.age(now).filter(|_| !self.is_overdue)
     }
 
-    /// Whether it is known within a time.
+    /// Whether the age is below `bound`.
     #[must_use]
     pub fn is_fresh(&self, now: Instant, bound: Duration) -> bool {
         self.age(now).is_some_and(|age| age < bound)
--- a/crates/rookferry_core/src/serving/store_pace.rs
+++ b/crates/rookferry_core/src/serving/store_pace.rs
@@ -1,25 +1,24 @@
-//! How often an instance asks a store that doesn't answer.
+//! Retry pauses for a store that doesn't answer.
 //!
-//! In an outage every instance notices, and all of them asking would be a
-//! multiple of what the site asks otherwise. So the instances of a failure
-//! domain stand in line by address: the first asks often, those behind it less
-//! often the further back they stand, and whoever gets an answer tells the
-//! others by heartbeat. None stops asking, since those in front may be cut
-//! off from a store that others reach.
+//! In an outage all instances notice, and if all of them retried, the load would be a
+//! multiple of the usual one. So the instances of a failure domain are ranked by address:
+//! the first retries often, the others less often with increasing rank, and an instance
+//! that gets an answer informs its peers by heartbeat. None stops retrying, since those
+//! ranked before it may be cut off from a store that others reach.
 
 use std::time::Duration;
 
-/// Pause of the first in line after one failed call; doubles with each. About
-/// fifteen usual answers of the store.
+/// Pause of the first-ranked instance after one failed call; doubles with each. About
+/// fifteen usual response times of the store.
 const FIRST_PAUSE: Duration = Duration::from_millis(60);
-/// Longest pause of the first in line. A store that comes back serves the
-/// site after this and a heartbeat.
+/// Longest pause of the first-ranked instance. A store that recovers serves the site
+/// after this and a heartbeat.
 const LONGEST_PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause of all others: under the time for which a configuration may
-/// go without being confirmed, 4.9 s today.
+/// Longest pause of all other instances. Less than the time for which a configuration may
+/// go unconfirmed, 4.9 s.
 const LONGEST_RANKED_PAUSE: Duration = Duration::from_secs(3);
-/// The pause after a number of failed calls in a row, for an instance that
-/// stands behind `rank` others.
+/// The pause after `failures` consecutive failed calls, for an instance that is ranked
+/// after `rank` others.
 #[must_use]
 pub fn pause_in_line(failures: u32, rank: usize) -> Duration {
     let doublings = failures.saturating_sub(1);
--- a/crates/rookferry_core/src/serving/store_version.rs
+++ b/crates/rookferry_core/src/serving/store_version.rs
@@ -1,4 +1,4 @@
-//! Versions of the platform's store that compare over its restores.
+//! Versions of the platform's store that are ordered across its restores.
 
 use std::fmt;
 
@@ -9,20 +9,20 @@
 
 /// A state of the store.
 ///
-/// A store that is restored from a copy gives its revisions out again, so that a
-/// higher one may be of an older state. Any state of a later era is newer.
+/// A store that is restored from a backup assigns revisions again, so that a higher
+/// revision may be of an older state. Any state of a later era is newer.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct StoreVersion {
-    /// How often the store has been restored.
+    /// How often the store has been restored from a backup.
     pub era: StoreEra,
-    /// The revision; only compares within the era.
+    /// The revision; comparable only within an era.
     pub revision: ObjectVersion,
 }
 
 impl StoreVersion {
-    /// The state of a revision in an era.
+    /// The state at a revision of an era.
     #[must_use]
     pub const fn new(era: StoreEra, revision: ObjectVersion) -> Self {
         Self { era, revision }
--- a/crates/rookferry_core/src/serving/turns.rs
+++ b/crates/rookferry_core/src/serving/turns.rs
@@ -1,14 +1,15 @@
-//! What is too much for one heartbeat is told in turn.
+//! Rotation of reports that don't all fit into one heartbeat.
 //!
-//! Load pattern: a fiftieth of thousands of servers leave, end or refuse in one moment. A
-//! heartbeat has room for some of them, and an instance that tells the same ones each
-//! time never tells the others.
+//! Load pattern: one in fifty of thousands of servers leave, exit or refuse at the same
+//! moment. A heartbeat has space for some of them, and an instance that advertises the
+//! same ones each time never advertises the others.
 
-/// The part of what is told at a time that is for the latest, where not all can be told.
+/// Divisor of the space in a heartbeat: that part is for the latest reports if not all
+/// fit.
 const LATEST_PART: usize = 4;
 
-/// What is told of some things in a turn, at most `most` of them: the latest, and the
-/// others in turn. `all` has the latest first.
+/// The reports to advertise in round `turn`, at most `most`: the latest, and a rotating
+/// part of the others. `all` has the latest first.
 pub(crate) fn told_in_turn<T: Copy>(all: &[T], most: usize, turn: usize) -> Vec<T> {
     if all.len() <= most {
         return all.to_vec();
