--- a/crates/rookferry_core/src/serving/broken_runs.rs
+++ b/crates/rookferry_core/src/serving/broken_runs.rs
@@ -16,10 +16,10 @@
 
 /// How long a broken run waits for a probe of its server: a probe takes up to 0.6 s, and
 /// a second one follows 0.3 s later.
-const UNDECIDED_KEPT: Duration = Duration::from_secs(2);
+const UNDECIDED_TTL: Duration = Duration::from_secs(2);
 /// How long the exit of a server is remembered. A stalled stream finds its run broken
 /// within seconds.
-const ENDED_KEPT: Duration = Duration::from_mins(1);
+const EXITED_TTL: Duration = Duration::from_mins(1);
 /// Most broken runs that wait; ten engines have about that many requests in flight.
 const MAX_UNDECIDED: usize = 2_048;
 
@@ -50,7 +50,7 @@
 pub struct BrokenRuns {
     undecided: Vec<(BrokenRun, Instant)>,
     /// When servers exited, for runs that are found broken later.
-    ended: HashMap<ServerKey, Instant>,
+    exited: HashMap<ServerKey, Instant>,
 }
 
 impl BrokenRuns {
@@ -63,15 +63,15 @@
     /// Records a broken run and returns what is known of its server.
     pub fn note(&mut self, run: BrokenRun, now: Instant) -> BrokenRunNoted {
         self.expire(now);
-        if self.ended.contains_key(&run.end.server) {
+        if self.exited.contains_key(&run.end.server) {
             return BrokenRunNoted::Ended(run);
         }
         let mut undecided = self.undecided.iter();
-        let is_asked = undecided.any(|(known, _)| known.end.server == run.end.server);
+        let is_probed = undecided.any(|(known, _)| known.end.server == run.end.server);
         if self.undecided.len() < MAX_UNDECIDED {
             self.undecided.push((run, now));
         }
-        if is_asked {
+        if is_probed {
             BrokenRunNoted::Asked
         } else {
             BrokenRunNoted::Unasked
@@ -81,7 +81,7 @@
     /// Records that a server has exited, and removes and returns its broken runs.
     pub fn server_ended(&mut self, server: ServerKey, now: Instant) -> Vec<BrokenRun> {
         self.expire(now);
-        self.ended.insert(server, now);
+        self.exited.insert(server, now);
         self.take(server)
     }
 
@@ -100,9 +100,9 @@
 
     fn expire(&mut self, now: Instant) {
         self.undecided
-            .retain(|(_, at)| now.saturating_duration_since(*at) < UNDECIDED_KEPT);
-        self.ended
-            .retain(|_, at| now.saturating_duration_since(*at) < ENDED_KEPT);
+            .retain(|(_, at)| now.saturating_duration_since(*at) < UNDECIDED_TTL);
+        self.exited
+            .retain(|_, at| now.saturating_duration_since(*at) < EXITED_TTL);
     }
 
     fn take(&mut self, server: ServerKey) -> Vec<BrokenRun> {
--- a/crates/rookferry_core/src/serving/closed.rs
+++ b/crates/rookferry_core/src/serving/closed.rs
@@ -19,18 +19,18 @@
 
 /// Share of its cache capacity below which a server that refuses isn't merely full. The
 /// known load is some tenths of a second old, in which a tenth of the capacity may fill.
-const FULL_PART: f64 = 0.5;
+const LOW_LOAD_SHARE: f64 = 0.5;
 /// How long a server is excluded after its first refusal: three heartbeats, so that peers
 /// receive the report before they try the server themselves.
-const FIRST_CLOSED: Duration = Duration::from_millis(500);
+const FIRST_DELAY: Duration = Duration::from_millis(500);
 /// Up to how many times longer than the shortest delay an instance excludes a server.
 /// Instances differ, so that the report of the next refusal reaches most of them before
 /// they try.
-const PATIENCE_SPREAD: f64 = 2.0;
+const DELAY_SPREAD: f64 = 2.0;
 /// Longest delay: an entry may show this late that an engine has left.
-const LONGEST_CLOSED: Duration = Duration::from_secs(4);
+const LONGEST_DELAY: Duration = Duration::from_secs(4);
 /// Consecutive refusals are counted up to this; at this count the delay is the longest.
-const MOST_REFUSALS: u8 = 8;
+const MAX_REFUSALS: u8 = 8;
 
 /// A refusing server, as reported to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug)]
 pub struct ClosedServers {
     /// The instance's factor on the delay; at least 1.
-    patience: f64,
+    delay_factor: f64,
     records: HashMap<ServerKey, Record>,
 }
 
@@ -66,27 +66,27 @@
     #[must_use]
     pub fn new(chance: f64) -> Self {
         Self {
-            patience: 1.0 + chance.clamp(0.0, 1.0) * PATIENCE_SPREAD,
+            delay_factor: 1.0 + chance.clamp(0.0, 1.0) * DELAY_SPREAD,
             records: HashMap::new(),
         }
     }
 
     /// Records a refusal by a server whose load is known as `used_tokens` of
-    /// `room_tokens`. Returns whether the load was low enough for the server to count as
+    /// `capacity_tokens`. Returns whether the load was low enough for the server to count as
     /// refusing.
     pub fn refused(
         &mut self,
         server: ServerKey,
         used_tokens: f64,
-        room_tokens: f64,
+        capacity_tokens: f64,
         now: Instant,
     ) -> bool {
-        if used_tokens >= room_tokens * FULL_PART {
+        if used_tokens >= capacity_tokens * LOW_LOAD_SHARE {
             return false;
         }
         if !self.is_closed(server, now) {
             let record = self.record(server);
-            record.refusals = (record.refusals + 1).min(MOST_REFUSALS);
+            record.refusals = (record.refusals + 1).min(MAX_REFUSALS);
             record.refused_at = Some(now);
         }
         true
@@ -98,13 +98,13 @@
         let Some(at) = now.checked_sub(Duration::from_millis(seen.age_ms)) else {
             return false;
         };
-        let was_closed = self.is_closed(seen.server, now);
+        let was_refusing = self.is_closed(seen.server, now);
         let record = self.record(seen.server);
         if record.refused_at.max(record.accepted_at) < Some(at) {
             record.refused_at = Some(at);
-            record.refusals = seen.refusals.clamp(1, MOST_REFUSALS);
+            record.refusals = seen.refusals.clamp(1, MAX_REFUSALS);
         }
-        !was_closed && self.is_closed(seen.server, now)
+        !was_refusing && self.is_closed(seen.server, now)
     }
 
     /// Records that a server accepted work.
@@ -125,15 +125,15 @@
     #[must_use]
     pub fn is_closed(&self, server: ServerKey, now: Instant) -> bool {
         let record = self.records.get(&server);
-        record.is_some_and(|record| record.is_closed(self.patience, now))
+        record.is_some_and(|record| record.is_closed(self.delay_factor, now))
     }
 
-    /// At most `most` refusing servers to advertise in round `turn`.
+    /// At most `most` refusing servers to advertise in round `round`.
     #[must_use]
-    pub fn told(&self, most: usize, turn: usize, now: Instant) -> Vec<ClosedSeen> {
+    pub fn told(&self, most: usize, round: usize, now: Instant) -> Vec<ClosedSeen> {
         let mut seen = self.seen(now);
         seen.sort_unstable_by_key(|seen| (seen.age_ms, seen.server));
-        told_in_turn(&seen, most, turn)
+        told_in_turn(&seen, most, round)
     }
 
     /// All refusing servers.
@@ -142,7 +142,7 @@
         let closed = self
             .records
             .iter()
-            .filter(|(_, record)| record.is_closed(self.patience, now));
+            .filter(|(_, record)| record.is_closed(self.delay_factor, now));
         let seen = closed.filter_map(|(server, record)| {
             let age = now.saturating_duration_since(record.refused_at?);
             Some(ClosedSeen {
@@ -169,13 +169,13 @@
 }
 
 impl Record {
-    fn is_closed(&self, patience: f64, now: Instant) -> bool {
+    fn is_closed(&self, delay_factor: f64, now: Instant) -> bool {
         let doublings = u32::from(self.refusals.saturating_sub(1));
-        let closed_for = FIRST_CLOSED
+        let delay = FIRST_DELAY
             .saturating_mul(2_u32.saturating_pow(doublings))
-            .mul_f64(patience)
-            .min(LONGEST_CLOSED);
+            .mul_f64(delay_factor)
+            .min(LONGEST_DELAY);
         self.refused_at
-            .is_some_and(|at| now.saturating_duration_since(at) < closed_for)
+            .is_some_and(|at| now.saturating_duration_since(at) < delay)
     }
 }
--- a/crates/rookferry_core/src/serving/departed.rs
+++ b/crates/rookferry_core/src/serving/departed.rs
@@ -20,12 +20,12 @@
 
 /// How long a leaving server without an entry is remembered. Entries are removed and come
 /// back during outages of the store, which last some ten seconds.
-const LEAVING_KEPT: Duration = Duration::from_mins(10);
+const LEAVING_TTL: Duration = Duration::from_mins(10);
 /// How long the removal of an entry is remembered if no list confirms it meanwhile.
-const GONE_KEPT: Duration = Duration::from_secs(30);
+const REMOVED_TTL: Duration = Duration::from_secs(30);
 /// How long a departure is advertised: several times the longest bound within which all
 /// instances must know it.
-const TOLD_FOR: Duration = Duration::from_secs(10);
+const ADVERTISED_FOR: Duration = Duration::from_secs(10);
 
 /// Why a server gets no new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -53,7 +53,7 @@
     /// Servers that announced it, and when it became known.
     leaving: HashMap<ServerKey, Instant>,
     /// Servers whose entry was removed, in which version and since when.
-    gone: HashMap<ServerKey, (ListVersion, Instant)>,
+    removed: HashMap<ServerKey, (ListVersion, Instant)>,
     /// The version of the list in use.
     list: ListVersion,
 }
@@ -77,7 +77,7 @@
                 true
             }
             Departure::Gone(version) => {
-                self.gone.insert(server, (version, since));
+                self.removed.insert(server, (version, since));
                 version > self.list
             }
         }
@@ -89,7 +89,7 @@
         match departure {
             Departure::Leaving => self.leaving.contains_key(&server),
             Departure::Gone(version) => {
-                let known = self.gone.get(&server);
+                let known = self.removed.get(&server);
                 known.is_some_and(|(known, _)| *known >= version)
             }
         }
@@ -105,8 +105,9 @@
     /// Whether a server gets no new work.
     #[must_use]
     pub fn contains(&self, server: ServerKey) -> bool {
-        let gone = self.gone.get(&server);
-        self.leaving.contains_key(&server) || gone.is_some_and(|(version, _)| *version > self.list)
+        let removed = self.removed.get(&server);
+        self.leaving.contains_key(&server)
+            || removed.is_some_and(|(version, _)| *version > self.list)
     }
 
     /// Records that the list of `version` is now in use; it overrides removals up to that
@@ -121,29 +122,30 @@
         self.list = version;
         let age = |since: &Instant| now.saturating_duration_since(*since);
         self.leaving
-            .retain(|server, since| is_known(*server) || age(since) < LEAVING_KEPT);
-        self.gone.retain(|_, (_, since)| age(since) < GONE_KEPT);
+            .retain(|server, since| is_known(*server) || age(since) < LEAVING_TTL);
+        self.removed
+            .retain(|_, (_, since)| age(since) < REMOVED_TTL);
     }
 
-    /// At most `most` departures to advertise in round `turn`: the latest, and a rotating
+    /// At most `most` departures to advertise in round `round`: the latest, and a rotating
     /// part of the others, so that each is repeated however many servers leave at once.
     #[must_use]
-    pub fn told(&self, most: usize, turn: usize, now: Instant) -> Vec<DepartureSeen> {
+    pub fn told(&self, most: usize, round: usize, now: Instant) -> Vec<DepartureSeen> {
         let leaving = self
             .leaving
             .iter()
             .map(|(server, since)| (*server, Departure::Leaving, *since));
-        let gone = self
-            .gone
+        let removed = self
+            .removed
             .iter()
             .map(|(server, (version, since))| (*server, Departure::Gone(*version), *since));
-        let all = leaving.chain(gone).map(|(server, departure, since)| {
+        let all = leaving.chain(removed).map(|(server, departure, since)| {
             let age = now.saturating_duration_since(since);
             (age, server, departure)
         });
-        let mut told: Vec<_> = all.filter(|(age, ..)| *age < TOLD_FOR).collect();
+        let mut told: Vec<_> = all.filter(|(age, ..)| *age < ADVERTISED_FOR).collect();
         told.sort_unstable_by_key(|(age, server, _)| (*age, *server));
-        let told = told_in_turn(&told, most, turn).into_iter();
+        let told = told_in_turn(&told, most, round).into_iter();
         told.map(|(age, server, departure)| DepartureSeen {
             server,
             departure,
@@ -155,6 +157,6 @@
     /// Whether no departure is stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.leaving.is_empty() && self.gone.is_empty()
+        self.leaving.is_empty() && self.removed.is_empty()
     }
 }
--- a/crates/rookferry_core/src/serving/directory.rs
+++ b/crates/rookferry_core/src/serving/directory.rs
@@ -28,7 +28,7 @@
 /// How long the entry of a removed name still counts as an earlier start. Writes of a
 /// process that exited have arrived up to 4 s after the entry of its successor; the
 /// longest outage of the store adds some 10 s.
-const FORMER_KEPT: Duration = Duration::from_secs(30);
+const FORMER_TTL: Duration = Duration::from_secs(30);
 
 /// A change to the entry of one server.
 #[derive(Clone, Debug, PartialEq)]
@@ -73,24 +73,24 @@
 #[derive(Clone, Debug)]
 struct Listed {
     server: BackendServer,
-    seen: SeenOrder,
+    first_seen: ReadNumber,
 }
 
 /// Number of the read in which a start was first seen.
-type SeenOrder = u64;
+type ReadNumber = u64;
 
 /// A start whose entry was removed.
 #[derive(Clone, Debug)]
 struct Former {
     listed: Listed,
-    gone_at: Instant,
+    removed_at: Instant,
 }
 
 /// An entry that reappeared after a restore and isn't accepted yet.
 #[derive(Clone, Debug)]
 struct Restored {
     server: BackendServer,
-    believed_at: Instant,
+    accepted_at: Instant,
 }
 
 /// What [`Directory::expire`] changed.
@@ -117,7 +117,7 @@
     missing_since: BTreeMap<EngineId, Instant>,
     former: BTreeMap<EngineId, Former>,
     restored: BTreeMap<EngineId, Restored>,
-    reads: SeenOrder,
+    read_count: ReadNumber,
 }
 
 impl Directory {
@@ -171,9 +171,9 @@
     /// Applies a change; returns false if it is outdated or has no effect. A write of an
     /// earlier start never replaces the entry of a later one.
     pub fn apply(&mut self, change: DirectoryChange, now: Instant) -> bool {
-        self.reads += 1;
+        self.read_count += 1;
         match change {
-            DirectoryChange::Updated(server) if self.is_late_word(&server) => false,
+            DirectoryChange::Updated(server) if self.is_outdated(&server) => false,
             DirectoryChange::Updated(server) => {
                 self.restored.remove(&server.id);
                 self.insert(server)
@@ -188,7 +188,7 @@
 
     /// Whether an entry has fewer writes than the known entry of the same start: it was
     /// delayed, or comes from a list that is older than it looks.
-    fn is_late_word(&self, server: &BackendServer) -> bool {
+    fn is_outdated(&self, server: &BackendServer) -> bool {
         let known = self.entries.get(&server.id);
         known.is_some_and(|known| {
             known.server.key == server.key
@@ -199,25 +199,25 @@
 
     /// Applies a whole list. If absent servers may merely have expired, they stay until
     /// [`Directory::expire`] removes them after the grace period.
-    pub fn replace(&mut self, list: Vec<BackendServer>, doubts: ListDoubts, now: Instant) {
-        self.reads += 1;
-        let doubts = ListDoubts {
+    pub fn replace(&mut self, list: Vec<BackendServer>, uncertainty: ListDoubts, now: Instant) {
+        self.read_count += 1;
+        let uncertainty = ListDoubts {
             // On the first list no server counts as removed before.
-            may_have_gone_unseen: doubts.may_have_gone_unseen && !self.entries.is_empty(),
-            ..doubts
+            may_have_gone_unseen: uncertainty.may_have_gone_unseen && !self.entries.is_empty(),
+            ..uncertainty
         };
         let listed: BTreeSet<EngineId> = list.iter().map(|server| server.id.clone()).collect();
         self.restored.clear();
         for server in list {
-            self.take_listed(server, doubts, now);
+            self.apply_listed(server, uncertainty, now);
         }
         let names = self.entries.keys();
         let missing: Vec<EngineId> = names.filter(|id| !listed.contains(*id)).cloned().collect();
-        if !doubts.may_lack {
+        if !uncertainty.may_lack {
             self.missing_since.clear();
         }
         for id in missing {
-            if doubts.may_lack {
+            if uncertainty.may_lack {
                 self.missing_since.entry(id).or_insert(now);
             } else {
                 self.remove(&id, now);
@@ -225,10 +225,10 @@
         }
     }
 
-    fn take_listed(&mut self, server: BackendServer, doubts: ListDoubts, now: Instant) {
-        if let Some(stands_for) = doubts.may_be_old {
-            self.take_restored(server, doubts, now + stands_for);
-        } else if self.is_late_word(&server) {
+    fn apply_listed(&mut self, server: BackendServer, uncertainty: ListDoubts, now: Instant) {
+        if let Some(persists_for) = uncertainty.may_be_old {
+            self.apply_restored(server, uncertainty, now + persists_for);
+        } else if self.is_outdated(&server) {
             self.missing_since.remove(&server.id);
         } else {
             self.insert(server);
@@ -236,8 +236,13 @@
     }
 
     /// Applies an entry that may be outdated; that of a server which may have been
-    /// removed is only accepted at `believed_at`, if it is still there.
-    fn take_restored(&mut self, server: BackendServer, doubts: ListDoubts, believed_at: Instant) {
+    /// removed is only accepted at `accepted_at`, if it is still there.
+    fn apply_restored(
+        &mut self,
+        server: BackendServer,
+        uncertainty: ListDoubts,
+        accepted_at: Instant,
+    ) {
         if let Some(known) = self.entries.get(&server.id)
             && known.server.key == server.key
             && (server.writes < known.server.writes || known.server.is_leaving)
@@ -246,14 +251,14 @@
             return;
         }
         let former = self.former.get(&server.id);
-        let had_gone = former.is_some_and(|former| former.listed.server.key == server.key);
-        let is_unheard_of = doubts.may_have_gone_unseen
+        let was_removed = former.is_some_and(|former| former.listed.server.key == server.key);
+        let is_unknown = uncertainty.may_have_gone_unseen
             && former.is_none()
             && !self.entries.contains_key(&server.id);
-        if had_gone || is_unheard_of {
+        if was_removed || is_unknown {
             let restored = Restored {
                 server,
-                believed_at,
+                accepted_at,
             };
             self.restored.insert(restored.server.id.clone(), restored);
             return;
@@ -272,7 +277,7 @@
     /// that have persisted; returns both.
     pub fn expire(&mut self, now: Instant, grace: Duration) -> Expired {
         self.former
-            .retain(|_, former| now.saturating_duration_since(former.gone_at) < FORMER_KEPT);
+            .retain(|_, former| now.saturating_duration_since(former.removed_at) < FORMER_TTL);
         let is_over = |since: &Instant| now.saturating_duration_since(*since) >= grace;
         let gone: Vec<EngineId> = self
             .missing_since
@@ -284,12 +289,13 @@
             self.missing_since.remove(id);
             self.remove(id, now);
         }
-        let standing = self
+        let persisted = self
             .restored
-            .extract_if(.., |_, restored| restored.believed_at <= now);
-        let standing: Vec<BackendServer> = standing.map(|(_, restored)| restored.server).collect();
-        let back = standing.iter().map(|server| server.id.clone()).collect();
-        for server in standing {
+            .extract_if(.., |_, restored| restored.accepted_at <= now);
+        let persisted: Vec<BackendServer> =
+            persisted.map(|(_, restored)| restored.server).collect();
+        let back = persisted.iter().map(|server| server.id.clone()).collect();
+        for server in persisted {
             self.insert(server);
         }
         Expired { gone, back }
@@ -299,7 +305,7 @@
     #[must_use]
     pub fn expires_at(&self, grace: Duration) -> Option<Instant> {
         let missing = self.missing_since.values().map(|since| *since + grace);
-        let restored = self.restored.values().map(|restored| restored.believed_at);
+        let restored = self.restored.values().map(|restored| restored.accepted_at);
         missing.chain(restored).min()
     }
 
@@ -311,13 +317,13 @@
             return false;
         }
         // A start that was known before keeps its number.
-        let seen = known
+        let first_seen = known
             .filter(|known| known.server.key == server.key)
-            .map_or(self.reads, |known| known.seen);
+            .map_or(self.read_count, |known| known.first_seen);
         self.former.remove(&server.id);
         self.missing_since.remove(&server.id);
         self.entries
-            .insert(server.id.clone(), Listed { server, seen });
+            .insert(server.id.clone(), Listed { server, first_seen });
         true
     }
 
@@ -327,7 +333,7 @@
         };
         let former = Former {
             listed,
-            gone_at: now,
+            removed_at: now,
         };
         self.former.insert(id.clone(), former);
         true
@@ -343,8 +349,8 @@
         if let (Some(own), Some(others)) = (started(self), started(other)) {
             return own > others;
         }
-        if self.seen != other.seen {
-            return self.seen > other.seen;
+        if self.first_seen != other.first_seen {
+            return self.first_seen > other.first_seen;
         }
         self.server.writes < other.server.writes
     }
--- a/crates/rookferry_core/src/serving/era_tracker.rs
+++ b/crates/rookferry_core/src/serving/era_tracker.rs
@@ -53,26 +53,26 @@
     /// Evaluates the era in an answer of the store to a call that was sent at `asked_at`.
     pub fn observe(
         &mut self,
-        told: Option<StoreEra>,
+        stated: Option<StoreEra>,
         asked_at: Instant,
         now: Instant,
     ) -> EraVerdict {
-        let Some(told) = told else {
+        let Some(stated) = stated else {
             return EraVerdict::Current;
         };
         let before = self.known;
-        if before == Some(told) {
+        if before == Some(stated) {
             return EraVerdict::Current;
         }
-        if let Some(known) = before.filter(|known| told < *known) {
+        if let Some(known) = before.filter(|known| stated < *known) {
             if self.known_since.is_some_and(|since| asked_at < since) {
                 return EraVerdict::Late;
             }
             self.denied = Some(self.denied.map_or(known, |denied| denied.min(known)));
-        } else if self.is_denied(told) {
+        } else if self.is_denied(stated) {
             self.denied = None;
         }
-        self.known = Some(told);
+        self.known = Some(stated);
         self.known_since = Some(now);
         EraVerdict::Changed { before }
     }
@@ -80,12 +80,12 @@
     /// Merges an era that a peer reported; returns whether it is later than the known
     /// one.
     pub fn hear(&mut self, era: StoreEra, now: Instant) -> bool {
-        let is_news = self.era() < era && !self.is_denied(era);
-        if is_news {
+        let is_new = self.era() < era && !self.is_denied(era);
+        if is_new {
             self.known = Some(era);
             self.known_since = Some(now);
         }
-        is_news
+        is_new
     }
 
     /// Whether the store has denied the era, or a lower one.
--- a/crates/rookferry_core/src/serving/health.rs
+++ b/crates/rookferry_core/src/serving/health.rs
@@ -19,10 +19,10 @@
 const FULL_FOR: Duration = Duration::from_millis(150);
 /// Share of the tokens in use at a refusal that still counts as capacity. Less than 1, so
 /// that the next request isn't refused too.
-const SEEN_ROOM_PART: f64 = 0.95;
+const OBSERVED_CAPACITY_SHARE: f64 = 0.95;
 /// Share of the published capacity that is trusted again each second. Requests take two
 /// to three seconds, so a wrong estimate is gone after a few of them.
-const ROOM_REGAINED_PER_S: f64 = 0.05;
+const CAPACITY_REGAINED_PER_S: f64 = 0.05;
 /// Weight of one request in the failing share.
 const SAMPLE_WEIGHT: f64 = 0.25;
 
@@ -32,12 +32,12 @@
     updated_at: Instant,
     out_since: Option<Instant>,
     full_at: Option<Instant>,
-    no_room: Option<NoRoom>,
+    capacity_refusal: Option<CapacityRefusal>,
 }
 
 /// A refusal for lack of cache capacity.
 #[derive(Clone, Copy, Debug)]
-struct NoRoom {
+struct CapacityRefusal {
     /// Tokens known to be in use at that time.
     used_tokens: f64,
     at: Instant,
@@ -75,9 +75,9 @@
     /// Records that a server doesn't answer; returns whether it is newly out.
     pub fn lost(&mut self, server: ServerKey, now: Instant) -> bool {
         let record = self.record(server, now);
-        let is_news = record.out_since.is_none();
+        let is_new = record.out_since.is_none();
         record.out_since.get_or_insert(now);
-        is_news
+        is_new
     }
 
     /// Records that a server refused a request.
@@ -89,7 +89,7 @@
     /// were known to be in use.
     pub fn had_no_room(&mut self, server: ServerKey, used_tokens: f64, now: Instant) {
         self.turned_away(server, now);
-        self.record(server, now).no_room = Some(NoRoom {
+        self.record(server, now).capacity_refusal = Some(CapacityRefusal {
             used_tokens,
             at: now,
         });
@@ -99,13 +99,16 @@
     /// refused a request below that.
     #[must_use]
     pub fn room_tokens(&self, server: ServerKey, published_tokens: f64, now: Instant) -> f64 {
-        let no_room = self.records.get(&server).and_then(|record| record.no_room);
-        let Some(NoRoom { used_tokens, at }) = no_room else {
+        let capacity_refusal = self
+            .records
+            .get(&server)
+            .and_then(|record| record.capacity_refusal);
+        let Some(CapacityRefusal { used_tokens, at }) = capacity_refusal else {
             return published_tokens;
         };
         let since_s = now.saturating_duration_since(at).as_secs_f64();
-        let regained_tokens = published_tokens * ROOM_REGAINED_PER_S * since_s;
-        published_tokens.min(used_tokens * SEEN_ROOM_PART + regained_tokens)
+        let regained_tokens = published_tokens * CAPACITY_REGAINED_PER_S * since_s;
+        published_tokens.min(used_tokens * OBSERVED_CAPACITY_SHARE + regained_tokens)
     }
 
     /// Whether a server refused a request within the last 150 ms.
@@ -144,15 +147,15 @@
         records.filter(|record| record.out_since.is_some()).count()
     }
 
-    /// At most `most` servers that are out, to advertise in round `turn`.
+    /// At most `most` servers that are out, to advertise in round `round`.
     #[must_use]
-    pub fn told(&self, most: usize, turn: usize) -> Vec<ServerKey> {
+    pub fn told(&self, most: usize, round: usize) -> Vec<ServerKey> {
         let records = self.records.iter();
         let out = records.filter_map(|(server, record)| Some((record.out_since?, *server)));
         let mut out: Vec<_> = out.collect();
         out.sort_unstable_by_key(|(since, server)| (std::cmp::Reverse(*since), *server));
         let out: Vec<ServerKey> = out.into_iter().map(|(_, server)| server).collect();
-        told_in_turn(&out, most, turn)
+        told_in_turn(&out, most, round)
     }
 
     /// The decayed share of requests that failed, 0 to 1.
@@ -174,7 +177,7 @@
             updated_at: now,
             out_since: None,
             full_at: None,
-            no_room: None,
+            capacity_refusal: None,
         })
     }
 }
--- a/crates/rookferry_core/src/serving/link_pace.rs
+++ b/crates/rookferry_core/src/serving/link_pace.rs
@@ -11,7 +11,7 @@
 
 /// Share of the link's time for prompts; the rest is for tokens and for paths that are
 /// repaired.
-const LINK_PART: f64 = 0.8;
+const PROMPT_SHARE: f64 = 0.8;
 /// Milliseconds of link time per second.
 const LINK_MS_PER_S: f64 = 1_000.0;
 
@@ -42,7 +42,7 @@
     ///
     /// Time until the link is available, if it isn't now.
     pub fn take(&mut self, needed_ms: f64, instances: usize, now: Instant) -> Result<(), Duration> {
-        let regained_per_s = LINK_PART * LINK_MS_PER_S / instances.max(1) as f64;
+        let regained_per_s = PROMPT_SHARE * LINK_MS_PER_S / instances.max(1) as f64;
         match self.at {
             None => self.left_ms = -needed_ms * self.chance,
             Some(at) => {
--- a/crates/rookferry_core/src/serving/list_history.rs
+++ b/crates/rookferry_core/src/serving/list_history.rs
@@ -25,9 +25,9 @@
 use super::ListVersion;
 
 /// Most earlier lists that are stored: several seconds' worth with a change in each.
-const MOST_REMEMBERED: usize = 64;
+const MAX_EARLIER: usize = 64;
 /// Divisor of the list's length: if more than that part differs, the whole list is sent.
-const WHOLE_FROM: usize = 2;
+const WHOLE_LIST_DIVISOR: usize = 2;
 
 /// XOR of the entries' hashes; independent of their order.
 pub type ListDigest = u64;
@@ -90,7 +90,7 @@
     entries: HashMap<EngineId, Entry>,
     /// Names that a stored list contains and a later one lacks, and the first list
     /// without.
-    gone: HashMap<EngineId, ListNumber>,
+    removed: HashMap<EngineId, ListNumber>,
     /// Earlier lists, oldest first.
     earlier: VecDeque<(ListMark, ListNumber)>,
 }
@@ -114,7 +114,7 @@
         version: ListVersion,
         list: impl IntoIterator<Item = &'a BackendServer>,
     ) {
-        self.remember();
+        self.archive_current();
         let mut before = std::mem::take(&mut self.entries);
         let mut digest = 0;
         for server in list {
@@ -122,29 +122,30 @@
             digest ^= hash;
             let known = before.remove(&server.id).filter(|known| known.hash == hash);
             let changed_in = known.map_or(self.number, |known| known.changed_in);
-            self.gone.remove(&server.id);
+            self.removed.remove(&server.id);
             let entry = Entry { hash, changed_in };
             self.entries.insert(server.id.clone(), entry);
         }
         let number = self.number;
-        self.gone.extend(before.into_keys().map(|id| (id, number)));
+        self.removed
+            .extend(before.into_keys().map(|id| (id, number)));
         self.mark = ListMark { version, digest };
     }
 
     /// Moves the current list to the earlier ones.
-    fn remember(&mut self) {
+    fn archive_current(&mut self) {
         if self.number > 0 {
             self.earlier.push_back((self.mark, self.number));
         }
         self.number += 1;
-        if self.earlier.len() > MOST_REMEMBERED {
+        if self.earlier.len() > MAX_EARLIER {
             self.earlier.pop_front();
         }
         let oldest = self
             .earlier
             .front()
             .map_or(self.number, |(_, number)| *number);
-        self.gone.retain(|_, gone_in| *gone_in > oldest);
+        self.removed.retain(|_, removed_in| *removed_in > oldest);
     }
 
     /// The differences between an earlier list and the current one; `entry` looks up the
@@ -163,15 +164,18 @@
             .iter()
             .filter(|(_, entry)| later(entry.changed_in));
         let changed: Vec<&EngineId> = changed.map(|(id, _)| id).collect();
-        let gone = self.gone.iter().filter(|(_, gone_in)| later(**gone_in));
-        let gone: Vec<EngineId> = gone.map(|(id, _)| id.clone()).collect();
-        if (changed.len() + gone.len()) * WHOLE_FROM > self.entries.len() {
+        let removed = self
+            .removed
+            .iter()
+            .filter(|(_, removed_in)| later(**removed_in));
+        let removed: Vec<EngineId> = removed.map(|(id, _)| id.clone()).collect();
+        if (changed.len() + removed.len()) * WHOLE_LIST_DIVISOR > self.entries.len() {
             return None;
         }
         let changed: Option<Vec<BackendServer>> = changed.into_iter().map(entry).collect();
         Some(ListDelta {
             changed: changed?,
-            gone,
+            gone: removed,
         })
     }
 }
--- a/crates/rookferry_core/src/serving/news_budget.rs
+++ b/crates/rookferry_core/src/serving/news_budget.rs
@@ -23,14 +23,14 @@
 const WATCH_WAIT: u32 = 250;
 const OVERDUE: u32 = 100;
 const READ: u32 = 100;
-const TELL: u32 = 100;
-const LOOK: u32 = 50;
-const READER_KEPT: u32 = 375;
-const LINE: u32 = 80;
-const PAUSE: u32 = 125;
+const DELIVERY: u32 = 100;
+const POLL_INTERVAL: u32 = 50;
+const READER_TIMEOUT: u32 = 375;
+const RANK_DELAY: u32 = 80;
+const RETRY_PAUSE: u32 = 125;
 const SPREAD: u32 = 250;
 /// Highest rank that still adds delay.
-const LINE_PLACES: u32 = 4;
+const MAX_RANK: u32 = 4;
 
 /// A path that a change of a server takes to the last instance of a failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -101,19 +101,19 @@
     /// How long a report takes to the peers of the domain if one datagram is lost.
     #[must_use]
     pub fn tell(&self) -> Duration {
-        self.part(TELL)
+        self.part(DELIVERY)
     }
 
     /// How often an instance that relies on its peers checks whether it still may.
     #[must_use]
     pub fn look(&self) -> Duration {
-        self.part(LOOK)
+        self.part(POLL_INTERVAL)
     }
 
     /// How long a silent instance still counts as a store reader.
     #[must_use]
     pub fn reader_kept(&self) -> Duration {
-        self.part(READER_KEPT)
+        self.part(READER_TIMEOUT)
     }
 
     /// Age up to which the peers' knowledge of the store is relied on. With a working
@@ -128,15 +128,15 @@
     /// relies on it.
     #[must_use]
     pub fn line(&self, rank: usize) -> Duration {
-        let places = u32::try_from(rank).unwrap_or(LINE_PLACES).min(LINE_PLACES);
-        self.part(LINE) * places / LINE_PLACES
+        let ranks = u32::try_from(rank).unwrap_or(MAX_RANK).min(MAX_RANK);
+        self.part(RANK_DELAY) * ranks / MAX_RANK
     }
 
     /// Longest pause of the first-ranked instance after failed calls. Once it has read,
     /// the others use its report.
     #[must_use]
     pub fn pause(&self) -> Duration {
-        self.part(PAUSE)
+        self.part(RETRY_PAUSE)
     }
 
     /// How long a change takes from one instance of a domain to all of them.
--- a/crates/rookferry_core/src/serving/quarantine/ends.rs
+++ b/crates/rookferry_core/src/serving/quarantine/crashes.rs
@@ -27,7 +27,7 @@
 /// If a request reached a server this long after an earlier crash, the server counts as
 /// having been alive then, even without evidence: a failure at the same time as the
 /// earlier one would be known by then.
-const KNOWN_AFTER: Duration = Duration::from_secs(1);
+const PRESUMED_ALIVE_AFTER: Duration = Duration::from_secs(1);
 
 /// How far a run had got when its server crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -68,10 +68,10 @@
     /// Whether it is independent of an earlier crash, unless the request is the cause of
     /// both.
     fn follows(&self, earlier: &Self) -> bool {
-        let was_there = self.alive_at >= earlier.at;
-        let is_known = self.joined_at >= earlier.at + KNOWN_AFTER;
-        let came_after = self.run != earlier.run || self.joined_at >= earlier.at;
-        came_after && (was_there || is_known)
+        let was_alive = self.alive_at >= earlier.at;
+        let is_presumed_alive = self.joined_at >= earlier.at + PRESUMED_ALIVE_AFTER;
+        let reached_after = self.run != earlier.run || self.joined_at >= earlier.at;
+        reached_after && (was_alive || is_presumed_alive)
     }
 }
 
@@ -93,29 +93,29 @@
 }
 
 impl EndSeen {
-    pub(super) fn new(end: &RunEnd, now: Instant) -> Self {
-        let before_end = |at: Instant| millis(end.at.saturating_duration_since(at));
+    pub(super) fn new(crash: &RunEnd, now: Instant) -> Self {
+        let before_crash = |at: Instant| millis(crash.at.saturating_duration_since(at));
         Self {
-            server: end.server,
-            run: end.run,
-            progress: end.progress,
-            age_ms: millis(now.saturating_duration_since(end.at)),
-            lasted_ms: before_end(end.joined_at),
-            silent_ms: before_end(end.alive_at),
+            server: crash.server,
+            run: crash.run,
+            progress: crash.progress,
+            age_ms: millis(now.saturating_duration_since(crash.at)),
+            lasted_ms: before_crash(crash.joined_at),
+            silent_ms: before_crash(crash.alive_at),
         }
     }
 
     /// The crash in this instance's time; `None` if the clock doesn't reach back that
     /// far.
-    pub(super) fn end(&self, now: Instant) -> Option<RunEnd> {
+    pub(super) fn crash(&self, now: Instant) -> Option<RunEnd> {
         let at = now.checked_sub(Duration::from_millis(self.age_ms))?;
-        let before_end = |ms| at.checked_sub(Duration::from_millis(ms));
+        let before_crash = |ms| at.checked_sub(Duration::from_millis(ms));
         Some(RunEnd {
             server: self.server,
             run: self.run,
             progress: self.progress,
-            joined_at: before_end(self.lasted_ms)?,
-            alive_at: before_end(self.silent_ms)?,
+            joined_at: before_crash(self.lasted_ms)?,
+            alive_at: before_crash(self.silent_ms)?,
             at,
         })
     }
@@ -126,23 +126,23 @@
 pub(super) struct Evidence {
     pub(super) points: u32,
     /// How many crashes there are.
-    pub(super) ends: usize,
+    pub(super) crashes: usize,
 }
 
-/// The strongest evidence of sequential crashes; `ends` must be in order of time.
-pub(super) fn in_turn(ends: &[RunEnd]) -> Evidence {
-    let mut up_to: Vec<Evidence> = Vec::with_capacity(ends.len());
-    for (index, end) in ends.iter().enumerate() {
-        let earlier = ends[..index].iter().zip(&up_to);
+/// The strongest evidence of sequential crashes; `crashes` must be in order of time.
+pub(super) fn sequential_evidence(crashes: &[RunEnd]) -> Evidence {
+    let mut best_up_to: Vec<Evidence> = Vec::with_capacity(crashes.len());
+    for (index, crash) in crashes.iter().enumerate() {
+        let earlier = crashes[..index].iter().zip(&best_up_to);
         let before = earlier
-            .filter(|(earlier, _)| end.follows(earlier))
+            .filter(|(earlier, _)| crash.follows(earlier))
             .map(|(_, evidence)| *evidence)
             .max()
             .unwrap_or_default();
-        up_to.push(Evidence {
-            points: before.points + end.progress.points(),
-            ends: before.ends + 1,
+        best_up_to.push(Evidence {
+            points: before.points + crash.progress.points(),
+            crashes: before.crashes + 1,
         });
     }
-    up_to.into_iter().max().unwrap_or_default()
+    best_up_to.into_iter().max().unwrap_or_default()
 }
--- a/crates/rookferry_core/src/serving/quarantine/mod.rs
+++ b/crates/rookferry_core/src/serving/quarantine/mod.rs
@@ -12,7 +12,7 @@
 //! for half; and it crashes servers sequentially, so crashes of servers that may have
 //! failed together count as one.
 
-mod ends;
+mod crashes;
 mod record;
 
 use std::cmp::Reverse;
@@ -28,29 +28,29 @@
 use super::finished_requests::FinishedRequests;
 use record::Record;
 
-pub use ends::EndSeen;
-pub use ends::RunEnd;
-pub use ends::RunId;
-pub use ends::RunProgress;
+pub use crashes::EndSeen;
+pub use crashes::RunEnd;
+pub use crashes::RunId;
+pub use crashes::RunProgress;
 
 /// How long a request is quarantined after the last crash under it. A crash then costs
 /// one server a restart of seconds every ten minutes, and a corrected request is served
 /// again.
-pub(in crate::serving) const HELD_FOR: Duration = Duration::from_mins(10);
+pub(in crate::serving) const QUARANTINE_PERIOD: Duration = Duration::from_mins(10);
 /// How long a crash counts; the first one after a quarantine starts it again.
-const KEPT: Duration = Duration::from_hours(1);
+const CRASH_TTL: Duration = Duration::from_hours(1);
 /// How long it is remembered that a request was cleared, for peers that have yet to
 /// receive an earlier crash.
-const CLEARED_KEPT: Duration = Duration::from_secs(30);
+const CLEARED_TTL: Duration = Duration::from_secs(30);
 /// Most requests that are recorded: those of ten engines that crash fully loaded, twice.
 const MAX_RECORDS: usize = 4_096;
 /// Divisor of the records: that part is dropped at once when there are too many.
-const DROPPED_PART: usize = 8;
+const DROP_DIVISOR: usize = 8;
 /// Most crashes that are stored per request; more don't change the decision.
-const MAX_ENDS: usize = 5;
+const MAX_CRASHES: usize = 5;
 /// Rounds in which a change is advertised: two to other failure domains, and so many
 /// heartbeats to its own that a lost one doesn't matter.
-const TOLD_ROUNDS: u8 = 8;
+const ADVERTISED_ROUNDS: u8 = 8;
 
 /// What is known of a request, as reported to peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -96,7 +96,7 @@
 
 /// The request to which a server's crash is attributed.
 #[derive(Clone, Copy, Debug)]
-struct Accounting {
+struct Attribution {
     by: RequestSignature,
     /// Points against the request.
     points: u32,
@@ -108,11 +108,11 @@
     records: HashMap<RequestSignature, Record>,
     /// Servers whose crashes are attributed to a quarantined request. Other requests that
     /// ran on the same servers look alike, but only one is the cause.
-    accounted: HashMap<ServerKey, Accounting>,
+    attributed: HashMap<ServerKey, Attribution>,
     /// Requests that succeeded lately.
     finished: FinishedRequests,
     /// The quarantined request that was last advertised without a change.
-    last_told: Option<RequestSignature>,
+    last_advertised: Option<RequestSignature>,
 }
 
 impl Quarantine {
@@ -144,10 +144,10 @@
     pub fn note_end(
         &mut self,
         signature: RequestSignature,
-        end: RunEnd,
+        crash: RunEnd,
         now: Instant,
     ) -> QuarantineChange {
-        self.update(signature, now, |record| record.add(end))
+        self.update(signature, now, |record| record.add(crash))
     }
 
     /// Records a server's crash under several requests and returns how each changed. Of
@@ -155,23 +155,23 @@
     /// as one is the cause.
     pub fn note_ends(
         &mut self,
-        ends: &[(RequestSignature, RunEnd)],
+        crashes: &[(RequestSignature, RunEnd)],
         now: Instant,
     ) -> Vec<(RequestSignature, QuarantineChange)> {
         // Whether each request was quarantined before; it may have had several runs
         // there.
         let mut suspects: HashMap<RequestSignature, bool> = HashMap::new();
-        for (signature, end) in ends {
-            let was_held = self.change(*signature, now, |record| record.add(*end));
-            suspects.entry(*signature).or_insert(was_held);
+        for (signature, crash) in crashes {
+            let was_quarantined = self.change(*signature, now, |record| record.add(*crash));
+            suspects.entry(*signature).or_insert(was_quarantined);
         }
         let mut suspects: Vec<_> = suspects.into_iter().collect();
         suspects.sort_by_cached_key(|(signature, _)| {
             let record = self.records.get(signature);
             (Reverse(record.map(Record::strength)), *signature)
         });
-        let decided = suspects.into_iter().map(|(signature, was_held)| {
-            let change = self.decide(signature, was_held, now);
+        let decided = suspects.into_iter().map(|(signature, was_quarantined)| {
+            let change = self.decide(signature, was_quarantined, now);
             (signature, change)
         });
         decided.collect()
@@ -183,21 +183,21 @@
         if !self.records.contains_key(&signature) {
             return QuarantineChange::None;
         }
-        self.update(signature, now, |record| record.finish(now))
+        self.update(signature, now, |record| record.record_success(now))
     }
 
     /// Merges a peer's report.
     pub fn learn(&mut self, seen: &SuspectSeen, now: Instant) -> QuarantineChange {
         let before = |age_ms: u64| now.checked_sub(Duration::from_millis(age_ms));
-        let ends = seen.ends.iter().take(MAX_ENDS);
-        let ends = ends.filter_map(|end| end.end(now));
+        let crashes = seen.ends.iter().take(MAX_CRASHES);
+        let crashes = crashes.filter_map(|crash| crash.crash(now));
         let finished_at = seen.finished_ms.and_then(before);
-        let held_at = seen.held_ms.and_then(before);
+        let quarantined_at = seen.held_ms.and_then(before);
         self.update(seen.signature, now, |record| {
-            let is_finished = finished_at.is_some_and(|at| record.finish(at));
-            let new_ends = ends.filter(|end| record.add(*end)).count();
-            let is_held = held_at.is_some_and(|at| record.hold(at));
-            is_finished || new_ends > 0 || is_held
+            let is_finished = finished_at.is_some_and(|at| record.record_success(at));
+            let new_crashes = crashes.filter(|crash| record.add(*crash)).count();
+            let is_quarantined = quarantined_at.is_some_and(|at| record.merge_quarantine(at));
+            is_finished || new_crashes > 0 || is_quarantined
         })
     }
 
@@ -207,10 +207,10 @@
         let Some(record) = self.records.get(&signature) else {
             return Suspicion::None;
         };
-        if let Some(left) = record.held_for(now) {
+        if let Some(left) = record.quarantine_left(now) {
             return Suspicion::Held { left };
         }
-        match record.ends.len() {
+        match record.crashes.len() {
             0 => Suspicion::None,
             servers => Suspicion::Suspected { servers },
         }
@@ -218,31 +218,31 @@
 
     /// How many servers crashed under a request since it last succeeded.
     #[must_use]
-    pub fn ends(&self, signature: RequestSignature) -> usize {
+    pub fn crashes(&self, signature: RequestSignature) -> usize {
         let record = self.records.get(&signature);
-        record.map_or(0, |record| record.ends.len())
+        record.map_or(0, |record| record.crashes.len())
     }
 
     /// How many of these crashes count, as they were sequential.
     #[must_use]
     pub fn ends_in_turn(&self, signature: RequestSignature) -> usize {
         let record = self.records.get(&signature);
-        record.map_or(0, Record::in_turn)
+        record.map_or(0, Record::sequential_crashes)
     }
 
     /// Whether a request is known to have succeeded and isn't quarantined.
     #[must_use]
     pub fn is_cleared(&self, signature: RequestSignature) -> bool {
         let record = self.records.get(&signature);
-        record.is_some_and(|record| record.finished_at.is_some() && record.held_at.is_none())
+        record.is_some_and(|record| record.finished_at.is_some() && record.quarantined_at.is_none())
     }
 
     /// The quarantined requests, each with the start of its quarantine.
     pub fn held(&self, now: Instant) -> impl Iterator<Item = (RequestSignature, Instant)> {
         let records = self.records.iter();
         records.filter_map(move |(signature, record)| {
-            record.held_for(now)?;
-            Some((*signature, record.held_at?))
+            record.quarantine_left(now)?;
+            Some((*signature, record.quarantined_at?))
         })
     }
 
@@ -250,25 +250,27 @@
     /// of the quarantined requests, for instances that have started since.
     pub fn next_told(&mut self, most: usize, now: Instant) -> Vec<SuspectSeen> {
         self.expire(now);
-        let mut told = Vec::new();
-        let mut news: Vec<_> = self
+        let mut advertised = Vec::new();
+        let mut changed: Vec<_> = self
             .records
             .iter_mut()
             .filter(|(_, record)| record.rounds_left > 0)
             .collect();
         // Those with most points first, and of these the latest.
-        news.sort_by_key(|(_, record)| Reverse((record.points(), record.changed_at)));
-        for (signature, record) in news.into_iter().take(most) {
+        changed.sort_by_key(|(_, record)| Reverse((record.points(), record.changed_at)));
+        for (signature, record) in changed.into_iter().take(most) {
             record.rounds_left -= 1;
-            told.push(record.seen(*signature, now));
+            advertised.push(record.seen(*signature, now));
         }
-        if let Some(held) = self.next_held(now) {
-            let is_told = told.iter().any(|seen| seen.signature == held.signature);
-            if !is_told && told.len() < most {
-                told.push(held);
+        if let Some(held) = self.next_quarantined(now) {
+            let is_advertised = advertised
+                .iter()
+                .any(|seen| seen.signature == held.signature);
+            if !is_advertised && advertised.len() < most {
+                advertised.push(held);
             }
         }
-        told
+        advertised
     }
 
     /// What to send to an instance that has just started.
@@ -282,13 +284,13 @@
         .collect()
     }
 
-    fn next_held(&mut self, now: Instant) -> Option<SuspectSeen> {
+    fn next_quarantined(&mut self, now: Instant) -> Option<SuspectSeen> {
         let held = || self.held(now).map(|(signature, _)| signature);
         let after = held()
-            .filter(|signature| Some(*signature) > self.last_told)
+            .filter(|signature| Some(*signature) > self.last_advertised)
             .min();
         let next = after.or_else(|| held().min())?;
-        self.last_told = Some(next);
+        self.last_advertised = Some(next);
         Some(self.records.get(&next)?.seen(next, now))
     }
 
@@ -300,8 +302,8 @@
         now: Instant,
         change: impl FnOnce(&mut Record) -> bool,
     ) -> QuarantineChange {
-        let was_held = self.change(signature, now, change);
-        self.decide(signature, was_held, now)
+        let was_quarantined = self.change(signature, now, change);
+        self.decide(signature, was_quarantined, now)
     }
 
     /// Changes the record without a decision; returns whether the request was quarantined
@@ -312,22 +314,22 @@
         now: Instant,
         change: impl FnOnce(&mut Record) -> bool,
     ) -> bool {
-        self.make_room(signature, now);
+        self.evict_if_full(signature, now);
         let finished_at = self.finished.last(signature);
         let record = self.records.entry(signature);
         let record = record.or_insert_with(|| Record::new(finished_at, now));
-        let was_held = record.held_for(now).is_some();
+        let was_quarantined = record.quarantine_left(now).is_some();
         if change(record) {
             record.changed_at = now;
-            record.rounds_left = TOLD_ROUNDS;
+            record.rounds_left = ADVERTISED_ROUNDS;
         }
-        was_held
+        was_quarantined
     }
 
     fn decide(
         &mut self,
         signature: RequestSignature,
-        was_held: bool,
+        was_quarantined: bool,
         now: Instant,
     ) -> QuarantineChange {
         let Some(record) = self.records.get_mut(&signature) else {
@@ -337,28 +339,28 @@
         // A request with more points than the one that a crash is attributed to may
         // itself be the cause.
         record.decide(|server| {
-            let accounting = self.accounted.get(&server);
-            accounting.is_some_and(|one| one.by != signature && one.points >= points)
+            let attribution = self.attributed.get(&server);
+            attribution.is_some_and(|one| one.by != signature && one.points >= points)
         });
-        let is_held = record.held_for(now).is_some();
-        if is_held {
-            let own = Accounting {
+        let is_quarantined = record.quarantine_left(now).is_some();
+        if is_quarantined {
+            let own = Attribution {
                 by: signature,
                 points,
             };
-            for end in &record.ends {
-                let known = self.accounted.entry(end.server).or_insert(own);
+            for crash in &record.crashes {
+                let known = self.attributed.entry(crash.server).or_insert(own);
                 if known.points < points || known.by == signature {
                     *known = own;
                 }
             }
-        } else if was_held {
-            self.accounted.retain(|_, one| one.by != signature);
+        } else if was_quarantined {
+            self.attributed.retain(|_, one| one.by != signature);
         }
         if record.is_blank() {
             self.records.remove(&signature);
         }
-        match (was_held, is_held) {
+        match (was_quarantined, is_quarantined) {
             (false, true) => QuarantineChange::Held,
             (true, false) => QuarantineChange::Released,
             _ => QuarantineChange::None,
@@ -367,7 +369,7 @@
 
     /// Ensures that one more record fits: drops expired ones, or else a part of those
     /// with the weakest evidence.
-    fn make_room(&mut self, signature: RequestSignature, now: Instant) {
+    fn evict_if_full(&mut self, signature: RequestSignature, now: Instant) {
         if self.records.len() < MAX_RECORDS || self.records.contains_key(&signature) {
             return;
         }
@@ -376,15 +378,15 @@
             return;
         }
         let strength = |record: &Record| {
-            let is_held = record.held_for(now).is_some();
-            (is_held, record.points(), record.changed_at)
+            let is_quarantined = record.quarantine_left(now).is_some();
+            (is_quarantined, record.points(), record.changed_at)
         };
         let records = self.records.iter();
         let mut weakest: Vec<_> = records
             .map(|(signature, record)| (strength(record), *signature))
             .collect();
         weakest.sort_unstable();
-        for (_, signature) in weakest.into_iter().take(MAX_RECORDS / DROPPED_PART) {
+        for (_, signature) in weakest.into_iter().take(MAX_RECORDS / DROP_DIVISOR) {
             self.records.remove(&signature);
         }
     }
@@ -392,15 +394,15 @@
     /// Drops records that have expired.
     pub fn expire(&mut self, now: Instant) {
         self.records.retain(|_, record| {
-            let kept = if record.is_cleared() {
-                CLEARED_KEPT
+            let ttl = if record.is_cleared() {
+                CLEARED_TTL
             } else {
-                KEPT
+                CRASH_TTL
             };
-            now.saturating_duration_since(record.changed_at) < kept
+            now.saturating_duration_since(record.changed_at) < ttl
         });
         let records = &self.records;
-        self.accounted
+        self.attributed
             .retain(|_, one| records.contains_key(&one.by));
     }
 }
--- a/crates/rookferry_core/src/serving/quarantine/record.rs
+++ b/crates/rookferry_core/src/serving/quarantine/record.rs
@@ -5,32 +5,32 @@
 use std::time::Instant;
 
 use super::EndSeen;
-use super::HELD_FOR;
-use super::MAX_ENDS;
+use super::MAX_CRASHES;
+use super::QUARANTINE_PERIOD;
 use super::RequestSignature;
 use super::RunEnd;
 use super::ServerKey;
 use super::SuspectSeen;
-use super::ends::Evidence;
-use super::ends::in_turn;
+use super::crashes::Evidence;
+use super::crashes::sequential_evidence;
 use crate::millis::millis;
 
 /// Points from which on a request is quarantined: three servers that crashed at the start
 /// of a run, or five that crashed later. One attempt meets two crashes and the caller's
 /// retry two more, so a request that merely ran beside the cause each time is still
 /// served.
-const HELD_POINTS: u32 = 5;
-/// The same for a request that succeeded within [`HELD_FOR`] before: five servers that
+const QUARANTINE_POINTS: u32 = 5;
+/// The same for a request that succeeded within [`QUARANTINE_PERIOD`] before: five servers that
 /// crashed at the start of a run. A faulty request has no successful run, so this one
 /// most likely ran beside the cause, as requests do that many callers send.
-const HELD_POINTS_AFTER_FINISH: u32 = 10;
+const QUARANTINE_POINTS_AFTER_SUCCESS: u32 = 10;
 
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     /// In order of time.
-    pub(super) ends: Vec<RunEnd>,
+    pub(super) crashes: Vec<RunEnd>,
     pub(super) finished_at: Option<Instant>,
-    pub(super) held_at: Option<Instant>,
+    pub(super) quarantined_at: Option<Instant>,
     pub(super) changed_at: Instant,
     pub(super) rounds_left: u8,
 }
@@ -38,57 +38,57 @@
 impl Record {
     pub(super) const fn new(finished_at: Option<Instant>, now: Instant) -> Self {
         Self {
-            ends: Vec::new(),
+            crashes: Vec::new(),
             finished_at,
-            held_at: None,
+            quarantined_at: None,
             changed_at: now,
             rounds_left: 0,
         }
     }
 
     /// Adds a crash; returns whether the record changed.
-    pub(super) fn add(&mut self, end: RunEnd) -> bool {
-        if self.finished_at.is_some_and(|at| end.at <= at) {
+    pub(super) fn add(&mut self, crash: RunEnd) -> bool {
+        if self.finished_at.is_some_and(|at| crash.at <= at) {
             return false;
         }
         if let Some(known) = self
-            .ends
+            .crashes
             .iter_mut()
-            .find(|known| known.server == end.server)
+            .find(|known| known.server == crash.server)
         {
-            let is_news = known.progress < end.progress;
-            known.progress = known.progress.max(end.progress);
-            return is_news;
+            let is_new = known.progress < crash.progress;
+            known.progress = known.progress.max(crash.progress);
+            return is_new;
         }
-        self.ends.push(end);
-        self.ends.sort_by_key(|end| end.at);
-        if self.ends.len() > MAX_ENDS {
-            self.drop_one();
+        self.crashes.push(crash);
+        self.crashes.sort_by_key(|crash| crash.at);
+        if self.crashes.len() > MAX_CRASHES {
+            self.drop_weakest();
         }
-        if self.held_at.is_some() {
-            self.held_at = self.last_end().max(self.held_at);
+        if self.quarantined_at.is_some() {
+            self.quarantined_at = self.last_crash().max(self.quarantined_at);
         }
         true
     }
 
     /// Drops the crash without which the evidence stays strongest; among equals the
     /// oldest, as the last crash counts if the request is quarantined again.
-    fn drop_one(&mut self) {
+    fn drop_weakest(&mut self) {
         let points_without = |index: usize| {
-            let mut others = self.ends.clone();
+            let mut others = self.crashes.clone();
             others.remove(index);
-            in_turn(&others).points
+            sequential_evidence(&others).points
         };
-        let least = (0..self.ends.len())
+        let least = (0..self.crashes.len())
             .max_by_key(|index| (points_without(*index), std::cmp::Reverse(*index)));
         if let Some(least) = least {
-            self.ends.remove(least);
+            self.crashes.remove(least);
         }
     }
 
     /// Records a success and drops the crashes before it; returns whether to advertise
     /// it.
-    pub(super) fn finish(&mut self, at: Instant) -> bool {
+    pub(super) fn record_success(&mut self, at: Instant) -> bool {
         if self.finished_at >= Some(at) {
             return false;
         }
@@ -96,62 +96,68 @@
         // change, it would circulate for ever.
         let is_first = self.finished_at.is_none();
         self.finished_at = Some(at);
-        let before = self.ends.len();
-        self.ends.retain(|end| end.at > at);
-        let was_held = self.held_at.is_some_and(|held_at| held_at <= at);
-        if was_held {
-            self.held_at = None;
+        let before = self.crashes.len();
+        self.crashes.retain(|crash| crash.at > at);
+        let was_quarantined = self
+            .quarantined_at
+            .is_some_and(|quarantined_at| quarantined_at <= at);
+        if was_quarantined {
+            self.quarantined_at = None;
         }
-        is_first || was_held || self.ends.len() < before
+        is_first || was_quarantined || self.crashes.len() < before
     }
 
     /// Merges a peer's report of a quarantine. Returns whether there is something to
     /// advertise, which may be that the request succeeded and isn't quarantined.
-    pub(super) fn hold(&mut self, at: Instant) -> bool {
+    pub(super) fn merge_quarantine(&mut self, at: Instant) -> bool {
         if self.finished_at.is_some_and(|finished| at <= finished) {
             return false;
         }
-        if self.points() < self.points_to_hold(at) && self.ended_well_before(at) {
+        if self.points() < self.points_to_quarantine(at) && self.succeeded_before(at) {
             return true;
         }
-        let is_known = |known: Instant| at.saturating_duration_since(known) < HELD_FOR / 2;
-        if self.held_at.is_some_and(is_known) {
+        let is_known = |known: Instant| at.saturating_duration_since(known) < QUARANTINE_PERIOD / 2;
+        if self.quarantined_at.is_some_and(is_known) {
             return false;
         }
-        self.held_at = Some(at);
+        self.quarantined_at = Some(at);
         true
     }
 
     /// Quarantines the request if the crashes that aren't attributed to other requests
     /// are enough. Ends the quarantine if the request turns out to have succeeded within
-    /// [`HELD_FOR`] before, which takes more points.
-    pub(super) fn decide(&mut self, is_accounted: impl Fn(ServerKey) -> bool) {
-        let Some(at) = self.held_at.or(self.last_end()) else {
+    /// [`QUARANTINE_PERIOD`] before, which takes more points.
+    pub(super) fn decide(&mut self, is_attributed: impl Fn(ServerKey) -> bool) {
+        let Some(at) = self.quarantined_at.or(self.last_crash()) else {
             return;
         };
-        let is_enough = self.points() >= self.points_to_hold(at);
-        let own_ends = self.ends.iter().filter(|end| !is_accounted(end.server));
-        let own_ends: Vec<RunEnd> = own_ends.copied().collect();
-        let is_enough_alone = in_turn(&own_ends).points >= self.points_to_hold(at);
-        if is_enough_alone && self.held_at.is_none() {
-            self.held_at = Some(at);
-        } else if !is_enough && self.ended_well_before(at) {
-            self.held_at = None;
+        let is_enough = self.points() >= self.points_to_quarantine(at);
+        let own_crashes = self
+            .crashes
+            .iter()
+            .filter(|crash| !is_attributed(crash.server));
+        let own_crashes: Vec<RunEnd> = own_crashes.copied().collect();
+        let is_enough_alone =
+            sequential_evidence(&own_crashes).points >= self.points_to_quarantine(at);
+        if is_enough_alone && self.quarantined_at.is_none() {
+            self.quarantined_at = Some(at);
+        } else if !is_enough && self.succeeded_before(at) {
+            self.quarantined_at = None;
         }
     }
 
-    fn points_to_hold(&self, at: Instant) -> u32 {
-        if self.ended_well_before(at) {
-            HELD_POINTS_AFTER_FINISH
+    fn points_to_quarantine(&self, at: Instant) -> u32 {
+        if self.succeeded_before(at) {
+            QUARANTINE_POINTS_AFTER_SUCCESS
         } else {
-            HELD_POINTS
+            QUARANTINE_POINTS
         }
     }
 
-    /// Whether it succeeded within [`HELD_FOR`] before `at`.
-    fn ended_well_before(&self, at: Instant) -> bool {
+    /// Whether it succeeded within [`QUARANTINE_PERIOD`] before `at`.
+    fn succeeded_before(&self, at: Instant) -> bool {
         self.finished_at
-            .is_some_and(|finished| at.saturating_duration_since(finished) < HELD_FOR)
+            .is_some_and(|finished| at.saturating_duration_since(finished) < QUARANTINE_PERIOD)
     }
 
     pub(super) fn points(&self) -> u32 {
@@ -161,33 +167,35 @@
     /// Evidence against it, for comparison: points, and among equals how soon the servers
     /// crashed after it reached them.
     pub(super) fn strength(&self) -> (u32, Reverse<Duration>) {
-        let ends = self.ends.iter();
-        let lasted = ends.map(|end| end.at.saturating_duration_since(end.joined_at));
+        let crashes = self.crashes.iter();
+        let lasted = crashes.map(|crash| crash.at.saturating_duration_since(crash.joined_at));
         (self.points(), Reverse(lasted.sum()))
     }
 
     /// How many crashes count.
-    pub(super) fn in_turn(&self) -> usize {
-        self.evidence().ends
+    pub(super) fn sequential_crashes(&self) -> usize {
+        self.evidence().crashes
     }
 
     fn evidence(&self) -> Evidence {
-        in_turn(&self.ends)
+        sequential_evidence(&self.crashes)
     }
 
-    fn last_end(&self) -> Option<Instant> {
-        self.ends.iter().map(|end| end.at).max()
+    fn last_crash(&self) -> Option<Instant> {
+        self.crashes.iter().map(|crash| crash.at).max()
     }
 
     /// Time until its quarantine ends; `None` if it isn't quarantined.
-    pub(super) fn held_for(&self, now: Instant) -> Option<Duration> {
-        let held = now.saturating_duration_since(self.held_at?);
-        HELD_FOR.checked_sub(held).filter(|left| !left.is_zero())
+    pub(super) fn quarantine_left(&self, now: Instant) -> Option<Duration> {
+        let elapsed = now.saturating_duration_since(self.quarantined_at?);
+        QUARANTINE_PERIOD
+            .checked_sub(elapsed)
+            .filter(|left| !left.is_zero())
     }
 
     /// Whether there is no crash and no quarantine.
     pub(super) fn is_cleared(&self) -> bool {
-        self.ends.is_empty() && self.held_at.is_none()
+        self.crashes.is_empty() && self.quarantined_at.is_none()
     }
 
     /// Whether nothing is recorded, not even a success.
@@ -197,12 +205,12 @@
 
     pub(super) fn seen(&self, signature: RequestSignature, now: Instant) -> SuspectSeen {
         let age_ms = |at: Instant| millis(now.saturating_duration_since(at));
-        let ends = self.ends.iter().map(|end| EndSeen::new(end, now));
+        let crashes = self.crashes.iter().map(|crash| EndSeen::new(crash, now));
         SuspectSeen {
             signature,
-            ends: ends.collect(),
+            ends: crashes.collect(),
             finished_ms: self.finished_at.map(age_ms),
-            held_ms: self.held_at.map(age_ms),
+            held_ms: self.quarantined_at.map(age_ms),
         }
     }
 }
--- a/crates/rookferry_core/src/serving/quarantine_object.rs
+++ b/crates/rookferry_core/src/serving/quarantine_object.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use super::RequestSignature;
-use super::quarantine::HELD_FOR;
+use super::quarantine::QUARANTINE_PERIOD;
 use crate::millis::millis;
 
 /// Most requests in the object, those quarantined last first: 60 bytes each, 15 KB.
@@ -49,7 +49,7 @@
             *known = since.max(*known);
         }
         let mut all: Vec<_> = since_by_request.into_iter().collect();
-        all.retain(|(_, since)| now.saturating_sub(*since) < HELD_FOR);
+        all.retain(|(_, since)| now.saturating_sub(*since) < QUARANTINE_PERIOD);
         all.sort_by_key(|(_, since)| std::cmp::Reverse(*since));
         all.truncate(MAX_STORED);
         let held = all.into_iter().map(|(signature, since)| HeldRequest {
--- a/crates/rookferry_core/src/serving/retry_window.rs
+++ b/crates/rookferry_core/src/serving/retry_window.rs
@@ -12,12 +12,12 @@
 
 /// Part of the budget that is used. The rest is a margin, since the known number of
 /// instances can be out of date.
-const USED_PART: f64 = 0.8;
+const USED_SHARE: f64 = 0.8;
 
 /// Part of the slack that is used in the first window after a restart: half of the
 /// margin, so that a site may restart twice in a window. Without this limit, instances
 /// that are killed together exceed the budget.
-const USED_PART_AFTER_RESTART: f64 = (1.0 - USED_PART) / 2.0;
+const USED_SHARE_AFTER_RESTART: f64 = (1.0 - USED_SHARE) / 2.0;
 
 /// Retries and new requests of one instance for one service.
 #[derive(Clone, Debug)]
@@ -26,8 +26,8 @@
     ratio: f64,
     slack: f64,
     restarted_at: Option<Instant>,
-    fresh: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    new_requests: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
 impl RetryWindow {
@@ -45,39 +45,39 @@
             ratio,
             slack,
             restarted_at,
-            fresh: VecDeque::new(),
-            repeats: VecDeque::new(),
+            new_requests: VecDeque::new(),
+            retries: VecDeque::new(),
         }
     }
 
     /// Records a new request.
     pub fn note_fresh(&mut self, now: Instant) {
-        self.forget(now);
-        self.fresh.push_back(now);
+        self.expire(now);
+        self.new_requests.push_back(now);
     }
 
     /// Takes one retry from the budget; false if the instance's share is used up.
     pub fn take(&mut self, now: Instant, instances: usize) -> bool {
-        self.forget(now);
+        self.expire(now);
         let has_just_restarted = self
             .restarted_at
             .is_some_and(|at| now.saturating_duration_since(at) < self.window);
-        let slack_part = if has_just_restarted {
-            USED_PART_AFTER_RESTART
+        let slack_share = if has_just_restarted {
+            USED_SHARE_AFTER_RESTART
         } else {
-            USED_PART
+            USED_SHARE
         };
-        let slack = slack_part * self.slack / instances.max(1) as f64;
-        let allowed = USED_PART * self.ratio * self.fresh.len() as f64 + slack;
-        if self.repeats.len() as f64 + 1.0 > allowed {
+        let slack = slack_share * self.slack / instances.max(1) as f64;
+        let allowed = USED_SHARE * self.ratio * self.new_requests.len() as f64 + slack;
+        if self.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
-    fn forget(&mut self, now: Instant) {
-        for times in [&mut self.fresh, &mut self.repeats] {
+    fn expire(&mut self, now: Instant) {
+        for times in [&mut self.new_requests, &mut self.retries] {
             let is_old = |at: &Instant| now.saturating_duration_since(*at) > self.window;
             while times.front().is_some_and(is_old) {
                 times.pop_front();
--- a/crates/rookferry_core/src/serving/room_queue.rs
+++ b/crates/rookferry_core/src/serving/room_queue.rs
@@ -65,8 +65,8 @@
 pub struct RoomQueue {
     next_number: u64,
     waiting: BTreeSet<RoomTicket>,
-    freed_at: Option<Instant>,
-    freed_every: RunningMean,
+    released_at: Option<Instant>,
+    release_interval: RunningMean,
     first_event: RunningMean,
 }
 
@@ -120,8 +120,9 @@
 
     /// Records that a request has finished and released its cache.
     pub fn note_freed(&mut self, now: Instant) {
-        if let Some(before) = self.freed_at.replace(now) {
-            self.freed_every.note(now.saturating_duration_since(before));
+        if let Some(before) = self.released_at.replace(now) {
+            self.release_interval
+                .note(now.saturating_duration_since(before));
         }
     }
 
@@ -143,8 +144,8 @@
     /// requests in front of it.
     #[must_use]
     pub fn expected_wait(&self, ticket: RoomTicket) -> Duration {
-        let in_front = self.waiting.range(..ticket).count();
-        let wait_s = self.freed_every.mean_s * (in_front + 1) as f64;
+        let ahead = self.waiting.range(..ticket).count();
+        let wait_s = self.release_interval.mean_s * (ahead + 1) as f64;
         Duration::try_from_secs_f64(wait_s).unwrap_or(Duration::MAX)
     }
 }
--- a/crates/rookferry_core/src/serving/start_line.rs
+++ b/crates/rookferry_core/src/serving/start_line.rs
@@ -21,11 +21,11 @@
 /// known after three rounds of heartbeats, and no caller waits yet.
 const FIRST_READ_OF_SITE: Duration = Duration::from_millis(700);
 /// How long a peer's offer is valid: two heartbeats of an aggregator.
-const OFFER_KEPT: Duration = Duration::from_millis(650);
+const OFFER_TTL: Duration = Duration::from_millis(650);
 /// Least delay between consecutive ranks: an answer of the store and a heartbeat.
-const READ_STEP: Duration = Duration::from_millis(100);
+const RANK_STEP: Duration = Duration::from_millis(100);
 /// Highest rank that still adds delay.
-const READ_STEPS: u32 = 8;
+const MAX_RANK_STEPS: u32 = 8;
 /// Size of what is read at a start, in megabits: a configuration, and a list of a
 /// thousand servers.
 const BODY_MBIT: f64 = 4.0;
@@ -37,15 +37,15 @@
 const LONGEST_WAIT: Duration = Duration::from_millis(330);
 /// Shortest retry time for callers: instances that start together know a small site
 /// within about this time.
-const LEAST_AWAY: Duration = Duration::from_millis(400);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// Upper end of the spread of retry times, as a factor, so that callers don't return all
 /// at once.
-const AWAY_SPREAD: f64 = 1.25;
+const RETRY_SPREAD: f64 = 1.25;
 /// Least time for which an instance counts as starting while it doesn't know the site.
-const STARTING: Duration = Duration::from_millis(1_500);
+const MIN_STARTING: Duration = Duration::from_millis(1_500);
 /// Factor on the expected time until the site is known; an instance counts as starting
 /// for the product.
-const STARTING_SPREAD: u32 = 2;
+const STARTING_FACTOR: u32 = 2;
 
 /// Age at which an instance knows most of those that start with it.
 const MEMBERS_KNOWN_AFTER: Duration = Duration::from_millis(500);
@@ -74,33 +74,37 @@
     #[must_use]
     pub fn first_read_after(&self) -> Duration {
         let body = self.body_time();
-        let steps = u32::try_from(self.rank).unwrap_or(READ_STEPS);
-        let in_line = self.first_of_line() + READ_STEP.max(body) * steps.min(READ_STEPS);
+        let steps = u32::try_from(self.rank).unwrap_or(MAX_RANK_STEPS);
+        let by_rank = self.first_rank_delay() + RANK_STEP.max(body) * steps.min(MAX_RANK_STEPS);
         if self.is_offered() {
-            in_line.max(FIRST_READ_OFFERED) + body * self.hops()
+            by_rank.max(FIRST_READ_OFFERED) + body * self.hops()
         } else {
-            in_line
+            by_rank
         }
     }
 
     /// Expected time from its start until the instance knows the site, if all instances
     /// start together.
-    fn known_after(&self, age: Duration) -> Duration {
+    fn expected_ready_after(&self, age: Duration) -> Duration {
         let body = self.body_time();
         // Peers are only becoming known.
-        let is_early = age < MEMBERS_KNOWN_AFTER && self.offered_ago.is_none();
-        let least_hops = if is_early { HOPS_IF_UNKNOWN } else { 0 };
-        self.first_of_line() + READ_STEP + body * (self.hops().max(least_hops) + 1)
+        let are_peers_unknown = age < MEMBERS_KNOWN_AFTER && self.offered_ago.is_none();
+        let least_hops = if are_peers_unknown {
+            HOPS_IF_UNKNOWN
+        } else {
+            0
+        };
+        self.first_rank_delay() + RANK_STEP + body * (self.hops().max(least_hops) + 1)
     }
 
     fn is_offered(&self) -> bool {
-        self.offered_ago.is_some_and(|ago| ago < OFFER_KEPT)
+        self.offered_ago.is_some_and(|ago| ago < OFFER_TTL)
     }
 
     /// Whether an instance of this age counts as starting while it doesn't know the site.
     #[must_use]
     pub fn is_starting(&self, age: Duration) -> bool {
-        age < STARTING.max(self.known_after(age) * STARTING_SPREAD)
+        age < MIN_STARTING.max(self.expected_ready_after(age) * STARTING_FACTOR)
     }
 
     /// How long a request that arrives at this age may wait; `None` if it is refused at
@@ -112,24 +116,26 @@
     /// up. So a request waits only if the instance is likely to know the site in time.
     #[must_use]
     pub fn wait(&self, age: Duration) -> Option<Duration> {
-        (self.left(age) <= LONGEST_WAIT).then_some(LONGEST_WAIT)
+        (self.expected_left(age) <= LONGEST_WAIT).then_some(LONGEST_WAIT)
     }
 
     /// Retry time of a request that is refused at this age; `chance`, from 0 to 1, is
     /// drawn per request and spreads the retry times.
     #[must_use]
     pub fn come_back_after(&self, age: Duration, chance: f64) -> Duration {
-        let spread = chance.clamp(0.0, 1.0) * (AWAY_SPREAD - 1.0);
-        self.left(age).max(LEAST_AWAY).mul_f64(1.0 + spread)
+        let spread = chance.clamp(0.0, 1.0) * (RETRY_SPREAD - 1.0);
+        self.expected_left(age)
+            .max(MIN_RETRY_AFTER)
+            .mul_f64(1.0 + spread)
     }
 
     /// Expected time left until the instance knows the site.
-    fn left(&self, age: Duration) -> Duration {
-        self.known_after(age).saturating_sub(age)
+    fn expected_left(&self, age: Duration) -> Duration {
+        self.expected_ready_after(age).saturating_sub(age)
     }
 
     /// When the first-ranked instance reads.
-    fn first_of_line(&self) -> Duration {
+    fn first_rank_delay(&self) -> Duration {
         if self.is_first_start {
             FIRST_READ_OF_SITE
         } else {
--- a/crates/rookferry_core/src/serving/store_contact.rs
+++ b/crates/rookferry_core/src/serving/store_contact.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 /// Factor by which the largest delay decays with each answer.
-const DELAY_KEPT: f64 = 0.875;
+const DELAY_DECAY: f64 = 0.875;
 /// An answer is overdue after this many times the usual delay.
 const OVERDUE_DELAYS: u32 = 2;
 /// Longest time until an answer is overdue, however slow the store has been.
@@ -21,7 +21,7 @@
     config_at: Option<Instant>,
     servers_at: Option<Instant>,
     /// As reported by peers of the failure domain.
-    heard_at: Option<Instant>,
+    peer_confirmed_at: Option<Instant>,
     /// Whether a watch of this instance is overdue.
     is_overdue: bool,
     /// Decaying maximum of the answers' delays.
@@ -49,7 +49,7 @@
 
     /// Records that a peer's knowledge of the store is as of `at`.
     pub fn hear(&mut self, at: Instant) {
-        self.heard_at = self.heard_at.max(Some(at));
+        self.peer_confirmed_at = self.peer_confirmed_at.max(Some(at));
     }
 
     /// Records that a watch is overdue: peers must not rely on this instance until its
@@ -60,7 +60,7 @@
 
     /// Records how much later than possible an answer came.
     pub fn note_delay(&mut self, delay: Duration) {
-        self.delay = delay.max(self.delay.mul_f64(DELAY_KEPT));
+        self.delay = delay.max(self.delay.mul_f64(DELAY_DECAY));
     }
 
     /// Delay after which an answer is overdue: `planned`, or longer if the store is slow.
@@ -74,7 +74,7 @@
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
         let own = self.config_at.min(self.servers_at);
-        let known_at = own.max(self.heard_at)?;
+        let known_at = own.max(self.peer_confirmed_at)?;
         Some(now.saturating_duration_since(known_at))
     }
 
--- a/crates/rookferry_core/src/serving/store_pace.rs
+++ b/crates/rookferry_core/src/serving/store_pace.rs
@@ -22,11 +22,11 @@
 #[must_use]
 pub fn pause_in_line(failures: u32, rank: usize) -> Duration {
     let doublings = failures.saturating_sub(1);
-    let first_in_line = FIRST_PAUSE
+    let first_ranked = FIRST_PAUSE
         .saturating_mul(2_u32.saturating_pow(doublings))
         .min(LONGEST_PAUSE);
-    let places = u32::try_from(rank).unwrap_or(u32::MAX).saturating_add(1);
-    first_in_line
-        .saturating_mul(places)
+    let position = u32::try_from(rank).unwrap_or(u32::MAX).saturating_add(1);
+    first_ranked
+        .saturating_mul(position)
         .min(LONGEST_RANKED_PAUSE)
 }
--- a/crates/rookferry_core/src/serving/turns.rs
+++ b/crates/rookferry_core/src/serving/turns.rs
@@ -6,21 +6,21 @@
 
 /// Divisor of the space in a heartbeat: that part is for the latest reports if not all
 /// fit.
-const LATEST_PART: usize = 4;
+const LATEST_DIVISOR: usize = 4;
 
-/// The reports to advertise in round `turn`, at most `most`: the latest, and a rotating
+/// The reports to advertise in round `round`, at most `most`: the latest, and a rotating
 /// part of the others. `all` has the latest first.
-pub(crate) fn told_in_turn<T: Copy>(all: &[T], most: usize, turn: usize) -> Vec<T> {
+pub(crate) fn told_in_turn<T: Copy>(all: &[T], most: usize, round: usize) -> Vec<T> {
     if all.len() <= most {
         return all.to_vec();
     }
-    let (latest, older) = all.split_at(most / LATEST_PART);
-    let in_turn = most - latest.len();
-    let from = turn.wrapping_mul(in_turn) % older.len();
+    let (latest, older) = all.split_at(most / LATEST_DIVISOR);
+    let rotating = most - latest.len();
+    let from = round.wrapping_mul(rotating) % older.len();
     let older = older
         .iter()
         .cycle()
         .skip(from)
-        .take(in_turn.min(older.len()));
+        .take(rotating.min(older.len()));
     latest.iter().chain(older).copied().collect()
 }
--- a/crates/rookferry_core/tests/quarantine.rs
+++ b/crates/rookferry_core/tests/quarantine.rs
@@ -198,8 +198,8 @@
     assert!(quarantine.len() <= 4_096);
     assert!(is_held(&quarantine, signature(0), start + MINUTE));
     // The newest are there, the oldest with as little against them aren't.
-    assert_eq!(quarantine.ends(signature(19_999)), 1);
-    assert_eq!(quarantine.ends(signature(1)), 0);
+    assert_eq!(quarantine.crashes(signature(19_999)), 1);
+    assert_eq!(quarantine.crashes(signature(1)), 0);
     quarantine.expire(start + 62 * MINUTE);
     assert!(quarantine.is_empty());
 }
@@ -226,8 +226,8 @@
         }
     }
     assert!(told <= 4 * 8, "told {told} times");
-    assert_eq!(other.ends(signature(1)), 2);
-    assert_eq!(other.ends(signature(2)), 0);
+    assert_eq!(other.crashes(signature(1)), 2);
+    assert_eq!(other.crashes(signature(2)), 0);
 }
 
 #[test]
@@ -309,7 +309,7 @@
     let changes: Vec<_> = told.iter().map(|seen| one.learn(seen, now)).collect();
     assert_eq!(changes, [QuarantineChange::Released]);
     // The ends still count towards more.
-    assert_eq!(one.ends(signature(1)), 3);
+    assert_eq!(one.crashes(signature(1)), 3);
 }
 
 #[test]
@@ -453,7 +453,7 @@
         quarantine.note_end(signature(1), end, gone_at);
     }
     assert!(quarantine.ends_in_turn(signature(1)) >= 2);
-    assert!(quarantine.ends(signature(1)) <= 5);
+    assert!(quarantine.crashes(signature(1)) <= 5);
 }
 
 /// A request at fault came to one fast engine after the other, and those beside it
--- a/crates/rookferry_relay/src/quarantine.rs
+++ b/crates/rookferry_relay/src/quarantine.rs
@@ -215,7 +215,7 @@
         let (ends, in_turn) = {
             let quarantine = self.quarantine.lock();
             let in_turn = quarantine.ends_in_turn(run.signature);
-            (quarantine.ends(run.signature), in_turn)
+            (quarantine.crashes(run.signature), in_turn)
         };
         warn!(log, "health: a server ended under a request"; "event" => "run_crashed",
             "request" => &run.request, "signature" => %run.signature,
@@ -271,7 +271,7 @@
         if change == QuarantineChange::Released {
             self.quarantine.released.notify_one();
         }
-        let ends = self.quarantine.lock().ends(signature);
+        let ends = self.quarantine.lock().crashes(signature);
         let Some(log) = self.events.line(Weight::Notable) else {
             return;
         };
