--- a/crates/rookferry_core/examples/quarantine_size.rs
+++ b/crates/rookferry_core/examples/quarantine_size.rs
@@ -8,7 +8,7 @@
 
 use rookferry_core::Quarantine;
 use rookferry_core::RequestSignature;
-use rookferry_core::RunEnd;
+use rookferry_core::RunCrash;
 use rookferry_core::RunProgress;
 use rookferry_core::ServerKey;
 
@@ -46,7 +46,7 @@
     let mut quarantine = Quarantine::new();
     for request in 0..REQUESTS {
         for end in 0..ENDS {
-            let end = RunEnd {
+            let end = RunCrash {
                 server: server(end),
                 run: 0,
                 progress: RunProgress::Answering,
--- a/crates/rookferry_core/src/limits/words.rs
+++ b/crates/rookferry_core/src/limits/words.rs
@@ -14,7 +14,7 @@
 use super::RequestRate;
 use crate::millis::millis;
 use crate::serving::ServerKey;
-use crate::serving::turns::told_in_turn;
+use crate::serving::rotation::rotation_batch;
 
 /// How far apart two words are surely told in their order.
 const ORDER_KNOWN: Duration = Duration::from_millis(200);
@@ -161,7 +161,7 @@
             })
             .collect();
         told.sort_by_key(|seen| (seen.age_ms, seen.server));
-        told_in_turn(&told, most, turn)
+        rotation_batch(&told, most, turn)
     }
 
     /// Forgets servers that `is_known` doesn't know.
--- a/crates/rookferry_core/src/peers/message.rs
+++ b/crates/rookferry_core/src/peers/message.rs
@@ -14,11 +14,11 @@
 use super::Capacity;
 use super::LoadEntry;
 use crate::limits::LimitSeen;
-use crate::serving::ClosedSeen;
-use crate::serving::DepartureSeen;
+use crate::serving::DepartureObservation;
 use crate::serving::ListVersion;
+use crate::serving::RefusingObservation;
 use crate::serving::ServerKey;
-use crate::serving::SuspectSeen;
+use crate::serving::SuspectObservation;
 
 /// A heartbeat; one datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -58,13 +58,13 @@
     /// How many there are in all.
     pub out_count: u32,
     /// Servers that take no new work; told in the sender's own domain.
-    pub closed: Vec<ClosedSeen>,
+    pub closed: Vec<RefusingObservation>,
     /// What the sender knows of requests under which servers ended.
-    pub suspects: Vec<SuspectSeen>,
+    pub suspects: Vec<SuspectObservation>,
     /// The last words on servers that named a limit.
     pub limits: Vec<LimitSeen>,
     /// Servers that leave, as known to the sender.
-    pub departed: Vec<DepartureSeen>,
+    pub departed: Vec<DepartureObservation>,
     /// Some of the members that the sender knows.
     pub members: Vec<MembersOf>,
     /// How many instances the sender knows, itself included.
--- a/crates/rookferry_core/src/peers/table.rs
+++ b/crates/rookferry_core/src/peers/table.rs
@@ -22,7 +22,7 @@
 use super::peer::Peer;
 use super::peer::is_within;
 use crate::millis::millis;
-use crate::serving::NewsBudget;
+use crate::serving::PropagationBudget;
 use crate::serving::ServerKey;
 
 /// How long a silent member's load counts. Several heartbeats to its own
@@ -348,7 +348,7 @@
     /// Whether this instance reads the store for its domain: the first of those that
     /// were heard lately, and knew what the store has.
     #[must_use]
-    pub fn reads_store(&self, budget: NewsBudget, now: Instant) -> bool {
+    pub fn reads_store(&self, budget: PropagationBudget, now: Instant) -> bool {
         let (kept, bound) = (budget.reader_kept(), budget.rely());
         let mut before = self.heard_before(now);
         before.all(|(_, peer)| !(peer.is_heard(now, kept) && is_within(peer.store_at, now, bound)))
@@ -356,7 +356,7 @@
 
     /// How old what this instance knows may grow before it reads the store itself.
     #[must_use]
-    pub fn reliance(&self, budget: NewsBudget, now: Instant) -> Duration {
+    pub fn reliance(&self, budget: PropagationBudget, now: Instant) -> Duration {
         budget.rely() + budget.line(self.rank(now))
     }
 
--- a/crates/rookferry_core/src/serving/room_queue.rs
+++ b/crates/rookferry_core/src/serving/admission_queue.rs
@@ -30,7 +30,7 @@
 
 /// The position of a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RoomTicket {
+pub struct AdmissionTicket {
     urgency: Urgency,
     number: u64,
 }
@@ -62,15 +62,15 @@
 
 /// The waiting requests, and observed times from which waits are estimated.
 #[derive(Clone, Debug, Default)]
-pub struct RoomQueue {
+pub struct AdmissionQueue {
     next_number: u64,
-    waiting: BTreeSet<RoomTicket>,
+    waiting: BTreeSet<AdmissionTicket>,
     released_at: Option<Instant>,
     release_interval: RunningMean,
     first_event: RunningMean,
 }
 
-impl RoomQueue {
+impl AdmissionQueue {
     /// An empty queue.
     #[must_use]
     pub fn new() -> Self {
@@ -78,8 +78,8 @@
     }
 
     /// Adds a request.
-    pub fn join(&mut self, urgency: Urgency) -> RoomTicket {
-        let ticket = RoomTicket {
+    pub fn join(&mut self, urgency: Urgency) -> AdmissionTicket {
+        let ticket = AdmissionTicket {
             urgency,
             number: self.next_number,
         };
@@ -89,7 +89,7 @@
     }
 
     /// Removes a request.
-    pub fn leave(&mut self, ticket: RoomTicket) {
+    pub fn leave(&mut self, ticket: AdmissionTicket) {
         self.waiting.remove(&ticket);
     }
 
@@ -102,7 +102,7 @@
 
     /// Whether a request is the first in the queue.
     #[must_use]
-    pub fn is_next(&self, ticket: RoomTicket) -> bool {
+    pub fn is_next(&self, ticket: AdmissionTicket) -> bool {
         self.waiting.first() == Some(&ticket)
     }
 
@@ -143,7 +143,7 @@
     /// Expected wait of a request: until cache has been released for it and for all
     /// requests in front of it.
     #[must_use]
-    pub fn expected_wait(&self, ticket: RoomTicket) -> Duration {
+    pub fn expected_wait(&self, ticket: AdmissionTicket) -> Duration {
         let ahead = self.waiting.range(..ticket).count();
         let wait_s = self.release_interval.mean_s * (ahead + 1) as f64;
         Duration::try_from_secs_f64(wait_s).unwrap_or(Duration::MAX)
--- a/crates/rookferry_core/src/serving/broken_runs.rs
+++ b/crates/rookferry_core/src/serving/broken_runs.rs
@@ -11,7 +11,7 @@
 use std::time::Instant;
 
 use super::RequestSignature;
-use super::RunEnd;
+use super::RunCrash;
 use super::ServerKey;
 
 /// How long a broken run waits for a probe of its server: a probe takes up to 0.6 s, and
@@ -31,12 +31,12 @@
     /// The request's id, for logs.
     pub request: String,
     /// The crash to record if the server has exited.
-    pub end: RunEnd,
+    pub end: RunCrash,
 }
 
 /// What is known of the server when a run breaks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BrokenRunNoted {
+pub enum BrokenRunStatus {
     /// The server has exited; the run isn't stored.
     Ended(BrokenRun),
     /// Unknown; the caller is to probe the server.
@@ -61,10 +61,10 @@
     }
 
     /// Records a broken run and returns what is known of its server.
-    pub fn note(&mut self, run: BrokenRun, now: Instant) -> BrokenRunNoted {
+    pub fn note(&mut self, run: BrokenRun, now: Instant) -> BrokenRunStatus {
         self.expire(now);
         if self.exited.contains_key(&run.end.server) {
-            return BrokenRunNoted::Ended(run);
+            return BrokenRunStatus::Ended(run);
         }
         let mut undecided = self.undecided.iter();
         let is_probed = undecided.any(|(known, _)| known.end.server == run.end.server);
@@ -72,9 +72,9 @@
             self.undecided.push((run, now));
         }
         if is_probed {
-            BrokenRunNoted::Asked
+            BrokenRunStatus::Asked
         } else {
-            BrokenRunNoted::Unasked
+            BrokenRunStatus::Unasked
         }
     }
 
--- a/crates/rookferry_core/src/serving/departed.rs
+++ b/crates/rookferry_core/src/serving/departed.rs
@@ -15,7 +15,7 @@
 
 use super::ListVersion;
 use super::ServerKey;
-use super::turns::told_in_turn;
+use super::rotation::rotation_batch;
 use crate::millis::millis;
 
 /// How long a leaving server without an entry is remembered. Entries are removed and come
@@ -38,7 +38,7 @@
 
 /// A departure, as reported to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DepartureSeen {
+pub struct DepartureObservation {
     /// The server.
     pub server: ServerKey,
     /// Why it gets no new work.
@@ -96,7 +96,7 @@
     }
 
     /// Merges a peer's report; returns whether it is new.
-    pub fn hear(&mut self, seen: DepartureSeen, now: Instant) -> bool {
+    pub fn hear(&mut self, seen: DepartureObservation, now: Instant) -> bool {
         let age = Duration::from_millis(seen.age_ms);
         let since = now.checked_sub(age).unwrap_or(now);
         self.note(seen.server, seen.departure, since)
@@ -130,7 +130,7 @@
     /// At most `most` departures to advertise in round `round`: the latest, and a rotating
     /// part of the others, so that each is repeated however many servers leave at once.
     #[must_use]
-    pub fn told(&self, most: usize, round: usize, now: Instant) -> Vec<DepartureSeen> {
+    pub fn told(&self, most: usize, round: usize, now: Instant) -> Vec<DepartureObservation> {
         let leaving = self
             .leaving
             .iter()
@@ -145,8 +145,8 @@
         });
         let mut told: Vec<_> = all.filter(|(age, ..)| *age < ADVERTISED_FOR).collect();
         told.sort_unstable_by_key(|(age, server, _)| (*age, *server));
-        let told = told_in_turn(&told, most, round).into_iter();
-        told.map(|(age, server, departure)| DepartureSeen {
+        let told = rotation_batch(&told, most, round).into_iter();
+        told.map(|(age, server, departure)| DepartureObservation {
             server,
             departure,
             age_ms: millis(age),
--- a/crates/rookferry_core/src/serving/directory.rs
+++ b/crates/rookferry_core/src/serving/directory.rs
@@ -43,7 +43,7 @@
 
 /// In which ways a list may be wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ListDoubts {
+pub struct ListUncertainty {
     /// A server that isn't in the list may merely have expired during an outage.
     pub may_lack: bool,
     /// The list may show old entries after a restore. The entry of a server that had been
@@ -55,7 +55,7 @@
     pub may_have_gone_unseen: bool,
 }
 
-impl ListDoubts {
+impl ListUncertainty {
     /// The list is complete and contains nothing outdated.
     pub const NONE: Self = Self {
         may_lack: false,
@@ -95,14 +95,14 @@
 
 /// What [`Directory::expire`] changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Expired {
+pub struct ExpiryOutcome {
     /// Servers that were removed after the grace period.
     pub gone: Vec<EngineId>,
     /// Servers whose restored entries were accepted.
     pub back: Vec<EngineId>,
 }
 
-impl Expired {
+impl ExpiryOutcome {
     /// Whether nothing changed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -199,9 +199,14 @@
 
     /// Applies a whole list. If absent servers may merely have expired, they stay until
     /// [`Directory::expire`] removes them after the grace period.
-    pub fn replace(&mut self, list: Vec<BackendServer>, uncertainty: ListDoubts, now: Instant) {
+    pub fn replace(
+        &mut self,
+        list: Vec<BackendServer>,
+        uncertainty: ListUncertainty,
+        now: Instant,
+    ) {
         self.read_count += 1;
-        let uncertainty = ListDoubts {
+        let uncertainty = ListUncertainty {
             // On the first list no server counts as removed before.
             may_have_gone_unseen: uncertainty.may_have_gone_unseen && !self.entries.is_empty(),
             ..uncertainty
@@ -225,7 +230,7 @@
         }
     }
 
-    fn apply_listed(&mut self, server: BackendServer, uncertainty: ListDoubts, now: Instant) {
+    fn apply_listed(&mut self, server: BackendServer, uncertainty: ListUncertainty, now: Instant) {
         if let Some(persists_for) = uncertainty.may_be_old {
             self.apply_restored(server, uncertainty, now + persists_for);
         } else if self.is_outdated(&server) {
@@ -240,7 +245,7 @@
     fn apply_restored(
         &mut self,
         server: BackendServer,
-        uncertainty: ListDoubts,
+        uncertainty: ListUncertainty,
         accepted_at: Instant,
     ) {
         if let Some(known) = self.entries.get(&server.id)
@@ -275,7 +280,7 @@
 
     /// Removes servers that have been missing for `grace`, and accepts restored entries
     /// that have persisted; returns both.
-    pub fn expire(&mut self, now: Instant, grace: Duration) -> Expired {
+    pub fn expire(&mut self, now: Instant, grace: Duration) -> ExpiryOutcome {
         self.former
             .retain(|_, former| now.saturating_duration_since(former.removed_at) < FORMER_TTL);
         let is_over = |since: &Instant| now.saturating_duration_since(*since) >= grace;
@@ -298,7 +303,7 @@
         for server in persisted {
             self.insert(server);
         }
-        Expired { gone, back }
+        ExpiryOutcome { gone, back }
     }
 
     /// When [`Directory::expire`] is next due; `None` if nothing is pending.
--- a/crates/rookferry_core/src/serving/health.rs
+++ b/crates/rookferry_core/src/serving/health.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 use super::ServerKey;
-use super::turns::told_in_turn;
+use super::rotation::rotation_batch;
 
 /// Time constant of the decay: a failure counts for about a third after it.
 const DECAY: Duration = Duration::from_secs(3);
@@ -155,7 +155,7 @@
         let mut out: Vec<_> = out.collect();
         out.sort_unstable_by_key(|(since, server)| (std::cmp::Reverse(*since), *server));
         let out: Vec<ServerKey> = out.into_iter().map(|(_, server)| server).collect();
-        told_in_turn(&out, most, round)
+        rotation_batch(&out, most, round)
     }
 
     /// The decayed share of requests that failed, 0 to 1.
--- a/crates/rookferry_core/src/serving/link_pace.rs
+++ b/crates/rookferry_core/src/serving/link_rate.rs
@@ -17,7 +17,7 @@
 
 /// An instance's rate limit on the link.
 #[derive(Clone, Copy, Debug)]
-pub struct LinkPace {
+pub struct LinkRateLimiter {
     /// Spreads the first prompts of instances that start together, 0 to 1.
     chance: f64,
     /// Link time that is left to use, in milliseconds; negative while it is owed.
@@ -25,7 +25,7 @@
     at: Option<Instant>,
 }
 
-impl LinkPace {
+impl LinkRateLimiter {
     /// Nothing sent yet. `chance`, from 0 to 1, is the instance's own.
     #[must_use]
     pub const fn new(chance: f64) -> Self {
--- a/crates/rookferry_core/src/serving/list_history.rs
+++ b/crates/rookferry_core/src/serving/list_history.rs
@@ -34,7 +34,7 @@
 
 /// Identifies a list by version and content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListMark {
+pub struct ListFingerprint {
     /// The version.
     pub version: ListVersion,
     /// The digest of the entries.
@@ -86,13 +86,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct ListHistory {
     number: ListNumber,
-    mark: ListMark,
+    mark: ListFingerprint,
     entries: HashMap<EngineId, Entry>,
     /// Names that a stored list contains and a later one lacks, and the first list
     /// without.
     removed: HashMap<EngineId, ListNumber>,
     /// Earlier lists, oldest first.
-    earlier: VecDeque<(ListMark, ListNumber)>,
+    earlier: VecDeque<(ListFingerprint, ListNumber)>,
 }
 
 impl ListHistory {
@@ -104,7 +104,7 @@
 
     /// The fingerprint of the current list.
     #[must_use]
-    pub const fn mark(&self) -> ListMark {
+    pub const fn mark(&self) -> ListFingerprint {
         self.mark
     }
 
@@ -129,7 +129,7 @@
         let number = self.number;
         self.removed
             .extend(before.into_keys().map(|id| (id, number)));
-        self.mark = ListMark { version, digest };
+        self.mark = ListFingerprint { version, digest };
     }
 
     /// Moves the current list to the earlier ones.
@@ -153,7 +153,7 @@
     #[must_use]
     pub fn since(
         &self,
-        earlier: ListMark,
+        earlier: ListFingerprint,
         entry: impl Fn(&EngineId) -> Option<BackendServer>,
     ) -> Option<ListDelta> {
         let mut known = self.earlier.iter().rev();
--- a/crates/rookferry_core/src/serving/mod.rs
+++ b/crates/rookferry_core/src/serving/mod.rs
@@ -12,59 +12,60 @@
 //!
 //! The platform's store: [`StoreVersion`] orders its states across restores,
 //! [`EraTracker`] detects a restore, [`StoreContact`] tracks how old the knowledge of the
-//! store is, [`NewsBudget`] bounds how long a change may take to reach all instances,
-//! [`StartLine`] and [`pause_in_line`] limit the load on a store at a start and in an
+//! store is, [`PropagationBudget`] bounds how long a change may take to reach all instances,
+//! [`StartQueue`] and [`ranked_pause`] limit the load on a store at a start and in an
 //! outage. [`ConfigAge`] bounds how old the configuration may be when a request is sent.
 //!
-//! Choice of servers: [`ServerHealth`] records failures, [`ClosedServers`] servers that
+//! Choice of servers: [`ServerHealth`] records failures, [`RefusingServers`] servers that
 //! refuse work although their load is low, [`Backoffs`] servers that asked for a pause.
 //!
-//! Admission and retries: [`RoomQueue`] queues requests that wait for cache capacity,
-//! [`Overload`] computes the retry time of refused requests, [`LinkPace`] limits the
+//! Admission and retries: [`AdmissionQueue`] queues requests that wait for cache capacity,
+//! [`Overload`] computes the retry time of refused requests, [`LinkRateLimiter`] limits the
 //! prompts that cross the link between failure domains, [`RetryWindow`] limits retries.
 //!
 //! Quarantine: [`RequestSignature`] recognises a request that is sent again,
 //! [`Quarantine`] withholds requests that crash servers, and [`BrokenRuns`] keeps broken
 //! runs until it is known whether their server exited.
 
+mod admission_queue;
 mod age;
 mod backend_server;
 mod backoffs;
 mod broken_runs;
-mod closed;
 mod config;
 mod departed;
 mod directory;
 mod era_tracker;
 mod finished_requests;
 mod health;
-mod link_pace;
+mod link_rate;
 mod list_history;
 mod list_version;
-mod news_budget;
 mod overload;
+mod propagation_budget;
 mod quarantine;
 mod quarantine_object;
+mod refusing_servers;
 mod request_signature;
 mod retry_window;
-mod room_queue;
+pub(crate) mod rotation;
 mod server_key;
-mod start_line;
+mod start_queue;
 mod store_contact;
-mod store_pace;
+mod store_retry;
 mod store_version;
-pub(crate) mod turns;
 
+pub use admission_queue::AdmissionQueue;
+pub use admission_queue::AdmissionTicket;
+pub use admission_queue::Urgency;
 pub use age::ConfigAge;
 pub use age::ServersAge;
 pub use age::VersionAge;
 pub use backend_server::BackendServer;
 pub use backoffs::Backoffs;
 pub use broken_runs::BrokenRun;
-pub use broken_runs::BrokenRunNoted;
+pub use broken_runs::BrokenRunStatus;
 pub use broken_runs::BrokenRuns;
-pub use closed::ClosedSeen;
-pub use closed::ClosedServers;
 pub use config::CallerLimits;
 pub use config::Repeatability;
 pub use config::RouteTarget;
@@ -75,42 +76,41 @@
 pub use config::ServingService;
 pub use departed::DepartedServers;
 pub use departed::Departure;
-pub use departed::DepartureSeen;
+pub use departed::DepartureObservation;
 pub use directory::Directory;
 pub use directory::DirectoryChange;
-pub use directory::Expired;
-pub use directory::ListDoubts;
+pub use directory::ExpiryOutcome;
+pub use directory::ListUncertainty;
 pub use era_tracker::EraTracker;
 pub use era_tracker::EraVerdict;
 pub use health::ServerHealth;
-pub use link_pace::LinkPace;
+pub use link_rate::LinkRateLimiter;
 pub use list_history::ListDelta;
 pub use list_history::ListDigest;
+pub use list_history::ListFingerprint;
 pub use list_history::ListHistory;
-pub use list_history::ListMark;
 pub use list_version::ListVersion;
-pub use news_budget::NewsBudget;
-pub use news_budget::NewsWay;
 pub use overload::Overload;
 pub use overload::Overloaded;
-pub use quarantine::EndSeen;
+pub use propagation_budget::PropagationBudget;
+pub use propagation_budget::PropagationPath;
+pub use quarantine::CrashObservation;
 pub use quarantine::Quarantine;
 pub use quarantine::QuarantineChange;
-pub use quarantine::RunEnd;
+pub use quarantine::RunCrash;
 pub use quarantine::RunId;
 pub use quarantine::RunProgress;
-pub use quarantine::SuspectSeen;
+pub use quarantine::SuspectObservation;
 pub use quarantine::Suspicion;
-pub use quarantine_object::HeldRequest;
 pub use quarantine_object::QuarantineObject;
+pub use quarantine_object::QuarantinedRequest;
+pub use refusing_servers::RefusingObservation;
+pub use refusing_servers::RefusingServers;
 pub use request_signature::RequestSignature;
 pub use request_signature::SignatureError;
 pub use retry_window::RetryWindow;
-pub use room_queue::RoomQueue;
-pub use room_queue::RoomTicket;
-pub use room_queue::Urgency;
 pub use server_key::ServerKey;
-pub use start_line::StartLine;
+pub use start_queue::StartQueue;
 pub use store_contact::StoreContact;
-pub use store_pace::pause_in_line;
+pub use store_retry::ranked_pause;
 pub use store_version::StoreVersion;
--- a/crates/rookferry_core/src/serving/news_budget.rs
+++ b/crates/rookferry_core/src/serving/propagation_budget.rs
@@ -7,15 +7,15 @@
 //!
 //! | step | part of the bound |
 //! |---|---|
-//! | [`NewsBudget::watch_wait`] | a watch waits for changes |
-//! | [`NewsBudget::overdue`] | an overdue watch is awaited until another is sent beside it |
-//! | [`NewsBudget::read`] | the store answers a call |
-//! | [`NewsBudget::tell`] | a heartbeat and the repetition of a lost one |
-//! | [`NewsBudget::look`] | between two checks whether to read the store |
-//! | [`NewsBudget::reader_kept`] | a silent store reader still counts as one |
-//! | [`NewsBudget::line`] | the last-ranked instance waits for those before it |
-//! | [`NewsBudget::pause`] | the first-ranked instance pauses after failed calls |
-//! | [`NewsBudget::spread`] | from one instance of a domain to all of them |
+//! | [`PropagationBudget::watch_wait`] | a watch waits for changes |
+//! | [`PropagationBudget::overdue`] | an overdue watch is awaited until another is sent beside it |
+//! | [`PropagationBudget::read`] | the store answers a call |
+//! | [`PropagationBudget::tell`] | a heartbeat and the repetition of a lost one |
+//! | [`PropagationBudget::look`] | between two checks whether to read the store |
+//! | [`PropagationBudget::reader_kept`] | a silent store reader still counts as one |
+//! | [`PropagationBudget::line`] | the last-ranked instance waits for those before it |
+//! | [`PropagationBudget::pause`] | the first-ranked instance pauses after failed calls |
+//! | [`PropagationBudget::spread`] | from one instance of a domain to all of them |
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
 
 /// A path that a change of a server takes to the last instance of a failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NewsWay {
+pub enum PropagationPath {
     /// The store reader's watch returns it.
     Watch,
     /// The connection of the store reader's watch was lost without an error.
@@ -50,7 +50,7 @@
     AfterFailures,
 }
 
-impl NewsWay {
+impl PropagationPath {
     /// All paths.
     pub const ALL: [Self; 6] = [
         Self::Watch,
@@ -64,11 +64,11 @@
 
 /// The steps within one bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NewsBudget {
+pub struct PropagationBudget {
     bound: Duration,
 }
 
-impl NewsBudget {
+impl PropagationBudget {
     /// The steps within `bound`, which runs from the store's statement to the last
     /// request.
     #[must_use]
@@ -147,18 +147,20 @@
 
     /// Longest time from the store's statement to the last instance of a domain.
     #[must_use]
-    pub fn longest(&self, way: NewsWay) -> Duration {
+    pub fn longest(&self, way: PropagationPath) -> Duration {
         let until_read = match way {
-            NewsWay::Watch => Duration::ZERO,
-            NewsWay::SilentWatch => self.watch_wait() + self.overdue(),
-            NewsWay::ReaderGone => self.reader_kept() + self.look(),
-            NewsWay::ReaderCutOff => self.watch_wait() + self.overdue() + self.tell() + self.look(),
+            PropagationPath::Watch => Duration::ZERO,
+            PropagationPath::SilentWatch => self.watch_wait() + self.overdue(),
+            PropagationPath::ReaderGone => self.reader_kept() + self.look(),
+            PropagationPath::ReaderCutOff => {
+                self.watch_wait() + self.overdue() + self.tell() + self.look()
+            }
             // The last confirmation is up to one wait old when the store reader falls
             // silent.
-            NewsWay::OldWord => {
+            PropagationPath::OldWord => {
                 self.rely().saturating_sub(self.watch_wait()) + self.line(usize::MAX) + self.look()
             }
-            NewsWay::AfterFailures => self.pause(),
+            PropagationPath::AfterFailures => self.pause(),
         };
         until_read + self.read() + self.spread()
     }
--- a/crates/rookferry_core/src/serving/quarantine/crashes.rs
+++ b/crates/rookferry_core/src/serving/quarantine/crashes.rs
@@ -49,7 +49,7 @@
 
 /// A server's crash under a run of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RunEnd {
+pub struct RunCrash {
     /// The server.
     pub server: ServerKey,
     /// The run.
@@ -64,7 +64,7 @@
     pub at: Instant,
 }
 
-impl RunEnd {
+impl RunCrash {
     /// Whether it is independent of an earlier crash, unless the request is the cause of
     /// both.
     fn follows(&self, earlier: &Self) -> bool {
@@ -77,7 +77,7 @@
 
 /// A server's crash under a request, as reported to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndSeen {
+pub struct CrashObservation {
     /// The server.
     pub server: ServerKey,
     /// The run.
@@ -92,8 +92,8 @@
     pub silent_ms: u64,
 }
 
-impl EndSeen {
-    pub(super) fn new(crash: &RunEnd, now: Instant) -> Self {
+impl CrashObservation {
+    pub(super) fn new(crash: &RunCrash, now: Instant) -> Self {
         let before_crash = |at: Instant| millis(crash.at.saturating_duration_since(at));
         Self {
             server: crash.server,
@@ -107,10 +107,10 @@
 
     /// The crash in this instance's time; `None` if the clock doesn't reach back that
     /// far.
-    pub(super) fn crash(&self, now: Instant) -> Option<RunEnd> {
+    pub(super) fn crash(&self, now: Instant) -> Option<RunCrash> {
         let at = now.checked_sub(Duration::from_millis(self.age_ms))?;
         let before_crash = |ms| at.checked_sub(Duration::from_millis(ms));
-        Some(RunEnd {
+        Some(RunCrash {
             server: self.server,
             run: self.run,
             progress: self.progress,
@@ -130,7 +130,7 @@
 }
 
 /// The strongest evidence of sequential crashes; `crashes` must be in order of time.
-pub(super) fn sequential_evidence(crashes: &[RunEnd]) -> Evidence {
+pub(super) fn sequential_evidence(crashes: &[RunCrash]) -> Evidence {
     let mut best_up_to: Vec<Evidence> = Vec::with_capacity(crashes.len());
     for (index, crash) in crashes.iter().enumerate() {
         let earlier = crashes[..index].iter().zip(&best_up_to);
--- a/crates/rookferry_core/src/serving/quarantine/mod.rs
+++ b/crates/rookferry_core/src/serving/quarantine/mod.rs
@@ -28,8 +28,8 @@
 use super::finished_requests::FinishedRequests;
 use record::Record;
 
-pub use crashes::EndSeen;
-pub use crashes::RunEnd;
+pub use crashes::CrashObservation;
+pub use crashes::RunCrash;
 pub use crashes::RunId;
 pub use crashes::RunProgress;
 
@@ -54,11 +54,11 @@
 
 /// What is known of a request, as reported to peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectSeen {
+pub struct SuspectObservation {
     /// The request.
     pub signature: RequestSignature,
     /// Servers that crashed under it.
-    pub ends: Vec<EndSeen>,
+    pub ends: Vec<CrashObservation>,
     /// Time since a run of it succeeded, in milliseconds, if one did.
     pub finished_ms: Option<u64>,
     /// Time since its quarantine started or was extended, in milliseconds, if it is
@@ -144,7 +144,7 @@
     pub fn note_end(
         &mut self,
         signature: RequestSignature,
-        crash: RunEnd,
+        crash: RunCrash,
         now: Instant,
     ) -> QuarantineChange {
         self.update(signature, now, |record| record.add(crash))
@@ -155,7 +155,7 @@
     /// as one is the cause.
     pub fn note_ends(
         &mut self,
-        crashes: &[(RequestSignature, RunEnd)],
+        crashes: &[(RequestSignature, RunCrash)],
         now: Instant,
     ) -> Vec<(RequestSignature, QuarantineChange)> {
         // Whether each request was quarantined before; it may have had several runs
@@ -187,7 +187,7 @@
     }
 
     /// Merges a peer's report.
-    pub fn learn(&mut self, seen: &SuspectSeen, now: Instant) -> QuarantineChange {
+    pub fn learn(&mut self, seen: &SuspectObservation, now: Instant) -> QuarantineChange {
         let before = |age_ms: u64| now.checked_sub(Duration::from_millis(age_ms));
         let crashes = seen.ends.iter().take(MAX_CRASHES);
         let crashes = crashes.filter_map(|crash| crash.crash(now));
@@ -248,7 +248,7 @@
 
     /// What to advertise in the next round: changes, at most `most`, and in rotation one
     /// of the quarantined requests, for instances that have started since.
-    pub fn next_told(&mut self, most: usize, now: Instant) -> Vec<SuspectSeen> {
+    pub fn next_told(&mut self, most: usize, now: Instant) -> Vec<SuspectObservation> {
         self.expire(now);
         let mut advertised = Vec::new();
         let mut changed: Vec<_> = self
@@ -275,7 +275,7 @@
 
     /// What to send to an instance that has just started.
     #[must_use]
-    pub fn told_at_start(&self, most: usize, now: Instant) -> Vec<SuspectSeen> {
+    pub fn told_at_start(&self, most: usize, now: Instant) -> Vec<SuspectObservation> {
         let held = self.held(now).take(most);
         held.filter_map(|(signature, _)| {
             let record = self.records.get(&signature)?;
@@ -284,7 +284,7 @@
         .collect()
     }
 
-    fn next_quarantined(&mut self, now: Instant) -> Option<SuspectSeen> {
+    fn next_quarantined(&mut self, now: Instant) -> Option<SuspectObservation> {
         let held = || self.held(now).map(|(signature, _)| signature);
         let after = held()
             .filter(|signature| Some(*signature) > self.last_advertised)
--- a/crates/rookferry_core/src/serving/quarantine/record.rs
+++ b/crates/rookferry_core/src/serving/quarantine/record.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::EndSeen;
+use super::CrashObservation;
 use super::MAX_CRASHES;
 use super::QUARANTINE_PERIOD;
 use super::RequestSignature;
-use super::RunEnd;
+use super::RunCrash;
 use super::ServerKey;
-use super::SuspectSeen;
+use super::SuspectObservation;
 use super::crashes::Evidence;
 use super::crashes::sequential_evidence;
 use crate::millis::millis;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     /// In order of time.
-    pub(super) crashes: Vec<RunEnd>,
+    pub(super) crashes: Vec<RunCrash>,
     pub(super) finished_at: Option<Instant>,
     pub(super) quarantined_at: Option<Instant>,
     pub(super) changed_at: Instant,
@@ -47,7 +47,7 @@
     }
 
     /// Adds a crash; returns whether the record changed.
-    pub(super) fn add(&mut self, crash: RunEnd) -> bool {
+    pub(super) fn add(&mut self, crash: RunCrash) -> bool {
         if self.finished_at.is_some_and(|at| crash.at <= at) {
             return false;
         }
@@ -136,7 +136,7 @@
             .crashes
             .iter()
             .filter(|crash| !is_attributed(crash.server));
-        let own_crashes: Vec<RunEnd> = own_crashes.copied().collect();
+        let own_crashes: Vec<RunCrash> = own_crashes.copied().collect();
         let is_enough_alone =
             sequential_evidence(&own_crashes).points >= self.points_to_quarantine(at);
         if is_enough_alone && self.quarantined_at.is_none() {
@@ -203,10 +203,13 @@
         self.is_cleared() && self.finished_at.is_none()
     }
 
-    pub(super) fn seen(&self, signature: RequestSignature, now: Instant) -> SuspectSeen {
+    pub(super) fn seen(&self, signature: RequestSignature, now: Instant) -> SuspectObservation {
         let age_ms = |at: Instant| millis(now.saturating_duration_since(at));
-        let crashes = self.crashes.iter().map(|crash| EndSeen::new(crash, now));
-        SuspectSeen {
+        let crashes = self
+            .crashes
+            .iter()
+            .map(|crash| CrashObservation::new(crash, now));
+        SuspectObservation {
             signature,
             ends: crashes.collect(),
             finished_ms: self.finished_at.map(age_ms),
--- a/crates/rookferry_core/src/serving/quarantine_object.rs
+++ b/crates/rookferry_core/src/serving/quarantine_object.rs
@@ -21,12 +21,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineObject {
     /// The requests.
-    pub held: Vec<HeldRequest>,
+    pub held: Vec<QuarantinedRequest>,
 }
 
 /// A quarantined request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldRequest {
+pub struct QuarantinedRequest {
     /// Its signature in hexadecimal.
     pub signature: String,
     /// When it was last quarantined, in Unix milliseconds.
@@ -52,10 +52,12 @@
         all.retain(|(_, since)| now.saturating_sub(*since) < QUARANTINE_PERIOD);
         all.sort_by_key(|(_, since)| std::cmp::Reverse(*since));
         all.truncate(MAX_STORED);
-        let held = all.into_iter().map(|(signature, since)| HeldRequest {
-            signature: signature.to_string(),
-            since_ms: millis(since),
-        });
+        let held = all
+            .into_iter()
+            .map(|(signature, since)| QuarantinedRequest {
+                signature: signature.to_string(),
+                since_ms: millis(since),
+            });
         Self {
             held: held.collect(),
         }
@@ -64,7 +66,7 @@
     /// The object without the requests for which `is_left_out` is true.
     #[must_use]
     pub fn without(&self, is_left_out: impl Fn(RequestSignature) -> bool) -> Self {
-        let is_kept = |held: &&HeldRequest| {
+        let is_kept = |held: &&QuarantinedRequest| {
             let signature = held.signature.parse();
             !signature.is_ok_and(&is_left_out)
         };
--- a/crates/rookferry_core/src/serving/closed.rs
+++ b/crates/rookferry_core/src/serving/refusing_servers.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 
 use super::ServerKey;
-use super::turns::told_in_turn;
+use super::rotation::rotation_batch;
 use crate::millis::millis;
 
 /// Share of its cache capacity below which a server that refuses isn't merely full. The
@@ -34,7 +34,7 @@
 
 /// A refusing server, as reported to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClosedSeen {
+pub struct RefusingObservation {
     /// The server.
     pub server: ServerKey,
     /// Time since its last refusal that counted, in milliseconds.
@@ -54,13 +54,13 @@
 
 /// Refusals at low load, by server.
 #[derive(Clone, Debug)]
-pub struct ClosedServers {
+pub struct RefusingServers {
     /// The instance's factor on the delay; at least 1.
     delay_factor: f64,
     records: HashMap<ServerKey, Record>,
 }
 
-impl ClosedServers {
+impl RefusingServers {
     /// No refusing servers. `chance`, from 0 to 1, sets the instance's factor on the
     /// delay.
     #[must_use]
@@ -94,7 +94,7 @@
 
     /// Merges a peer's report; returns whether the server is refusing due to it and
     /// wasn't before.
-    pub fn learn(&mut self, seen: ClosedSeen, now: Instant) -> bool {
+    pub fn learn(&mut self, seen: RefusingObservation, now: Instant) -> bool {
         let Some(at) = now.checked_sub(Duration::from_millis(seen.age_ms)) else {
             return false;
         };
@@ -130,22 +130,22 @@
 
     /// At most `most` refusing servers to advertise in round `round`.
     #[must_use]
-    pub fn told(&self, most: usize, round: usize, now: Instant) -> Vec<ClosedSeen> {
+    pub fn told(&self, most: usize, round: usize, now: Instant) -> Vec<RefusingObservation> {
         let mut seen = self.seen(now);
         seen.sort_unstable_by_key(|seen| (seen.age_ms, seen.server));
-        told_in_turn(&seen, most, round)
+        rotation_batch(&seen, most, round)
     }
 
     /// All refusing servers.
     #[must_use]
-    pub fn seen(&self, now: Instant) -> Vec<ClosedSeen> {
+    pub fn seen(&self, now: Instant) -> Vec<RefusingObservation> {
         let closed = self
             .records
             .iter()
             .filter(|(_, record)| record.is_closed(self.delay_factor, now));
         let seen = closed.filter_map(|(server, record)| {
             let age = now.saturating_duration_since(record.refused_at?);
-            Some(ClosedSeen {
+            Some(RefusingObservation {
                 server: *server,
                 age_ms: millis(age),
                 refusals: record.refusals,
--- a/crates/rookferry_core/src/serving/turns.rs
+++ b/crates/rookferry_core/src/serving/rotation.rs
@@ -10,7 +10,7 @@
 
 /// The reports to advertise in round `round`, at most `most`: the latest, and a rotating
 /// part of the others. `all` has the latest first.
-pub(crate) fn told_in_turn<T: Copy>(all: &[T], most: usize, round: usize) -> Vec<T> {
+pub(crate) fn rotation_batch<T: Copy>(all: &[T], most: usize, round: usize) -> Vec<T> {
     if all.len() <= most {
         return all.to_vec();
     }
--- a/crates/rookferry_core/src/serving/start_line.rs
+++ b/crates/rookferry_core/src/serving/start_queue.rs
@@ -55,7 +55,7 @@
 
 /// An instance that has just started and waits for its first read of the store.
 #[derive(Clone, Copy, Debug)]
-pub struct StartLine {
+pub struct StartQueue {
     /// Whether the whole site starts for the first time.
     pub is_first_start: bool,
     /// How many instances of its failure domain are ranked before it.
@@ -66,7 +66,7 @@
     pub link_mbps: Option<f64>,
 }
 
-impl StartLine {
+impl StartQueue {
     /// Time from its start to its first read of the store.
     ///
     /// An instance with a slow link waits longer, by the time that its own read would
--- a/crates/rookferry_core/src/serving/store_pace.rs
+++ b/crates/rookferry_core/src/serving/store_retry.rs
@@ -20,7 +20,7 @@
 /// The pause after `failures` consecutive failed calls, for an instance that is ranked
 /// after `rank` others.
 #[must_use]
-pub fn pause_in_line(failures: u32, rank: usize) -> Duration {
+pub fn ranked_pause(failures: u32, rank: usize) -> Duration {
     let doublings = failures.saturating_sub(1);
     let first_ranked = FIRST_PAUSE
         .saturating_mul(2_u32.saturating_pow(doublings))
--- a/crates/rookferry_core/tests/closed.rs
+++ b/crates/rookferry_core/tests/closed.rs
@@ -8,10 +8,10 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use rookferry_core::ClosedSeen;
-use rookferry_core::ClosedServers;
 use rookferry_core::PathFinder;
 use rookferry_core::PipelineEngine;
+use rookferry_core::RefusingObservation;
+use rookferry_core::RefusingServers;
 use rookferry_core::ServerKey;
 use rookferry_wire::LayerRange;
 
@@ -47,7 +47,7 @@
 }
 
 /// What one instance did, and when others hear of it.
-type Told = (Duration, usize, ClosedSeen);
+type Told = (Duration, usize, RefusingObservation);
 
 /// Plays streams for some time with engines that refuse all from the start;
 /// tells how many tries were refused.
@@ -55,7 +55,7 @@
     let start = Instant::now();
     let mut rng = StdRng::seed_from_u64(1);
     let mut closed = (0..INSTANCES)
-        .map(|_| ClosedServers::new(rng.random()))
+        .map(|_| RefusingServers::new(rng.random()))
         .collect::<Vec<_>>();
     let mut told: VecDeque<Told> = VecDeque::new();
     let mut engines = engines();
@@ -77,7 +77,7 @@
                 if place != from {
                     let age_ms =
                         u64::try_from((at + TOLD_AFTER).saturating_sub(due).as_millis()).unwrap();
-                    instance.learn(ClosedSeen { age_ms, ..seen }, now);
+                    instance.learn(RefusingObservation { age_ms, ..seen }, now);
                 }
             }
         }
@@ -127,7 +127,7 @@
 #[test]
 fn a_server_that_refuses_again_is_left_alone_for_longer() {
     let start = Instant::now();
-    let mut closed = ClosedServers::new(0.0);
+    let mut closed = RefusingServers::new(0.0);
     let mut at = start;
     let mut pauses = Vec::new();
     for _ in 0..6 {
@@ -145,7 +145,7 @@
 #[test]
 fn a_full_server_is_not_closed() {
     let now = Instant::now();
-    let mut closed = ClosedServers::new(0.0);
+    let mut closed = RefusingServers::new(0.0);
     assert!(!closed.refused(key(1), 80_000.0, ROOM_TOKENS, now));
     assert!(!closed.is_closed(key(1), now));
 }
@@ -153,12 +153,12 @@
 #[test]
 fn work_that_is_taken_or_a_new_entry_opens_it() {
     let now = Instant::now();
-    let mut closed = ClosedServers::new(0.0);
+    let mut closed = RefusingServers::new(0.0);
     closed.refused(key(1), 0.0, ROOM_TOKENS, now);
     closed.accepted(key(1), now);
     assert!(!closed.is_closed(key(1), now));
     // A word from before that says nothing new.
-    let old = ClosedSeen {
+    let old = RefusingObservation {
         server: key(1),
         age_ms: 300,
         refusals: 1,
@@ -184,8 +184,8 @@
 #[test]
 fn damaged_words_close_nothing_for_longer_than_any_refusal() {
     let now = Instant::now();
-    let mut closed = ClosedServers::new(0.0);
-    let damaged = ClosedSeen {
+    let mut closed = RefusingServers::new(0.0);
+    let damaged = RefusingObservation {
         server: key(1),
         age_ms: u64::MAX,
         refusals: u8::MAX,
@@ -193,7 +193,7 @@
     closed.learn(damaged, now);
     assert!(!closed.is_closed(key(1), now));
     closed.learn(
-        ClosedSeen {
+        RefusingObservation {
             age_ms: 0,
             ..damaged
         },
--- a/crates/rookferry_core/tests/link_pace.rs
+++ b/crates/rookferry_core/tests/link_pace.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use rookferry_core::LinkPace;
+use rookferry_core::LinkRateLimiter;
 use rstest::rstest;
 
 /// How long callers wait for the first event.
@@ -19,7 +19,7 @@
     let mut rng = StdRng::seed_from_u64(7);
     let start = Instant::now();
     let mut paces: Vec<_> = (0..instances)
-        .map(|_| LinkPace::new(rng.random()))
+        .map(|_| LinkRateLimiter::new(rng.random()))
         .collect();
     let (mut arrived, mut in_time) = (0, 0);
     let mut link_free_ms = 0.0_f64;
@@ -62,7 +62,7 @@
 #[test]
 fn one_that_is_turned_away_is_told_when_there_is_time() {
     let start = Instant::now();
-    let mut pace = LinkPace::new(0.0);
+    let mut pace = LinkRateLimiter::new(0.0);
     assert_eq!(pace.take(100.0, 4, start), Ok(()));
     let wait = pace.take(100.0, 4, start).expect_err("no time is left");
     let soon = start + wait + Duration::from_millis(1);
--- a/crates/rookferry_core/tests/list_history.rs
+++ b/crates/rookferry_core/tests/list_history.rs
@@ -7,8 +7,8 @@
 use proptest::proptest;
 use rookferry_core::BackendServer;
 use rookferry_core::ListDelta;
+use rookferry_core::ListFingerprint;
 use rookferry_core::ListHistory;
-use rookferry_core::ListMark;
 use rookferry_core::ListVersion;
 use rookferry_core::ServerKey;
 use rookferry_core::StoreVersion;
@@ -38,7 +38,11 @@
 }
 
 /// What an instance that has `list` in force gives to one that has an earlier one.
-fn delta(history: &ListHistory, list: &[BackendServer], earlier: ListMark) -> Option<ListDelta> {
+fn delta(
+    history: &ListHistory,
+    list: &[BackendServer],
+    earlier: ListFingerprint,
+) -> Option<ListDelta> {
     let entry = |id: &EngineId| list.iter().find(|server| server.id == *id).cloned();
     history.since(earlier, entry)
 }
--- a/crates/rookferry_core/tests/news_budget.rs
+++ b/crates/rookferry_core/tests/news_budget.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use rookferry_core::NewsBudget;
-use rookferry_core::NewsWay;
+use rookferry_core::PropagationBudget;
+use rookferry_core::PropagationPath;
 use rookferry_core::StoreContact;
-use rookferry_core::pause_in_line;
+use rookferry_core::ranked_pause;
 use rstest::rstest;
 
 #[rstest]
 fn all_waits_on_each_way_add_up_to_less_than_the_bound(#[values(2, 3, 4, 5)] bound_s: u64) {
     let bound = Duration::from_secs(bound_s);
-    let budget = NewsBudget::new(bound);
-    for way in NewsWay::ALL {
+    let budget = PropagationBudget::new(bound);
+    for way in PropagationPath::ALL {
         let longest = budget.longest(way);
         // A twentieth is left for a slow machine.
         assert!(longest <= bound * 19 / 20, "{way:?}: {longest:?}");
@@ -22,13 +22,13 @@
 
 #[rstest]
 fn the_first_in_line_pauses_no_longer_than_planned(#[values(2, 3, 4)] bound_s: u64) {
-    let budget = NewsBudget::new(Duration::from_secs(bound_s));
-    assert!(pause_in_line(20, 0) <= budget.pause());
+    let budget = PropagationBudget::new(Duration::from_secs(bound_s));
+    assert!(ranked_pause(20, 0) <= budget.pause());
 }
 
 #[rstest]
 fn a_word_that_a_sound_reader_tells_is_relied_on(#[values(2, 3, 4)] bound_s: u64) {
-    let budget = NewsBudget::new(Duration::from_secs(bound_s));
+    let budget = PropagationBudget::new(Duration::from_secs(bound_s));
     // It is confirmed by the watch before the one that waits, and told.
     let oldest = 2 * budget.watch_wait() + budget.tell();
     assert!(oldest < budget.rely());
@@ -37,7 +37,7 @@
 #[rstest]
 fn instances_stop_relying_on_their_peers_one_after_the_other(#[values(2, 3, 4)] bound_s: u64) {
     let bound = Duration::from_secs(bound_s);
-    let budget = NewsBudget::new(bound);
+    let budget = PropagationBudget::new(bound);
     assert_eq!(budget.line(0), Duration::ZERO);
     assert!(budget.line(1) > budget.line(0));
     let last = budget.rely() + budget.line(1_000);
--- a/crates/rookferry_core/tests/quarantine.rs
+++ b/crates/rookferry_core/tests/quarantine.rs
@@ -8,7 +8,7 @@
 use rookferry_core::QuarantineChange;
 use rookferry_core::QuarantineObject;
 use rookferry_core::RequestSignature;
-use rookferry_core::RunEnd;
+use rookferry_core::RunCrash;
 use rookferry_core::RunProgress;
 use rookferry_core::ServerKey;
 use rookferry_core::Suspicion;
@@ -41,8 +41,8 @@
 }
 
 /// The end of a server that was there when the request came to it.
-fn end_at(number: u16, progress: RunProgress, at: Instant) -> RunEnd {
-    RunEnd {
+fn end_at(number: u16, progress: RunProgress, at: Instant) -> RunCrash {
+    RunCrash {
         server: server(number),
         run: u32::from(number),
         progress,
@@ -328,8 +328,8 @@
 /// Engines go at the same moment: those of a run's path, and those that it is sent on
 /// to before anybody knows. None of them is known to have been there after the first
 /// end.
-fn end_together(number: u16, gone_at: Instant, joined_at: Instant, at: Instant) -> RunEnd {
-    RunEnd {
+fn end_together(number: u16, gone_at: Instant, joined_at: Instant, at: Instant) -> RunCrash {
+    RunCrash {
         server: server(number),
         run: 1_000,
         progress: RunProgress::Begun,
@@ -468,12 +468,12 @@
     let mut held = Vec::new();
     for number in 0..4_u16 {
         let at = start + (u32::from(number) + 1) * SECOND / 5;
-        let joined = |ago| RunEnd {
+        let joined = |ago| RunCrash {
             joined_at: before(at, ago),
             ..end_at(number, RunProgress::Begun, at)
         };
         let beside = (1..30).map(|other| {
-            let end = RunEnd {
+            let end = RunCrash {
                 progress,
                 ..joined(SECOND / 6)
             };
@@ -520,7 +520,7 @@
     let start = Instant::now();
     for number in 0..3_u16 {
         let at = start + (u32::from(number) + 1) * SECOND / 10;
-        let end = RunEnd {
+        let end = RunCrash {
             joined_at: start,
             alive_at: before(at, SECOND / 50),
             ..end_at(number, RunProgress::Begun, at)
--- a/crates/rookferry_core/tests/room_queue.rs
+++ b/crates/rookferry_core/tests/room_queue.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use rookferry_core::RoomQueue;
+use rookferry_core::AdmissionQueue;
 use rookferry_core::Urgency;
 use rstest::rstest;
 
@@ -14,8 +14,8 @@
 }
 
 /// A queue that saw some first events and room come free at a steady pace.
-fn observed(first_event: Duration, freed_every: Duration) -> RoomQueue {
-    let mut queue = RoomQueue::new();
+fn observed(first_event: Duration, freed_every: Duration) -> AdmissionQueue {
+    let mut queue = AdmissionQueue::new();
     let start = Instant::now();
     for number in 0..100 {
         queue.note_first_event(first_event);
@@ -26,7 +26,7 @@
 
 #[test]
 fn the_more_urgent_go_first_and_of_those_alike_the_earlier() {
-    let mut queue = RoomQueue::new();
+    let mut queue = AdmissionQueue::new();
     let late = queue.join(urgency(2, 1));
     let route = queue.join(urgency(1, 2));
     let first = queue.join(urgency(1, 1));
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_new_request_waits_behind_those_alike_and_not_behind_the_less_urgent() {
-    let mut queue = RoomQueue::new();
+    let mut queue = AdmissionQueue::new();
     queue.join(urgency(1, 1));
     assert!(queue.is_behind(urgency(1, 1)));
     assert!(queue.is_behind(urgency(2, 0)));
--- a/crates/rookferry_core/tests/server_starts.rs
+++ b/crates/rookferry_core/tests/server_starts.rs
@@ -9,11 +9,11 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use rookferry_core::BackendServer;
-use rookferry_core::ClosedSeen;
-use rookferry_core::ClosedServers;
 use rookferry_core::Directory;
 use rookferry_core::DirectoryChange;
-use rookferry_core::ListDoubts;
+use rookferry_core::ListUncertainty;
+use rookferry_core::RefusingObservation;
+use rookferry_core::RefusingServers;
 use rookferry_core::ServerHealth;
 use rookferry_core::ServerKey;
 use rookferry_wire::LayerRange;
@@ -71,7 +71,11 @@
     let mut directory = Directory::new();
     assert!(update(&mut directory, server("e", 1, Some(20), 1)));
     assert!(!update(&mut directory, server("e", 1, Some(10), 9)));
-    directory.replace(vec![server("e", 1, Some(10), 9)], ListDoubts::NONE, now);
+    directory.replace(
+        vec![server("e", 1, Some(10), 9)],
+        ListUncertainty::NONE,
+        now,
+    );
     assert_eq!(in_use(&directory), [("e".to_owned(), Some(20))]);
     // Nor after the later start's own entry has gone.
     directory.apply(DirectoryChange::Removed("e".into()), now);
@@ -98,11 +102,11 @@
 fn in_one_list_the_one_that_wrote_itself_less_often_is_later() {
     let mut directory = Directory::new();
     let list = vec![server("a", 1, None, 12), server("b", 1, None, 2)];
-    directory.replace(list, ListDoubts::NONE, Instant::now());
+    directory.replace(list, ListUncertainty::NONE, Instant::now());
     assert_eq!(in_use(&directory), [("b".to_owned(), None)]);
     let mut directory = Directory::new();
     let list = vec![server("a", 1, Some(5), 1), server("b", 1, Some(6), 30)];
-    directory.replace(list, ListDoubts::NONE, Instant::now());
+    directory.replace(list, ListUncertainty::NONE, Instant::now());
     assert_eq!(in_use(&directory), [("b".to_owned(), Some(6))]);
 }
 
@@ -153,10 +157,10 @@
     let mut health = ServerHealth::new();
     health.lost(former, now);
     health.had_no_room(former, 0.0, now);
-    let mut closed = ClosedServers::new(0.5);
+    let mut closed = RefusingServers::new(0.5);
     closed.refused(former, 0.0, 1_000.0, now);
     // A peer tells of it late.
-    let told = ClosedSeen {
+    let told = RefusingObservation {
         server: former,
         age_ms: 100,
         refusals: 3,
@@ -219,13 +223,13 @@
                 }
                 News::List { start } => {
                     has_later |= start == 20;
-                    directory.replace(vec![server("e", 1, Some(start), 1)], ListDoubts::NONE, now);
+                    directory.replace(vec![server("e", 1, Some(start), 1)], ListUncertainty::NONE, now);
                 }
                 News::Missing { may_have_lapsed } => {
                     let doubts = if may_have_lapsed {
-                        ListDoubts::AFTER_OUTAGE
+                        ListUncertainty::AFTER_OUTAGE
                     } else {
-                        ListDoubts::NONE
+                        ListUncertainty::NONE
                     };
                     directory.replace(Vec::new(), doubts, now);
                 }
--- a/crates/rookferry_core/tests/serving.rs
+++ b/crates/rookferry_core/tests/serving.rs
@@ -9,7 +9,7 @@
 use rookferry_core::ConfigAge;
 use rookferry_core::Directory;
 use rookferry_core::DirectoryChange;
-use rookferry_core::ListDoubts;
+use rookferry_core::ListUncertainty;
 use rookferry_core::Repeatability;
 use rookferry_core::RetryWindow;
 use rookferry_core::RouteTarget;
@@ -19,7 +19,7 @@
 use rookferry_core::ServingConfig;
 use rookferry_core::ServingIndex;
 use rookferry_core::ServingRoute;
-use rookferry_core::pause_in_line;
+use rookferry_core::ranked_pause;
 use rstest::rstest;
 
 fn route(name: &str, host: &str, prefix: &str) -> ServingRoute {
@@ -168,10 +168,10 @@
     let mut directory = Directory::new();
     directory.replace(
         vec![server("1"), server("2"), server("3")],
-        ListDoubts::NONE,
+        ListUncertainty::NONE,
         start,
     );
-    directory.replace(vec![server("1")], ListDoubts::AFTER_OUTAGE, start);
+    directory.replace(vec![server("1")], ListUncertainty::AFTER_OUTAGE, start);
     assert_eq!(ids(&directory), ["1", "2", "3"]);
     directory.apply(DirectoryChange::Updated(server("2")), start);
     assert!(directory.expire(start + grace / 2, grace).is_empty());
@@ -185,8 +185,8 @@
 fn a_list_without_an_outage_is_the_truth() {
     let mut directory = Directory::new();
     let now = Instant::now();
-    directory.replace(vec![server("1"), server("2")], ListDoubts::NONE, now);
-    directory.replace(vec![server("2")], ListDoubts::NONE, now);
+    directory.replace(vec![server("1"), server("2")], ListUncertainty::NONE, now);
+    directory.replace(vec![server("2")], ListUncertainty::NONE, now);
     assert_eq!(ids(&directory), ["2"]);
     directory.apply(DirectoryChange::Removed("2".into()), now);
     assert!(ids(&directory).is_empty());
@@ -288,11 +288,11 @@
 #[test]
 fn instances_that_stand_further_back_spare_a_store_that_is_away() {
     let without_line = Duration::from_millis(500);
-    let pauses: Vec<Duration> = (0..30).map(|rank| pause_in_line(20, rank)).collect();
+    let pauses: Vec<Duration> = (0..30).map(|rank| ranked_pause(20, rank)).collect();
     assert!(pauses.is_sorted());
     assert!(pauses[0] < without_line, "the first notices soon");
     assert!(pauses[29] <= Duration::from_secs(3), "none stops asking");
-    assert!(pause_in_line(1, 0) < pauses[0], "one failure may be chance");
+    assert!(ranked_pause(1, 0) < pauses[0], "one failure may be chance");
     let calls_per_s: f64 = pauses.iter().map(|pause| 1.0 / pause.as_secs_f64()).sum();
     let without: f64 = 30.0 / without_line.as_secs_f64();
     assert!(calls_per_s < without / 2.0, "{calls_per_s} of {without}");
--- a/crates/rookferry_core/tests/start_line.rs
+++ b/crates/rookferry_core/tests/start_line.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use rookferry_core::StartLine;
+use rookferry_core::StartQueue;
 use rstest::rstest;
 use start_site::FAST_MBPS;
 use start_site::Policy;
@@ -15,7 +15,7 @@
 use start_site::StartAnswer;
 use start_site::StartSite;
 
-const RESTART: StartLine = StartLine {
+const RESTART: StartQueue = StartQueue {
     is_first_start: false,
     rank: 0,
     offered_ago: None,
@@ -26,7 +26,7 @@
 fn of_hundreds_that_start_together_few_read_the_store_before_the_first_has_told() {
     // The first tells the others within a step of its own read.
     let read_at = |rank| {
-        StartLine {
+        StartQueue {
             is_first_start: true,
             rank,
             ..RESTART
@@ -43,7 +43,7 @@
 #[test]
 fn an_instance_that_restarts_alone_reads_at_once_and_waits_only_while_a_peer_gives() {
     let alone = RESTART.first_read_after();
-    let offered = StartLine {
+    let offered = StartQueue {
         offered_ago: Some(Duration::ZERO),
         ..RESTART
     };
@@ -56,7 +56,7 @@
 #[case::fast(1_000.0)]
 #[case::slow(20.0)]
 fn however_large_the_domain_the_store_is_read_in_the_end(#[case] link_mbps: f64) {
-    let last = StartLine {
+    let last = StartQueue {
         rank: 4_000,
         offered_ago: Some(Duration::ZERO),
         link_mbps: Some(link_mbps),
--- a/crates/rookferry_core/tests/store_era.rs
+++ b/crates/rookferry_core/tests/store_era.rs
@@ -14,7 +14,7 @@
 use rookferry_core::LeaseAction;
 use rookferry_core::LeaseObject;
 use rookferry_core::LeaseTiming;
-use rookferry_core::ListDoubts;
+use rookferry_core::ListUncertainty;
 use rookferry_core::ServerKey;
 use rookferry_core::StoreVersion;
 use rookferry_wire::Object;
@@ -24,7 +24,7 @@
 const GRACE: Duration = Duration::from_secs(2);
 const STANDS_FOR: Duration = Duration::from_secs(5);
 /// A list from right after a restore.
-const RESTORED: ListDoubts = ListDoubts {
+const RESTORED: ListUncertainty = ListUncertainty {
     may_lack: true,
     may_be_old: Some(STANDS_FOR),
     may_have_gone_unseen: true,
@@ -121,7 +121,7 @@
     let now = Instant::now();
     let mut directory = Directory::new();
     let before = ["a", "b", "c"].map(|id| server(id, 3, false));
-    directory.replace(before.to_vec(), ListDoubts::NONE, now);
+    directory.replace(before.to_vec(), ListUncertainty::NONE, now);
     directory.apply(DirectoryChange::Updated(server("a", 5, true)), now);
     directory.apply(DirectoryChange::Removed("b".into()), now);
     // The copy is from before, but for the entry's unseen writes.
@@ -140,7 +140,7 @@
 fn a_server_whose_entry_had_only_lapsed_is_back_after_a_restore(#[case] writes_again: bool) {
     let now = Instant::now();
     let mut directory = Directory::new();
-    directory.replace(vec![server("a", 3, false)], ListDoubts::NONE, now);
+    directory.replace(vec![server("a", 3, false)], ListUncertainty::NONE, now);
     directory.apply(DirectoryChange::Removed("a".into()), now);
     directory.replace(vec![server("a", 2, false)], RESTORED, now);
     assert_eq!(used(&directory), Vec::<String>::new());
@@ -160,7 +160,7 @@
 fn a_server_that_left_before_an_instance_started_stays_out_of_use_after_a_restore() {
     let now = Instant::now();
     let mut directory = Directory::new();
-    directory.replace(vec![server("a", 3, false)], ListDoubts::NONE, now);
+    directory.replace(vec![server("a", 3, false)], ListUncertainty::NONE, now);
     let copy = ["a", "b"].map(|id| server(id, 2, false));
     directory.replace(copy.to_vec(), RESTORED, now);
     assert_eq!(used(&directory), ["a"]);
@@ -180,7 +180,7 @@
 fn a_server_that_the_copy_lacks_has_not_left() {
     let now = Instant::now();
     let mut directory = Directory::new();
-    directory.replace(vec![server("a", 3, false)], ListDoubts::NONE, now);
+    directory.replace(vec![server("a", 3, false)], ListUncertainty::NONE, now);
     directory.replace(Vec::new(), RESTORED, now);
     assert_eq!(used(&directory), ["a"]);
     let expired = directory.expire(now + GRACE, GRACE);
@@ -197,7 +197,7 @@
     };
     directory.apply(DirectoryChange::Updated(of_start(5, true)), now);
     assert!(!directory.apply(DirectoryChange::Updated(of_start(4, false)), now));
-    directory.replace(vec![of_start(4, false)], ListDoubts::NONE, now);
+    directory.replace(vec![of_start(4, false)], ListUncertainty::NONE, now);
     assert_eq!(used(&directory), Vec::<String>::new());
 }
 
--- a/crates/rookferry_core/tests/support/news_site.rs
+++ b/crates/rookferry_core/tests/support/news_site.rs
@@ -7,9 +7,9 @@
 
 use rand::RngExt;
 use rookferry_core::Departure;
-use rookferry_core::NewsBudget;
+use rookferry_core::PropagationBudget;
 use rookferry_core::ServerKey;
-use rookferry_core::pause_in_line;
+use rookferry_core::ranked_pause;
 
 use crate::peer_site::Site;
 use crate::peer_site::engine_key;
@@ -49,7 +49,7 @@
 pub struct NewsSite {
     pub site: Site,
     pub links: Vec<StoreLink>,
-    budget: NewsBudget,
+    budget: PropagationBudget,
     readings: Vec<Reading>,
     failures: Vec<u32>,
     /// When the store knew that the server leaves.
@@ -66,7 +66,7 @@
         let mut news = Self {
             site,
             links: vec![StoreLink::Sound; count],
-            budget: NewsBudget::new(bound),
+            budget: PropagationBudget::new(bound),
             readings: vec![Reading::LooksAt(0); count],
             failures: vec![0; count],
             left_ms: None,
@@ -177,7 +177,7 @@
                 if now_ms >= watch_ends_ms.max(sent_ms + CALL_MS) {
                     self.failures[place] += 1;
                     let rank = self.site.instances[place].table.rank(self.site.now());
-                    let pause = pause_in_line(self.failures[place], rank);
+                    let pause = ranked_pause(self.failures[place], rank);
                     self.readings[place] = Reading::LooksAt(now_ms + millis(pause));
                 }
             }
--- a/crates/rookferry_core/tests/support/start_site.rs
+++ b/crates/rookferry_core/tests/support/start_site.rs
@@ -9,7 +9,7 @@
 use rookferry_core::BodySource;
 use rookferry_core::Capacity;
 use rookferry_core::Offer;
-use rookferry_core::StartLine;
+use rookferry_core::StartQueue;
 
 use crate::peer_site::Site;
 
@@ -32,7 +32,7 @@
 /// An instance that has just started, as a caller meets it.
 #[derive(Clone, Copy, Debug)]
 pub struct Met {
-    pub line: StartLine,
+    pub line: StartQueue,
     pub age: Duration,
     /// The caller's own, from 0 to 1.
     pub chance: f64,
@@ -254,11 +254,11 @@
         Duration::from_millis(age_ms) >= self.line(place).first_read_after()
     }
 
-    fn line(&self, place: usize) -> StartLine {
+    fn line(&self, place: usize) -> StartQueue {
         let now = self.site.now();
         let instance = &self.site.instances[place];
         let offered_at = instance.offered_at;
-        StartLine {
+        StartQueue {
             is_first_start: false,
             rank: instance.table.rank(now).max(instance.table.known_before()),
             offered_ago: offered_at.map(|at| now.saturating_duration_since(at)),
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -23,7 +23,7 @@
 use rookferry_core::EngineState;
 use rookferry_core::PoolUse;
 use rookferry_core::RequestSignature;
-use rookferry_core::RunEnd;
+use rookferry_core::RunCrash;
 use rookferry_core::RunProgress;
 use rookferry_core::ServiceConfig;
 use rookferry_core::ServiceInstance;
@@ -308,7 +308,7 @@
         let run = BrokenRun {
             signature: self.signature,
             request: self.request_id.to_string(),
-            end: RunEnd {
+            end: RunCrash {
                 server: server.key(),
                 run: rand::random(),
                 progress: RunProgress::Begun,
--- a/crates/rookferry_entry/src/peers/heartbeat.rs
+++ b/crates/rookferry_entry/src/peers/heartbeat.rs
@@ -8,7 +8,7 @@
 use metrics::counter;
 use rookferry_core::HeartbeatFault;
 use rookferry_core::HeartbeatPlan;
-use rookferry_core::SuspectSeen;
+use rookferry_core::SuspectObservation;
 use rookferry_net::clock;
 use rookferry_wire::DatagramError;
 use rookferry_wire::EngineDigest;
@@ -36,7 +36,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct PeerDatagram {
     heartbeat: Heartbeat,
-    suspects: Vec<SuspectSeen>,
+    suspects: Vec<SuspectObservation>,
 }
 
 pub(super) async fn send(entry: Arc<EntryState>, udp: Arc<UdpSocket>, peer_addr: SocketAddr) {
--- a/crates/rookferry_entry/src/quarantine.rs
+++ b/crates/rookferry_entry/src/quarantine.rs
@@ -11,13 +11,13 @@
 
 use metrics::counter;
 use rookferry_core::BrokenRun;
-use rookferry_core::BrokenRunNoted;
+use rookferry_core::BrokenRunStatus;
 use rookferry_core::BrokenRuns;
 use rookferry_core::Quarantine;
 use rookferry_core::QuarantineChange;
 use rookferry_core::RequestSignature;
 use rookferry_core::ServerKey;
-use rookferry_core::SuspectSeen;
+use rookferry_core::SuspectObservation;
 use rookferry_core::Suspicion;
 use rookferry_net::clock;
 use rookferry_net::until;
@@ -89,7 +89,7 @@
 
 impl CallQuarantine {
     /// What others are to be told, at most `most`.
-    pub(crate) fn next_told(&self, most: usize) -> Vec<SuspectSeen> {
+    pub(crate) fn next_told(&self, most: usize) -> Vec<SuspectObservation> {
         self.calls().next_told(most, clock::now())
     }
 
@@ -153,12 +153,12 @@
     pub(crate) fn run_broke(self: &Arc<Self>, run: BrokenRun, server: Server) {
         let noted = self.quarantine.broken().note(run, clock::now());
         match noted {
-            BrokenRunNoted::Ended(run) => self.runs_crashed(&[run]),
-            BrokenRunNoted::Unasked => {
+            BrokenRunStatus::Ended(run) => self.runs_crashed(&[run]),
+            BrokenRunStatus::Unasked => {
                 let entry = self.clone();
                 tokio::spawn(async move { entry.check_ended(&server).await });
             }
-            BrokenRunNoted::Asked => {}
+            BrokenRunStatus::Asked => {}
         }
     }
 
@@ -237,7 +237,7 @@
     }
 
     /// Takes in what another instance knows of calls.
-    pub(crate) fn learn_suspects(&self, told: &[SuspectSeen], source: &str) {
+    pub(crate) fn learn_suspects(&self, told: &[SuspectObservation], source: &str) {
         for seen in told {
             let change = self.quarantine.calls().learn(seen, clock::now());
             self.note_change(seen.signature, change, source);
--- a/crates/rookferry_entry/src/runner.rs
+++ b/crates/rookferry_entry/src/runner.rs
@@ -12,7 +12,7 @@
 use rookferry_core::BrokenRun;
 use rookferry_core::ChainRequest;
 use rookferry_core::EngineState;
-use rookferry_core::RunEnd;
+use rookferry_core::RunCrash;
 use rookferry_core::RunId;
 use rookferry_core::RunProgress;
 use rookferry_core::Stage;
@@ -246,7 +246,7 @@
         let run = BrokenRun {
             signature: self.need.signature,
             request: self.driver.stream().to_string(),
-            end: RunEnd {
+            end: RunCrash {
                 server: server.key(),
                 run: self.run,
                 progress: self.progress,
--- a/crates/rookferry_relay/src/beliefs.rs
+++ b/crates/rookferry_relay/src/beliefs.rs
@@ -17,11 +17,11 @@
 use arc_swap::Guard;
 use rookferry_core::BackendServer;
 use rookferry_core::Backoffs;
-use rookferry_core::ClosedServers;
 use rookferry_core::DepartedServers;
 use rookferry_core::Departure;
-use rookferry_core::DepartureSeen;
+use rookferry_core::DepartureObservation;
 use rookferry_core::DoubtedServers;
+use rookferry_core::RefusingServers;
 use rookferry_core::ServerHealth;
 use rookferry_core::ServerKey;
 use rookferry_core::ServerLimits;
@@ -40,7 +40,7 @@
     /// What requests met at each.
     health: Mutex<ServerHealth>,
     /// Those that take no new work.
-    closed: Mutex<ClosedServers>,
+    closed: Mutex<RefusingServers>,
     /// Those that others of the failure domain have trouble with.
     doubted: ArcSwap<DoubtedServers>,
     /// The backoffs that they asked this instance for.
@@ -64,7 +64,7 @@
     pub(crate) fn new(chance: f64) -> Self {
         Self {
             health: Mutex::new(ServerHealth::new()),
-            closed: Mutex::new(ClosedServers::new(chance)),
+            closed: Mutex::new(RefusingServers::new(chance)),
             doubted: ArcSwap::default(),
             backoffs: ArcSwap::default(),
             departed: ArcSwap::default(),
@@ -80,7 +80,7 @@
         lock(&self.health)
     }
 
-    pub(crate) fn closed(&self) -> MutexGuard<'_, ClosedServers> {
+    pub(crate) fn closed(&self) -> MutexGuard<'_, RefusingServers> {
         lock(&self.closed)
     }
 
@@ -121,7 +121,7 @@
 
     /// Takes another instance's word on a server that leaves in. Tells whether that is
     /// news.
-    pub(crate) fn hear_departure(&self, seen: DepartureSeen) -> bool {
+    pub(crate) fn hear_departure(&self, seen: DepartureObservation) -> bool {
         // Each heartbeat tells the same again.
         !self.departed.load().knows(seen.server, seen.departure)
             && update(&self.departed, |departed| departed.hear(seen, clock::now()))
--- a/crates/rookferry_relay/src/door.rs
+++ b/crates/rookferry_relay/src/door.rs
@@ -5,10 +5,10 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
+use rookferry_core::AdmissionQueue;
+use rookferry_core::AdmissionTicket;
 use rookferry_core::Overload;
 use rookferry_core::Overloaded;
-use rookferry_core::RoomQueue;
-use rookferry_core::RoomTicket;
 use rookferry_core::Urgency;
 use rookferry_net::clock;
 use rookferry_wire::ServiceId;
@@ -19,7 +19,7 @@
 /// Those who wait for room, by service.
 #[derive(Debug, Default)]
 pub(crate) struct Door {
-    queues: Mutex<HashMap<ServiceId, RoomQueue>>,
+    queues: Mutex<HashMap<ServiceId, AdmissionQueue>>,
     overload: Mutex<Overload>,
     changed: Notify,
 }
@@ -29,7 +29,7 @@
 pub(crate) struct Place {
     door: Arc<Door>,
     service: ServiceId,
-    ticket: RoomTicket,
+    ticket: AdmissionTicket,
 }
 
 impl Door {
@@ -72,7 +72,7 @@
         lock(&self.overload).refused(clock::now(), rand::random())
     }
 
-    fn with<T>(&self, service: &ServiceId, run: impl FnOnce(&mut RoomQueue) -> T) -> T {
+    fn with<T>(&self, service: &ServiceId, run: impl FnOnce(&mut AdmissionQueue) -> T) -> T {
         let mut queues = lock(&self.queues);
         let queue = queues.entry(service.clone()).or_default();
         run(queue)
--- a/crates/rookferry_relay/src/peers/exchange.rs
+++ b/crates/rookferry_relay/src/peers/exchange.rs
@@ -10,7 +10,7 @@
 use metrics::counter;
 use rand::seq::IndexedRandom;
 use rookferry_core::BodySource;
-use rookferry_core::ListMark;
+use rookferry_core::ListFingerprint;
 use rookferry_core::Offer;
 use rookferry_net::clock;
 use serde::Serialize;
@@ -144,7 +144,7 @@
 
 /// What differs from an earlier list that is remembered; it is small, and no reason to
 /// send others elsewhere.
-fn changes_answer(relay: &Relay, had: ListMark) -> Option<PeerAnswer> {
+fn changes_answer(relay: &Relay, had: ListFingerprint) -> Option<PeerAnswer> {
     let view = relay.view.load_full();
     let table = view.servers.as_ref()?;
     let history = lock(&relay.list_history);
@@ -185,12 +185,12 @@
     let had = lock(&relay.list_history).mark();
     if !take_servers(relay, from, had).await {
         // The list here isn't the one that the peer remembers under its version.
-        take_servers(relay, from, ListMark::default()).await;
+        take_servers(relay, from, ListFingerprint::default()).await;
     }
 }
 
 /// Asks for servers, given the list that is had. Tells whether the answer could be used.
-async fn take_servers(relay: &Relay, from: SocketAddr, had: ListMark) -> bool {
+async fn take_servers(relay: &Relay, from: SocketAddr, had: ListFingerprint) -> bool {
     let newer_than = relay.servers_version();
     let is_had = || relay.servers_version() > newer_than;
     let asked = ask_round(relay, from, PeerRequest::Servers { had }, is_had).await;
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/intake.rs
@@ -7,10 +7,10 @@
 use std::time::Instant;
 
 use metrics::histogram;
-use rookferry_core::ClosedSeen;
 use rookferry_core::Departure;
 use rookferry_core::Heartbeat;
 use rookferry_core::LoadEntry;
+use rookferry_core::RefusingObservation;
 use rookferry_core::ServerKey;
 use slog::info;
 
@@ -162,7 +162,7 @@
 
     /// Takes in which servers refused work that they had room for.
     fn take_closed(&self, beat: &Heartbeat, now: Instant) {
-        let news: Vec<&ClosedSeen> = {
+        let news: Vec<&RefusingObservation> = {
             let mut closed = self.relay.beliefs.closed();
             let view = self.relay.view.load();
             let told = beat.closed.iter();
--- a/crates/rookferry_relay/src/peers/message.rs
+++ b/crates/rookferry_relay/src/peers/message.rs
@@ -4,7 +4,7 @@
 
 use rookferry_core::BackendServer;
 use rookferry_core::ListDelta;
-use rookferry_core::ListMark;
+use rookferry_core::ListFingerprint;
 use rookferry_core::ListVersion;
 use rookferry_core::PermitAnswer;
 use rookferry_core::PermitAsk;
@@ -37,7 +37,7 @@
     /// The configuration, if it is newer than a version.
     Config { newer_than: u64 },
     /// The backend servers, if their list is newer than the one that is had.
-    Servers { had: ListMark },
+    Servers { had: ListFingerprint },
 }
 
 /// Its answer.
@@ -58,7 +58,7 @@
     },
     /// What differs in a newer list of backend servers from the one that is had.
     ServerChanges {
-        list: ListMark,
+        list: ListFingerprint,
         delta: ListDelta,
         /// How long ago the list was known to be the newest.
         age_ms: Option<u64>,
--- a/crates/rookferry_relay/src/quarantine.rs
+++ b/crates/rookferry_relay/src/quarantine.rs
@@ -11,15 +11,15 @@
 
 use metrics::counter;
 use rookferry_core::BrokenRun;
-use rookferry_core::BrokenRunNoted;
+use rookferry_core::BrokenRunStatus;
 use rookferry_core::Quarantine;
 use rookferry_core::QuarantineChange;
 use rookferry_core::RequestSignature;
-use rookferry_core::RunEnd;
+use rookferry_core::RunCrash;
 use rookferry_core::RunId;
 use rookferry_core::RunProgress;
 use rookferry_core::ServerKey;
-use rookferry_core::SuspectSeen;
+use rookferry_core::SuspectObservation;
 use rookferry_core::Suspicion;
 use rookferry_net::clock;
 use slog::info;
@@ -89,7 +89,7 @@
     }
 
     /// What others are to be told, at most `most`.
-    pub(crate) fn next_told(&self, most: usize, now: Instant) -> Vec<SuspectSeen> {
+    pub(crate) fn next_told(&self, most: usize, now: Instant) -> Vec<SuspectObservation> {
         if !self.has_records() {
             return Vec::new();
         }
@@ -155,16 +155,16 @@
         };
         let noted = self.beliefs.broken_runs.lock().note(run, clock::now());
         match noted {
-            BrokenRunNoted::Ended(run) => self.note_runs_crashed(&[run]),
-            BrokenRunNoted::Unasked => {
+            BrokenRunStatus::Ended(run) => self.note_runs_crashed(&[run]),
+            BrokenRunStatus::Unasked => {
                 let relay = self.clone();
                 tokio::spawn(async move { probe::check_ended(&relay, server).await });
             }
-            BrokenRunNoted::Asked => {}
+            BrokenRunStatus::Asked => {}
         }
     }
 
-    fn run_end(&self, broken: BrokenAt) -> RunEnd {
+    fn run_end(&self, broken: BrokenAt) -> RunCrash {
         let at = clock::now();
         let sign_age = self.beliefs.signs.of(broken.server).age(at);
         let sign_at = at.checked_sub(sign_age);
@@ -174,7 +174,7 @@
             Reach::Direct => sign_at.max(Some(broken.joined_at)),
             Reach::ByAnother => sign_at,
         };
-        RunEnd {
+        RunCrash {
             server: broken.server,
             run: broken.run,
             progress: broken.progress,
@@ -236,7 +236,7 @@
     }
 
     /// Takes in what another instance knows of requests.
-    pub(crate) fn learn_suspects(&self, told: &[SuspectSeen], source: &str, now: Instant) {
+    pub(crate) fn learn_suspects(&self, told: &[SuspectObservation], source: &str, now: Instant) {
         for seen in told {
             let change = self
                 .quarantine
@@ -248,7 +248,7 @@
     /// Takes in that the store has a request as held for some time.
     pub(crate) fn learn_held(&self, signature: RequestSignature, age: Duration) {
         let now = clock::now();
-        let seen = SuspectSeen {
+        let seen = SuspectObservation {
             signature,
             ends: Vec::new(),
             finished_ms: None,
--- a/crates/rookferry_relay/src/readiness.rs
+++ b/crates/rookferry_relay/src/readiness.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use rookferry_core::StartLine;
+use rookferry_core::StartQueue;
 use rookferry_net::clock;
 
 use crate::mutex::lock;
@@ -97,9 +97,9 @@
     }
 
     /// This instance's place in line at its start.
-    fn start_line(&self) -> StartLine {
+    fn start_line(&self) -> StartQueue {
         let peers = lock(&self.peers);
-        StartLine {
+        StartQueue {
             is_first_start: self.settings.is_first_start,
             rank: peers.rank(clock::now()).max(peers.known_before()),
             offered_ago: lock(&self.offered_at).map(clock::since),
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -13,7 +13,7 @@
 use rookferry_core::BackendServer;
 use rookferry_core::BodySource;
 use rookferry_core::ConfigAge;
-use rookferry_core::LinkPace;
+use rookferry_core::LinkRateLimiter;
 use rookferry_core::ListHistory;
 use rookferry_core::ListVersion;
 use rookferry_core::PeerTable;
@@ -83,7 +83,7 @@
     /// Engines that started again before their entries tell of it.
     pub(crate) restarts: Restarts,
     /// What this instance may send over the link between failure domains.
-    pub(crate) link_pace: Mutex<LinkPace>,
+    pub(crate) link_pace: Mutex<LinkRateLimiter>,
     /// Who gets the configuration, and the servers, from this instance.
     pub(crate) config_source: Mutex<BodySource<u64>>,
     pub(crate) servers_source: Mutex<BodySource<ListVersion>>,
@@ -132,7 +132,7 @@
             list_history: Mutex::default(),
             peer_servers: watch::Sender::new(None),
             restarts: Restarts::default(),
-            link_pace: Mutex::new(LinkPace::new(rand::random())),
+            link_pace: Mutex::new(LinkRateLimiter::new(rand::random())),
             config_source: Mutex::new(BodySource::new().link_mbps(link_mbps)),
             servers_source: Mutex::new(BodySource::new().link_mbps(link_mbps)),
             offered_at: Mutex::default(),
--- a/crates/rookferry_relay/src/settings.rs
+++ b/crates/rookferry_relay/src/settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rookferry_core::Capacity;
-use rookferry_core::NewsBudget;
+use rookferry_core::PropagationBudget;
 use rookferry_wire::DomainId;
 use rookferry_wire::InstanceId;
 use rookferry_wire::SiteId;
@@ -202,8 +202,8 @@
 
     /// How long each step of the store's news may take.
     #[must_use]
-    pub const fn news_budget(&self) -> NewsBudget {
-        NewsBudget::new(Duration::from_millis(self.drain_ms))
+    pub const fn news_budget(&self) -> PropagationBudget {
+        PropagationBudget::new(Duration::from_millis(self.drain_ms))
     }
 
     /// Time from the word to stop until the process is killed.
--- a/crates/rookferry_relay/src/sync/outage.rs
+++ b/crates/rookferry_relay/src/sync/outage.rs
@@ -3,7 +3,7 @@
 use std::fmt::Display;
 use std::time::Instant;
 
-use rookferry_core::pause_in_line;
+use rookferry_core::ranked_pause;
 use rookferry_net::clock;
 
 use crate::relay::Relay;
@@ -40,7 +40,7 @@
             return;
         }
         loop {
-            let pause = pause_in_line(self.count, relay.rank(clock::now()));
+            let pause = ranked_pause(self.count, relay.rank(clock::now()));
             let left = pause.saturating_sub(clock::since(self.last_at));
             if left.is_zero() {
                 return;
--- a/crates/rookferry_relay/src/sync/servers.rs
+++ b/crates/rookferry_relay/src/sync/servers.rs
@@ -8,7 +8,7 @@
 use rookferry_core::BackendServer;
 use rookferry_core::Directory;
 use rookferry_core::DirectoryChange;
-use rookferry_core::ListDoubts;
+use rookferry_core::ListUncertainty;
 use rookferry_core::ListVersion;
 use rookferry_core::StoreVersion;
 use rookferry_net::clock;
@@ -254,9 +254,9 @@
     }
 
     /// What may be wrong with a list that the store gives.
-    fn of_stores_list(&self, now: Instant) -> ListDoubts {
+    fn of_stores_list(&self, now: Instant) -> ListUncertainty {
         let doubts = self.of_peers_list(now);
-        ListDoubts {
+        ListUncertainty {
             may_lack: self.may_lapse(now),
             may_have_gone_unseen: doubts.may_be_old.is_some(),
             ..doubts
@@ -265,11 +265,11 @@
 
     /// What may be wrong with a list that a peer gives: what it lacks has been looked
     /// into there.
-    fn of_peers_list(&self, now: Instant) -> ListDoubts {
+    fn of_peers_list(&self, now: Instant) -> ListUncertainty {
         let old_for = self
             .old_until
             .map(|until| until.saturating_duration_since(now));
-        ListDoubts {
+        ListUncertainty {
             may_lack: false,
             may_be_old: old_for.filter(|old_for| !old_for.is_zero()),
             may_have_gone_unseen: false,
--- a/crates/rookferry_relay/src/tracked_store.rs
+++ b/crates/rookferry_relay/src/tracked_store.rs
@@ -17,7 +17,7 @@
 use rookferry_core::EraTracker;
 use rookferry_core::EraVerdict;
 use rookferry_core::LeaseObject;
-use rookferry_core::NewsBudget;
+use rookferry_core::PropagationBudget;
 use rookferry_core::QuarantineObject;
 use rookferry_core::ServingConfig;
 use rookferry_core::StoreContact;
@@ -50,7 +50,7 @@
 pub(crate) struct TrackedStore {
     inner: Arc<dyn SiteStore>,
     events: Arc<EventLog>,
-    budget: NewsBudget,
+    budget: PropagationBudget,
     eras: Mutex<EraTracker>,
     contact: Mutex<StoreContact>,
     /// Raised with each change of the era.
@@ -61,7 +61,7 @@
     pub(crate) fn new(
         inner: Arc<dyn SiteStore>,
         events: Arc<EventLog>,
-        budget: NewsBudget,
+        budget: PropagationBudget,
     ) -> Self {
         Self {
             inner,
