--- a/crates/rookferry_core/examples/quarantine_size.rs
+++ b/crates/rookferry_core/examples/quarantine_size.rs
@@ -54,7 +54,7 @@
                 alive_at: start,
                 at: start,
             };
-            quarantine.note_end(signature(request, b""), end, start);
+            quarantine.record_crash(signature(request, b""), end, start);
         }
     }
     let noted_us = start.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS * u32::from(ENDS));
@@ -63,7 +63,7 @@
     println!("an end noted in {noted_us:.2} us");
 
     let round = Instant::now();
-    let told = quarantine.next_told(TOLD, start);
+    let told = quarantine.next_advertised(TOLD, start);
     let round_us = round.elapsed().as_secs_f64() * 1e6;
     let ends: usize = told.iter().map(|seen| seen.ends.len()).sum();
     println!(
--- a/crates/rookferry_core/src/peers/table.rs
+++ b/crates/rookferry_core/src/peers/table.rs
@@ -349,7 +349,7 @@
     /// were heard lately, and knew what the store has.
     #[must_use]
     pub fn reads_store(&self, budget: PropagationBudget, now: Instant) -> bool {
-        let (kept, bound) = (budget.reader_kept(), budget.rely());
+        let (kept, bound) = (budget.reader_timeout(), budget.max_report_age());
         let mut before = self.heard_before(now);
         before.all(|(_, peer)| !(peer.is_heard(now, kept) && is_within(peer.store_at, now, bound)))
     }
@@ -357,7 +357,7 @@
     /// How old what this instance knows may grow before it reads the store itself.
     #[must_use]
     pub fn reliance(&self, budget: PropagationBudget, now: Instant) -> Duration {
-        budget.rely() + budget.line(self.rank(now))
+        budget.max_report_age() + budget.rank_delay(self.rank(now))
     }
 
     /// Whether a member of the domain has a newer configuration than a version.
--- a/crates/rookferry_core/src/serving/admission_queue.rs
+++ b/crates/rookferry_core/src/serving/admission_queue.rs
@@ -44,7 +44,7 @@
 }
 
 impl RunningMean {
-    fn note(&mut self, value: Duration) {
+    fn record(&mut self, value: Duration) {
         let value_s = value.as_secs_f64();
         if !self.is_known {
             *self = Self {
@@ -95,7 +95,7 @@
 
     /// Whether a request of this urgency would have to wait behind others.
     #[must_use]
-    pub fn is_behind(&self, urgency: Urgency) -> bool {
+    pub fn would_wait(&self, urgency: Urgency) -> bool {
         let first = self.waiting.first();
         first.is_some_and(|first| first.urgency <= urgency)
     }
@@ -119,22 +119,22 @@
     }
 
     /// Records that a request has finished and released its cache.
-    pub fn note_freed(&mut self, now: Instant) {
+    pub fn record_release(&mut self, now: Instant) {
         if let Some(before) = self.released_at.replace(now) {
             self.release_interval
-                .note(now.saturating_duration_since(before));
+                .record(now.saturating_duration_since(before));
         }
     }
 
     /// Records the time from sending a request to its first event.
-    pub fn note_first_event(&mut self, took: Duration) {
-        self.first_event.note(took);
+    pub fn record_first_event(&mut self, took: Duration) {
+        self.first_event.record(took);
     }
 
     /// Longest time that a request can wait and still have its first event within
     /// `objective`; zero if first events take longer than that.
     #[must_use]
-    pub fn patience(&self, objective: Duration) -> Duration {
+    pub fn max_wait(&self, objective: Duration) -> Duration {
         let first_s = self.first_event.mean_s + DEVIATIONS * self.first_event.deviation_s;
         let first = Duration::try_from_secs_f64(first_s).unwrap_or(Duration::MAX);
         objective.saturating_sub(first)
--- a/crates/rookferry_core/src/serving/backend_server.rs
+++ b/crates/rookferry_core/src/serving/backend_server.rs
@@ -48,7 +48,7 @@
     /// Whether both entries describe the same start with the same content, `writes`
     /// aside.
     #[must_use]
-    pub fn says_the_same(&self, other: &Self) -> bool {
+    pub fn has_same_content(&self, other: &Self) -> bool {
         let Self {
             id,
             service,
--- a/crates/rookferry_core/src/serving/broken_runs.rs
+++ b/crates/rookferry_core/src/serving/broken_runs.rs
@@ -61,7 +61,7 @@
     }
 
     /// Records a broken run and returns what is known of its server.
-    pub fn note(&mut self, run: BrokenRun, now: Instant) -> BrokenRunStatus {
+    pub fn record(&mut self, run: BrokenRun, now: Instant) -> BrokenRunStatus {
         self.expire(now);
         if self.exited.contains_key(&run.end.server) {
             return BrokenRunStatus::Ended(run);
@@ -79,7 +79,7 @@
     }
 
     /// Records that a server has exited, and removes and returns its broken runs.
-    pub fn server_ended(&mut self, server: ServerKey, now: Instant) -> Vec<BrokenRun> {
+    pub fn server_exited(&mut self, server: ServerKey, now: Instant) -> Vec<BrokenRun> {
         self.expire(now);
         self.exited.insert(server, now);
         self.take(server)
--- a/crates/rookferry_core/src/serving/config.rs
+++ b/crates/rookferry_core/src/serving/config.rs
@@ -135,7 +135,7 @@
     /// The strictest gap objective of the routes to a service; `None` if none of them has
     /// one.
     #[must_use]
-    pub fn longest_pause(&self, service: &ServiceId) -> Option<Duration> {
+    pub fn strictest_gap_objective(&self, service: &ServiceId) -> Option<Duration> {
         let routes = self.routes.iter();
         let leading = routes.filter(|route| {
             let mut targets = route.targets.iter();
--- a/crates/rookferry_core/src/serving/departed.rs
+++ b/crates/rookferry_core/src/serving/departed.rs
@@ -67,7 +67,7 @@
 
     /// Records a departure that has been known since `since`. Returns whether it is new;
     /// a removal only counts as new if it is later than the list in use.
-    pub fn note(&mut self, server: ServerKey, departure: Departure, since: Instant) -> bool {
+    pub fn record(&mut self, server: ServerKey, departure: Departure, since: Instant) -> bool {
         if self.knows(server, departure) {
             return false;
         }
@@ -96,10 +96,10 @@
     }
 
     /// Merges a peer's report; returns whether it is new.
-    pub fn hear(&mut self, seen: DepartureObservation, now: Instant) -> bool {
+    pub fn merge(&mut self, seen: DepartureObservation, now: Instant) -> bool {
         let age = Duration::from_millis(seen.age_ms);
         let since = now.checked_sub(age).unwrap_or(now);
-        self.note(seen.server, seen.departure, since)
+        self.record(seen.server, seen.departure, since)
     }
 
     /// Whether a server gets no new work.
@@ -113,7 +113,7 @@
     /// Records that the list of `version` is now in use; it overrides removals up to that
     /// version. Drops expired departures; a leaving server stays while `is_known` is
     /// true.
-    pub fn listed(
+    pub fn adopt_list(
         &mut self,
         version: ListVersion,
         now: Instant,
@@ -130,7 +130,7 @@
     /// At most `most` departures to advertise in round `round`: the latest, and a rotating
     /// part of the others, so that each is repeated however many servers leave at once.
     #[must_use]
-    pub fn told(&self, most: usize, round: usize, now: Instant) -> Vec<DepartureObservation> {
+    pub fn advertised(&self, most: usize, round: usize, now: Instant) -> Vec<DepartureObservation> {
         let leaving = self
             .leaving
             .iter()
--- a/crates/rookferry_core/src/serving/directory.rs
+++ b/crates/rookferry_core/src/serving/directory.rs
@@ -272,7 +272,7 @@
     }
 
     /// Retains a server whose entry was removed during an outage for the grace period.
-    pub fn lapse(&mut self, id: &EngineId, now: Instant) {
+    pub fn mark_missing(&mut self, id: &EngineId, now: Instant) {
         if self.entries.contains_key(id) {
             self.missing_since.entry(id.clone()).or_insert(now);
         }
--- a/crates/rookferry_core/src/serving/era_tracker.rs
+++ b/crates/rookferry_core/src/serving/era_tracker.rs
@@ -79,7 +79,7 @@
 
     /// Merges an era that a peer reported; returns whether it is later than the known
     /// one.
-    pub fn hear(&mut self, era: StoreEra, now: Instant) -> bool {
+    pub fn merge(&mut self, era: StoreEra, now: Instant) -> bool {
         let is_new = self.era() < era && !self.is_denied(era);
         if is_new {
             self.known = Some(era);
--- a/crates/rookferry_core/src/serving/finished_requests.rs
+++ b/crates/rookferry_core/src/serving/finished_requests.rs
@@ -23,7 +23,7 @@
 
 impl FinishedRequests {
     /// Records that a run of a request succeeded.
-    pub(super) fn note(&mut self, signature: RequestSignature, now: Instant) {
+    pub(super) fn record(&mut self, signature: RequestSignature, now: Instant) {
         if self.newer.len() >= MAX_GENERATION && !self.newer.contains_key(&signature) {
             self.older = std::mem::take(&mut self.newer);
         }
--- a/crates/rookferry_core/src/serving/health.rs
+++ b/crates/rookferry_core/src/serving/health.rs
@@ -81,14 +81,14 @@
     }
 
     /// Records that a server refused a request.
-    pub fn turned_away(&mut self, server: ServerKey, now: Instant) {
+    pub fn refused(&mut self, server: ServerKey, now: Instant) {
         self.record(server, now).full_at = Some(now);
     }
 
     /// Records that a server refused a request for lack of capacity while `used_tokens`
     /// were known to be in use.
-    pub fn had_no_room(&mut self, server: ServerKey, used_tokens: f64, now: Instant) {
-        self.turned_away(server, now);
+    pub fn refused_for_capacity(&mut self, server: ServerKey, used_tokens: f64, now: Instant) {
+        self.refused(server, now);
         self.record(server, now).capacity_refusal = Some(CapacityRefusal {
             used_tokens,
             at: now,
@@ -98,7 +98,7 @@
     /// The server's expected capacity in tokens: what it published, or less if it lately
     /// refused a request below that.
     #[must_use]
-    pub fn room_tokens(&self, server: ServerKey, published_tokens: f64, now: Instant) -> f64 {
+    pub fn capacity_tokens(&self, server: ServerKey, published_tokens: f64, now: Instant) -> f64 {
         let capacity_refusal = self
             .records
             .get(&server)
@@ -149,7 +149,7 @@
 
     /// At most `most` servers that are out, to advertise in round `round`.
     #[must_use]
-    pub fn told(&self, most: usize, round: usize) -> Vec<ServerKey> {
+    pub fn advertised(&self, most: usize, round: usize) -> Vec<ServerKey> {
         let records = self.records.iter();
         let out = records.filter_map(|(server, record)| Some((record.out_since?, *server)));
         let mut out: Vec<_> = out.collect();
--- a/crates/rookferry_core/src/serving/link_rate.rs
+++ b/crates/rookferry_core/src/serving/link_rate.rs
@@ -41,7 +41,12 @@
     /// # Errors
     ///
     /// Time until the link is available, if it isn't now.
-    pub fn take(&mut self, needed_ms: f64, instances: usize, now: Instant) -> Result<(), Duration> {
+    pub fn reserve(
+        &mut self,
+        needed_ms: f64,
+        instances: usize,
+        now: Instant,
+    ) -> Result<(), Duration> {
         let regained_per_s = PROMPT_SHARE * LINK_MS_PER_S / instances.max(1) as f64;
         match self.at {
             None => self.left_ms = -needed_ms * self.chance,
--- a/crates/rookferry_core/src/serving/list_history.rs
+++ b/crates/rookferry_core/src/serving/list_history.rs
@@ -104,12 +104,12 @@
 
     /// The fingerprint of the current list.
     #[must_use]
-    pub const fn mark(&self) -> ListFingerprint {
+    pub const fn fingerprint(&self) -> ListFingerprint {
         self.mark
     }
 
     /// Makes `list` the current one.
-    pub fn put<'a>(
+    pub fn set_current<'a>(
         &mut self,
         version: ListVersion,
         list: impl IntoIterator<Item = &'a BackendServer>,
--- a/crates/rookferry_core/src/serving/propagation_budget.rs
+++ b/crates/rookferry_core/src/serving/propagation_budget.rs
@@ -10,11 +10,11 @@
 //! | [`PropagationBudget::watch_wait`] | a watch waits for changes |
 //! | [`PropagationBudget::overdue`] | an overdue watch is awaited until another is sent beside it |
 //! | [`PropagationBudget::read`] | the store answers a call |
-//! | [`PropagationBudget::tell`] | a heartbeat and the repetition of a lost one |
-//! | [`PropagationBudget::look`] | between two checks whether to read the store |
-//! | [`PropagationBudget::reader_kept`] | a silent store reader still counts as one |
-//! | [`PropagationBudget::line`] | the last-ranked instance waits for those before it |
-//! | [`PropagationBudget::pause`] | the first-ranked instance pauses after failed calls |
+//! | [`PropagationBudget::delivery`] | a heartbeat and the repetition of a lost one |
+//! | [`PropagationBudget::poll_interval`] | between two checks whether to read the store |
+//! | [`PropagationBudget::reader_timeout`] | a silent store reader still counts as one |
+//! | [`PropagationBudget::rank_delay`] | the last-ranked instance waits for those before it |
+//! | [`PropagationBudget::retry_pause`] | the first-ranked instance pauses after failed calls |
 //! | [`PropagationBudget::spread`] | from one instance of a domain to all of them |
 
 use std::time::Duration;
@@ -100,19 +100,19 @@
 
     /// How long a report takes to the peers of the domain if one datagram is lost.
     #[must_use]
-    pub fn tell(&self) -> Duration {
+    pub fn delivery(&self) -> Duration {
         self.part(DELIVERY)
     }
 
     /// How often an instance that relies on its peers checks whether it still may.
     #[must_use]
-    pub fn look(&self) -> Duration {
+    pub fn poll_interval(&self) -> Duration {
         self.part(POLL_INTERVAL)
     }
 
     /// How long a silent instance still counts as a store reader.
     #[must_use]
-    pub fn reader_kept(&self) -> Duration {
+    pub fn reader_timeout(&self) -> Duration {
         self.part(READER_TIMEOUT)
     }
 
@@ -120,14 +120,14 @@
     /// store reader it is up to two waits of its watch old, plus the overdue time and a
     /// heartbeat.
     #[must_use]
-    pub fn rely(&self) -> Duration {
-        2 * self.watch_wait() + self.overdue() + self.tell()
+    pub fn max_report_age(&self) -> Duration {
+        2 * self.watch_wait() + self.overdue() + self.delivery()
     }
 
     /// How much longer than the first-ranked instance one ranked after `rank` others
     /// relies on it.
     #[must_use]
-    pub fn line(&self, rank: usize) -> Duration {
+    pub fn rank_delay(&self, rank: usize) -> Duration {
         let ranks = u32::try_from(rank).unwrap_or(MAX_RANK).min(MAX_RANK);
         self.part(RANK_DELAY) * ranks / MAX_RANK
     }
@@ -135,7 +135,7 @@
     /// Longest pause of the first-ranked instance after failed calls. Once it has read,
     /// the others use its report.
     #[must_use]
-    pub fn pause(&self) -> Duration {
+    pub fn retry_pause(&self) -> Duration {
         self.part(RETRY_PAUSE)
     }
 
@@ -147,20 +147,22 @@
 
     /// Longest time from the store's statement to the last instance of a domain.
     #[must_use]
-    pub fn longest(&self, way: PropagationPath) -> Duration {
+    pub fn worst_case(&self, way: PropagationPath) -> Duration {
         let until_read = match way {
             PropagationPath::Watch => Duration::ZERO,
             PropagationPath::SilentWatch => self.watch_wait() + self.overdue(),
-            PropagationPath::ReaderGone => self.reader_kept() + self.look(),
+            PropagationPath::ReaderGone => self.reader_timeout() + self.poll_interval(),
             PropagationPath::ReaderCutOff => {
-                self.watch_wait() + self.overdue() + self.tell() + self.look()
+                self.watch_wait() + self.overdue() + self.delivery() + self.poll_interval()
             }
             // The last confirmation is up to one wait old when the store reader falls
             // silent.
             PropagationPath::OldWord => {
-                self.rely().saturating_sub(self.watch_wait()) + self.line(usize::MAX) + self.look()
+                self.max_report_age().saturating_sub(self.watch_wait())
+                    + self.rank_delay(usize::MAX)
+                    + self.poll_interval()
             }
-            PropagationPath::AfterFailures => self.pause(),
+            PropagationPath::AfterFailures => self.retry_pause(),
         };
         until_read + self.read() + self.spread()
     }
--- a/crates/rookferry_core/src/serving/quarantine/mod.rs
+++ b/crates/rookferry_core/src/serving/quarantine/mod.rs
@@ -141,7 +141,7 @@
     }
 
     /// Records that a server crashed under a request.
-    pub fn note_end(
+    pub fn record_crash(
         &mut self,
         signature: RequestSignature,
         crash: RunCrash,
@@ -153,7 +153,7 @@
     /// Records a server's crash under several requests and returns how each changed. Of
     /// those with enough points only the one with the strongest evidence is quarantined,
     /// as one is the cause.
-    pub fn note_ends(
+    pub fn record_crashes(
         &mut self,
         crashes: &[(RequestSignature, RunCrash)],
         now: Instant,
@@ -178,8 +178,12 @@
     }
 
     /// Records that a run of a request succeeded.
-    pub fn note_finished(&mut self, signature: RequestSignature, now: Instant) -> QuarantineChange {
-        self.finished.note(signature, now);
+    pub fn record_success(
+        &mut self,
+        signature: RequestSignature,
+        now: Instant,
+    ) -> QuarantineChange {
+        self.finished.record(signature, now);
         if !self.records.contains_key(&signature) {
             return QuarantineChange::None;
         }
@@ -187,7 +191,7 @@
     }
 
     /// Merges a peer's report.
-    pub fn learn(&mut self, seen: &SuspectObservation, now: Instant) -> QuarantineChange {
+    pub fn merge(&mut self, seen: &SuspectObservation, now: Instant) -> QuarantineChange {
         let before = |age_ms: u64| now.checked_sub(Duration::from_millis(age_ms));
         let crashes = seen.ends.iter().take(MAX_CRASHES);
         let crashes = crashes.filter_map(|crash| crash.crash(now));
@@ -225,7 +229,7 @@
 
     /// How many of these crashes count, as they were sequential.
     #[must_use]
-    pub fn ends_in_turn(&self, signature: RequestSignature) -> usize {
+    pub fn sequential_crashes(&self, signature: RequestSignature) -> usize {
         let record = self.records.get(&signature);
         record.map_or(0, Record::sequential_crashes)
     }
@@ -238,7 +242,7 @@
     }
 
     /// The quarantined requests, each with the start of its quarantine.
-    pub fn held(&self, now: Instant) -> impl Iterator<Item = (RequestSignature, Instant)> {
+    pub fn quarantined(&self, now: Instant) -> impl Iterator<Item = (RequestSignature, Instant)> {
         let records = self.records.iter();
         records.filter_map(move |(signature, record)| {
             record.quarantine_left(now)?;
@@ -248,7 +252,7 @@
 
     /// What to advertise in the next round: changes, at most `most`, and in rotation one
     /// of the quarantined requests, for instances that have started since.
-    pub fn next_told(&mut self, most: usize, now: Instant) -> Vec<SuspectObservation> {
+    pub fn next_advertised(&mut self, most: usize, now: Instant) -> Vec<SuspectObservation> {
         self.expire(now);
         let mut advertised = Vec::new();
         let mut changed: Vec<_> = self
@@ -260,7 +264,7 @@
         changed.sort_by_key(|(_, record)| Reverse((record.points(), record.changed_at)));
         for (signature, record) in changed.into_iter().take(most) {
             record.rounds_left -= 1;
-            advertised.push(record.seen(*signature, now));
+            advertised.push(record.observation(*signature, now));
         }
         if let Some(held) = self.next_quarantined(now) {
             let is_advertised = advertised
@@ -275,23 +279,23 @@
 
     /// What to send to an instance that has just started.
     #[must_use]
-    pub fn told_at_start(&self, most: usize, now: Instant) -> Vec<SuspectObservation> {
-        let held = self.held(now).take(most);
+    pub fn advertised_at_start(&self, most: usize, now: Instant) -> Vec<SuspectObservation> {
+        let held = self.quarantined(now).take(most);
         held.filter_map(|(signature, _)| {
             let record = self.records.get(&signature)?;
-            Some(record.seen(signature, now))
+            Some(record.observation(signature, now))
         })
         .collect()
     }
 
     fn next_quarantined(&mut self, now: Instant) -> Option<SuspectObservation> {
-        let held = || self.held(now).map(|(signature, _)| signature);
+        let held = || self.quarantined(now).map(|(signature, _)| signature);
         let after = held()
             .filter(|signature| Some(*signature) > self.last_advertised)
             .min();
         let next = after.or_else(|| held().min())?;
         self.last_advertised = Some(next);
-        Some(self.records.get(&next)?.seen(next, now))
+        Some(self.records.get(&next)?.observation(next, now))
     }
 
     /// Changes the record of a request and decides on it; `change` returns whether the
--- a/crates/rookferry_core/src/serving/quarantine/record.rs
+++ b/crates/rookferry_core/src/serving/quarantine/record.rs
@@ -203,7 +203,11 @@
         self.is_cleared() && self.finished_at.is_none()
     }
 
-    pub(super) fn seen(&self, signature: RequestSignature, now: Instant) -> SuspectObservation {
+    pub(super) fn observation(
+        &self,
+        signature: RequestSignature,
+        now: Instant,
+    ) -> SuspectObservation {
         let age_ms = |at: Instant| millis(now.saturating_duration_since(at));
         let crashes = self
             .crashes
--- a/crates/rookferry_core/src/serving/refusing_servers.rs
+++ b/crates/rookferry_core/src/serving/refusing_servers.rs
@@ -84,7 +84,7 @@
         if used_tokens >= capacity_tokens * LOW_LOAD_SHARE {
             return false;
         }
-        if !self.is_closed(server, now) {
+        if !self.is_refusing(server, now) {
             let record = self.record(server);
             record.refusals = (record.refusals + 1).min(MAX_REFUSALS);
             record.refused_at = Some(now);
@@ -94,17 +94,17 @@
 
     /// Merges a peer's report; returns whether the server is refusing due to it and
     /// wasn't before.
-    pub fn learn(&mut self, seen: RefusingObservation, now: Instant) -> bool {
+    pub fn merge(&mut self, seen: RefusingObservation, now: Instant) -> bool {
         let Some(at) = now.checked_sub(Duration::from_millis(seen.age_ms)) else {
             return false;
         };
-        let was_refusing = self.is_closed(seen.server, now);
+        let was_refusing = self.is_refusing(seen.server, now);
         let record = self.record(seen.server);
         if record.refused_at.max(record.accepted_at) < Some(at) {
             record.refused_at = Some(at);
             record.refusals = seen.refusals.clamp(1, MAX_REFUSALS);
         }
-        !was_refusing && self.is_closed(seen.server, now)
+        !was_refusing && self.is_refusing(seen.server, now)
     }
 
     /// Records that a server accepted work.
@@ -117,32 +117,32 @@
     }
 
     /// Drops the refusals of a server whose entry has changed, as they no longer apply.
-    pub fn changed(&mut self, server: ServerKey) {
+    pub fn entry_changed(&mut self, server: ServerKey) {
         self.records.remove(&server);
     }
 
     /// Whether a server is excluded at `now`.
     #[must_use]
-    pub fn is_closed(&self, server: ServerKey, now: Instant) -> bool {
+    pub fn is_refusing(&self, server: ServerKey, now: Instant) -> bool {
         let record = self.records.get(&server);
-        record.is_some_and(|record| record.is_closed(self.delay_factor, now))
+        record.is_some_and(|record| record.is_refusing(self.delay_factor, now))
     }
 
     /// At most `most` refusing servers to advertise in round `round`.
     #[must_use]
-    pub fn told(&self, most: usize, round: usize, now: Instant) -> Vec<RefusingObservation> {
-        let mut seen = self.seen(now);
+    pub fn advertised(&self, most: usize, round: usize, now: Instant) -> Vec<RefusingObservation> {
+        let mut seen = self.observations(now);
         seen.sort_unstable_by_key(|seen| (seen.age_ms, seen.server));
         rotation_batch(&seen, most, round)
     }
 
     /// All refusing servers.
     #[must_use]
-    pub fn seen(&self, now: Instant) -> Vec<RefusingObservation> {
+    pub fn observations(&self, now: Instant) -> Vec<RefusingObservation> {
         let closed = self
             .records
             .iter()
-            .filter(|(_, record)| record.is_closed(self.delay_factor, now));
+            .filter(|(_, record)| record.is_refusing(self.delay_factor, now));
         let seen = closed.filter_map(|(server, record)| {
             let age = now.saturating_duration_since(record.refused_at?);
             Some(RefusingObservation {
@@ -169,7 +169,7 @@
 }
 
 impl Record {
-    fn is_closed(&self, delay_factor: f64, now: Instant) -> bool {
+    fn is_refusing(&self, delay_factor: f64, now: Instant) -> bool {
         let doublings = u32::from(self.refusals.saturating_sub(1));
         let delay = FIRST_DELAY
             .saturating_mul(2_u32.saturating_pow(doublings))
--- a/crates/rookferry_core/src/serving/retry_window.rs
+++ b/crates/rookferry_core/src/serving/retry_window.rs
@@ -51,7 +51,7 @@
     }
 
     /// Records a new request.
-    pub fn note_fresh(&mut self, now: Instant) {
+    pub fn record_new_request(&mut self, now: Instant) {
         self.expire(now);
         self.new_requests.push_back(now);
     }
--- a/crates/rookferry_core/src/serving/start_queue.rs
+++ b/crates/rookferry_core/src/serving/start_queue.rs
@@ -115,14 +115,14 @@
     /// too early reaches another instance that doesn't know the site either, and gives
     /// up. So a request waits only if the instance is likely to know the site in time.
     #[must_use]
-    pub fn wait(&self, age: Duration) -> Option<Duration> {
+    pub fn max_wait(&self, age: Duration) -> Option<Duration> {
         (self.expected_left(age) <= LONGEST_WAIT).then_some(LONGEST_WAIT)
     }
 
     /// Retry time of a request that is refused at this age; `chance`, from 0 to 1, is
     /// drawn per request and spreads the retry times.
     #[must_use]
-    pub fn come_back_after(&self, age: Duration, chance: f64) -> Duration {
+    pub fn retry_after(&self, age: Duration, chance: f64) -> Duration {
         let spread = chance.clamp(0.0, 1.0) * (RETRY_SPREAD - 1.0);
         self.expected_left(age)
             .max(MIN_RETRY_AFTER)
--- a/crates/rookferry_core/src/serving/store_contact.rs
+++ b/crates/rookferry_core/src/serving/store_contact.rs
@@ -36,19 +36,19 @@
     }
 
     /// Records that the configuration was read by a call that was sent at `at`.
-    pub fn read_config(&mut self, at: Instant) {
+    pub fn record_config_read(&mut self, at: Instant) {
         self.config_at = self.config_at.max(Some(at));
         self.is_overdue = false;
     }
 
     /// Records that the servers were read by a call that was sent at `at`.
-    pub fn read_servers(&mut self, at: Instant) {
+    pub fn record_servers_read(&mut self, at: Instant) {
         self.servers_at = self.servers_at.max(Some(at));
         self.is_overdue = false;
     }
 
     /// Records that a peer's knowledge of the store is as of `at`.
-    pub fn hear(&mut self, at: Instant) {
+    pub fn merge_peer(&mut self, at: Instant) {
         self.peer_confirmed_at = self.peer_confirmed_at.max(Some(at));
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// Records how much later than possible an answer came.
-    pub fn note_delay(&mut self, delay: Duration) {
+    pub fn record_delay(&mut self, delay: Duration) {
         self.delay = delay.max(self.delay.mul_f64(DELAY_DECAY));
     }
 
@@ -80,7 +80,7 @@
 
     /// The age to advertise; `None` while a watch is overdue.
     #[must_use]
-    pub fn told_age(&self, now: Instant) -> Option<Duration> {
+    pub fn advertised_age(&self, now: Instant) -> Option<Duration> {
         self.age(now).filter(|_| !self.is_overdue)
     }
 
--- a/crates/rookferry_core/tests/closed.rs
+++ b/crates/rookferry_core/tests/closed.rs
@@ -77,14 +77,14 @@
                 if place != from {
                     let age_ms =
                         u64::try_from((at + TOLD_AFTER).saturating_sub(due).as_millis()).unwrap();
-                    instance.learn(RefusingObservation { age_ms, ..seen }, now);
+                    instance.merge(RefusingObservation { age_ms, ..seen }, now);
                 }
             }
         }
         let place = rng.random_range(0..INSTANCES);
         let instance = &mut closed[place];
         for engine in &mut engines {
-            engine.is_closed = instance.is_closed(engine.server, now);
+            engine.is_closed = instance.is_refusing(engine.server, now);
         }
         let finder = PathFinder::new(80, &engines);
         let path = finder
@@ -97,7 +97,7 @@
         if let Some(refusing) = refusing {
             tries += 1;
             instance.refused(refusing.server, 0.0, ROOM_TOKENS, now);
-            let seen = instance.seen(now).into_iter();
+            let seen = instance.observations(now).into_iter();
             if shares && let Some(seen) = seen.max_by_key(|seen| seen.server == refusing.server) {
                 told.push_back((at + TOLD_AFTER, place, seen));
             }
@@ -133,7 +133,7 @@
     for _ in 0..6 {
         closed.refused(key(1), 0.0, ROOM_TOKENS, at);
         let begun = at;
-        while closed.is_closed(key(1), at) {
+        while closed.is_refusing(key(1), at) {
             at += Duration::from_millis(50);
         }
         pauses.push(at - begun);
@@ -147,7 +147,7 @@
     let now = Instant::now();
     let mut closed = RefusingServers::new(0.0);
     assert!(!closed.refused(key(1), 80_000.0, ROOM_TOKENS, now));
-    assert!(!closed.is_closed(key(1), now));
+    assert!(!closed.is_refusing(key(1), now));
 }
 
 #[test]
@@ -156,19 +156,19 @@
     let mut closed = RefusingServers::new(0.0);
     closed.refused(key(1), 0.0, ROOM_TOKENS, now);
     closed.accepted(key(1), now);
-    assert!(!closed.is_closed(key(1), now));
+    assert!(!closed.is_refusing(key(1), now));
     // A word from before that says nothing new.
     let old = RefusingObservation {
         server: key(1),
         age_ms: 300,
         refusals: 1,
     };
-    closed.learn(old, now);
-    assert!(!closed.is_closed(key(1), now));
+    closed.merge(old, now);
+    assert!(!closed.is_refusing(key(1), now));
     closed.refused(key(1), 0.0, ROOM_TOKENS, now);
-    assert!(closed.is_closed(key(1), now));
-    closed.changed(key(1));
-    assert!(!closed.is_closed(key(1), now));
+    assert!(closed.is_refusing(key(1), now));
+    closed.entry_changed(key(1));
+    assert!(!closed.is_refusing(key(1), now));
 }
 
 #[test]
@@ -190,15 +190,15 @@
         age_ms: u64::MAX,
         refusals: u8::MAX,
     };
-    closed.learn(damaged, now);
-    assert!(!closed.is_closed(key(1), now));
-    closed.learn(
+    closed.merge(damaged, now);
+    assert!(!closed.is_refusing(key(1), now));
+    closed.merge(
         RefusingObservation {
             age_ms: 0,
             ..damaged
         },
         now,
     );
-    assert!(closed.is_closed(key(1), now));
-    assert!(!closed.is_closed(key(1), now + Duration::from_secs(4)));
+    assert!(closed.is_refusing(key(1), now));
+    assert!(!closed.is_refusing(key(1), now + Duration::from_secs(4)));
 }
--- a/crates/rookferry_core/tests/departed.rs
+++ b/crates/rookferry_core/tests/departed.rs
@@ -28,8 +28,8 @@
 fn what_one_start_said_says_nothing_of_another() {
     let mut departed = DepartedServers::new();
     let now = Instant::now();
-    assert!(departed.note(start(1), Departure::Leaving, now));
-    assert!(!departed.note(start(1), Departure::Leaving, now));
+    assert!(departed.record(start(1), Departure::Leaving, now));
+    assert!(!departed.record(start(1), Departure::Leaving, now));
     assert!(!departed.contains(start(2)));
     assert!(departed.contains(start(1)));
 }
@@ -38,12 +38,12 @@
 fn that_a_server_leaves_outlasts_its_entry_for_a_time() {
     let mut departed = DepartedServers::new();
     let now = Instant::now();
-    departed.note(start(1), Departure::Leaving, now);
-    departed.listed(version(1, 1), now + 9 * MINUTE, |_| false);
+    departed.record(start(1), Departure::Leaving, now);
+    departed.adopt_list(version(1, 1), now + 9 * MINUTE, |_| false);
     assert!(departed.contains(start(1)));
-    departed.listed(version(1, 2), now + 20 * MINUTE, |_| true);
+    departed.adopt_list(version(1, 2), now + 20 * MINUTE, |_| true);
     assert!(departed.contains(start(1)));
-    departed.listed(version(1, 3), now + 20 * MINUTE, |_| false);
+    departed.adopt_list(version(1, 3), now + 20 * MINUTE, |_| false);
     assert!(departed.is_empty());
 }
 
@@ -51,9 +51,9 @@
 fn no_list_takes_it_back_that_a_server_leaves() {
     let mut departed = DepartedServers::new();
     let now = Instant::now();
-    departed.note(start(1), Departure::Leaving, now);
+    departed.record(start(1), Departure::Leaving, now);
     for listed in [version(1, 9), version(2, 1), version(1, 1)] {
-        departed.listed(listed, now, |_| true);
+        departed.adopt_list(listed, now, |_| true);
         assert!(departed.contains(start(1)));
     }
 }
@@ -62,18 +62,18 @@
 fn a_list_from_after_an_entry_went_goes_before_the_word_of_it() {
     let mut departed = DepartedServers::new();
     let now = Instant::now();
-    departed.listed(version(1, 5), now, |_| true);
-    assert!(departed.note(start(1), Departure::Gone(version(1, 7)), now));
+    departed.adopt_list(version(1, 5), now, |_| true);
+    assert!(departed.record(start(1), Departure::Gone(version(1, 7)), now));
     assert!(departed.contains(start(1)));
-    departed.listed(version(1, 6), now, |_| true);
+    departed.adopt_list(version(1, 6), now, |_| true);
     assert!(departed.contains(start(1)), "the list is from before");
-    departed.listed(version(1, 7), now, |_| true);
+    departed.adopt_list(version(1, 7), now, |_| true);
     assert!(!departed.contains(start(1)), "it is there again");
     // Late word of it is no news.
-    assert!(!departed.note(start(1), Departure::Gone(version(1, 7)), now));
+    assert!(!departed.record(start(1), Departure::Gone(version(1, 7)), now));
     // Nor is word from before a restore.
-    departed.listed(version(2, 1), now, |_| true);
-    assert!(!departed.note(start(2), Departure::Gone(version(1, 90)), now));
+    departed.adopt_list(version(2, 1), now, |_| true);
+    assert!(!departed.record(start(2), Departure::Gone(version(1, 90)), now));
     assert!(!departed.contains(start(2)));
 }
 
@@ -83,20 +83,20 @@
     let now = Instant::now();
     for born in 0..40 {
         let since = now + Duration::from_millis(born);
-        departed.note(start(born), Departure::Leaving, since);
+        departed.record(start(born), Departure::Leaving, since);
     }
-    let told = departed.told(24, 0, now + SECOND);
+    let told = departed.advertised(24, 0, now + SECOND);
     assert_eq!(told.len(), 24);
     assert_eq!((told[0].server, told[0].age_ms), (start(39), 961));
     let mut other = DepartedServers::new();
     for seen in told {
-        assert!(other.hear(seen, now + SECOND));
-        assert!(!other.hear(seen, now + SECOND));
+        assert!(other.merge(seen, now + SECOND));
+        assert!(!other.merge(seen, now + SECOND));
     }
     // The age goes on from the first who knew, so that it is told on no longer.
-    let again = other.told(1, 0, now + 2 * SECOND);
+    let again = other.advertised(1, 0, now + 2 * SECOND);
     assert!(again[0].age_ms >= 1_900, "{}", again[0].age_ms);
-    assert!(other.told(24, 0, now + MINUTE).is_empty());
+    assert!(other.advertised(24, 0, now + MINUTE).is_empty());
 }
 
 /// A fiftieth of 3,000 servers is scaled in at once, a thirtieth is released; at twice
@@ -111,11 +111,11 @@
     let mut departed = DepartedServers::new();
     let now = Instant::now();
     for born in 0..leaving {
-        departed.note(start(born), Departure::Leaving, now);
+        departed.record(start(born), Departure::Leaving, now);
     }
     // The turns of four seconds, two rounds each.
     let told = (0..13).flat_map(|turn| {
-        let told = departed.told(MOST, turn, now + SECOND);
+        let told = departed.advertised(MOST, turn, now + SECOND);
         assert!(told.len() <= MOST);
         told
     });
--- a/crates/rookferry_core/tests/link_pace.rs
+++ b/crates/rookferry_core/tests/link_pace.rs
@@ -29,7 +29,7 @@
         arrived += 1;
         let now = start + Duration::from_secs_f64(at_ms / 1_000.0);
         let pace = &mut paces[rng.random_range(0..instances)];
-        if has_pace && pace.take(prompt_ms, instances, now).is_err() {
+        if has_pace && pace.reserve(prompt_ms, instances, now).is_err() {
             continue;
         }
         link_free_ms = link_free_ms.max(at_ms) + prompt_ms;
@@ -63,8 +63,8 @@
 fn one_that_is_turned_away_is_told_when_there_is_time() {
     let start = Instant::now();
     let mut pace = LinkRateLimiter::new(0.0);
-    assert_eq!(pace.take(100.0, 4, start), Ok(()));
-    let wait = pace.take(100.0, 4, start).expect_err("no time is left");
+    assert_eq!(pace.reserve(100.0, 4, start), Ok(()));
+    let wait = pace.reserve(100.0, 4, start).expect_err("no time is left");
     let soon = start + wait + Duration::from_millis(1);
-    assert_eq!(pace.take(100.0, 4, soon), Ok(()));
+    assert_eq!(pace.reserve(100.0, 4, soon), Ok(()));
 }
--- a/crates/rookferry_core/tests/list_history.rs
+++ b/crates/rookferry_core/tests/list_history.rs
@@ -57,8 +57,8 @@
         let mut list: Vec<BackendServer> = (0..40).map(|number| server(number, 0)).collect();
         let mut history = ListHistory::new();
         let mut seen = Vec::new();
-        history.put(version(1), &list);
-        seen.push((history.mark(), list.clone()));
+        history.set_current(version(1), &list);
+        seen.push((history.fingerprint(), list.clone()));
         for (place, (number, is_removed)) in edits.iter().enumerate() {
             let id = server(*number, 0).id;
             list.retain(|server| server.id != id);
@@ -66,16 +66,16 @@
             if !is_removed {
                 list.push(server(*number, revision));
             }
-            history.put(version(revision), &list);
-            seen.push((history.mark(), list.clone()));
+            history.set_current(version(revision), &list);
+            seen.push((history.fingerprint(), list.clone()));
         }
         list.sort_by(|left, right| left.id.cmp(&right.id));
         let (mark, earlier) = &seen[from.min(seen.len() - 1)];
         if let Some(delta) = delta(&history, &list, *mark) {
-            let made = delta.applied(earlier, history.mark().digest);
+            let made = delta.applied(earlier, history.fingerprint().digest);
             assert_eq!(made, Some(list));
         } else {
-            assert!(*mark == history.mark() || edits.len() >= 10);
+            assert!(*mark == history.fingerprint() || edits.len() >= 10);
         }
     }
 }
@@ -87,10 +87,10 @@
     others[3].slots = 7;
     let mut history = ListHistory::new();
     let mut others_history = ListHistory::new();
-    history.put(version(1), &list);
-    others_history.put(version(1), &others);
-    history.put(version(2), &list[1..]);
-    assert!(delta(&history, &list[1..], others_history.mark()).is_none());
+    history.set_current(version(1), &list);
+    others_history.set_current(version(1), &others);
+    history.set_current(version(2), &list[1..]);
+    assert!(delta(&history, &list[1..], others_history.fingerprint()).is_none());
 }
 
 #[test]
@@ -99,11 +99,11 @@
     let mut others = list.clone();
     others[3].slots = 7;
     let mut history = ListHistory::new();
-    history.put(version(1), &list);
-    let earlier = history.mark();
-    history.put(version(2), &list[1..]);
+    history.set_current(version(1), &list);
+    let earlier = history.fingerprint();
+    history.set_current(version(2), &list[1..]);
     let delta = delta(&history, &list[1..], earlier).expect("it is remembered");
-    let digest = history.mark().digest;
+    let digest = history.fingerprint().digest;
     assert_eq!(delta.clone().applied(&others, digest), None);
     assert_eq!(delta.applied(&list, digest).map(|list| list.len()), Some(9));
 }
@@ -112,10 +112,10 @@
 fn a_list_that_is_long_forgotten_is_given_whole() {
     let list: Vec<_> = (0..10).map(|number| server(number, 0)).collect();
     let mut history = ListHistory::new();
-    history.put(version(1), &list);
-    let first = history.mark();
+    history.set_current(version(1), &list);
+    let first = history.fingerprint();
     for revision in 2..200 {
-        history.put(version(revision), &list[1..]);
+        history.set_current(version(revision), &list[1..]);
     }
     assert!(delta(&history, &list[1..], first).is_none());
 }
@@ -129,18 +129,18 @@
 fn a_release_costs_each_instance_its_changes(#[case] servers: usize) {
     let mut list: Vec<_> = (0..servers).map(|number| server(number, 0)).collect();
     let mut history = ListHistory::new();
-    history.put(version(1), &list);
-    let mut had = (history.mark(), list.clone());
+    history.set_current(version(1), &list);
+    let mut had = (history.fingerprint(), list.clone());
     let whole_bytes = postcard::to_stdvec(&list).expect("bytes").len();
     let mut sent_bytes = 0;
     let changes = servers / 30;
     for change in 0..changes {
         list[change] = server(change, 1);
-        history.put(version(u64::try_from(change).unwrap() + 2), &list);
+        history.set_current(version(u64::try_from(change).unwrap() + 2), &list);
         let delta = delta(&history, &list, had.0).expect("it is remembered");
         sent_bytes += postcard::to_stdvec(&delta).expect("bytes").len();
-        let made = delta.applied(&had.1, history.mark().digest);
-        had = (history.mark(), made.expect("the same list"));
+        let made = delta.applied(&had.1, history.fingerprint().digest);
+        had = (history.fingerprint(), made.expect("the same list"));
     }
     println!(
         "{servers}: {sent_bytes} bytes, as whole lists {}",
--- a/crates/rookferry_core/tests/news_budget.rs
+++ b/crates/rookferry_core/tests/news_budget.rs
@@ -14,7 +14,7 @@
     let bound = Duration::from_secs(bound_s);
     let budget = PropagationBudget::new(bound);
     for way in PropagationPath::ALL {
-        let longest = budget.longest(way);
+        let longest = budget.worst_case(way);
         // A twentieth is left for a slow machine.
         assert!(longest <= bound * 19 / 20, "{way:?}: {longest:?}");
     }
@@ -23,24 +23,24 @@
 #[rstest]
 fn the_first_in_line_pauses_no_longer_than_planned(#[values(2, 3, 4)] bound_s: u64) {
     let budget = PropagationBudget::new(Duration::from_secs(bound_s));
-    assert!(ranked_pause(20, 0) <= budget.pause());
+    assert!(ranked_pause(20, 0) <= budget.retry_pause());
 }
 
 #[rstest]
 fn a_word_that_a_sound_reader_tells_is_relied_on(#[values(2, 3, 4)] bound_s: u64) {
     let budget = PropagationBudget::new(Duration::from_secs(bound_s));
     // It is confirmed by the watch before the one that waits, and told.
-    let oldest = 2 * budget.watch_wait() + budget.tell();
-    assert!(oldest < budget.rely());
+    let oldest = 2 * budget.watch_wait() + budget.delivery();
+    assert!(oldest < budget.max_report_age());
 }
 
 #[rstest]
 fn instances_stop_relying_on_their_peers_one_after_the_other(#[values(2, 3, 4)] bound_s: u64) {
     let bound = Duration::from_secs(bound_s);
     let budget = PropagationBudget::new(bound);
-    assert_eq!(budget.line(0), Duration::ZERO);
-    assert!(budget.line(1) > budget.line(0));
-    let last = budget.rely() + budget.line(1_000);
+    assert_eq!(budget.rank_delay(0), Duration::ZERO);
+    assert!(budget.rank_delay(1) > budget.rank_delay(0));
+    let last = budget.max_report_age() + budget.rank_delay(1_000);
     assert!(last < bound, "{last:?}");
 }
 
@@ -49,13 +49,13 @@
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut contact = StoreContact::new();
-    contact.read_config(at(100));
+    contact.record_config_read(at(100));
     assert_eq!(contact.age(at(500)), None, "the servers weren't read");
-    contact.read_servers(at(300));
+    contact.record_servers_read(at(300));
     assert_eq!(contact.age(at(500)), Some(Duration::from_millis(400)));
-    contact.read_config(at(450));
+    contact.record_config_read(at(450));
     assert_eq!(contact.age(at(500)), Some(Duration::from_millis(200)));
-    contact.hear(at(400));
+    contact.merge_peer(at(400));
     assert_eq!(contact.age(at(500)), Some(Duration::from_millis(100)));
 }
 
@@ -64,17 +64,17 @@
 fn a_reader_whose_watch_is_overdue_is_not_relied_on() {
     let start = Instant::now();
     let mut contact = StoreContact::new();
-    contact.read_config(start);
-    contact.read_servers(start);
-    contact.hear(start);
+    contact.record_config_read(start);
+    contact.record_servers_read(start);
+    contact.merge_peer(start);
     contact.watch_overdue();
-    assert_eq!(contact.told_age(start), None);
+    assert_eq!(contact.advertised_age(start), None);
     assert!(
         contact.age(start).is_some(),
         "it serves on by what it knows"
     );
-    contact.read_servers(start);
-    assert!(contact.told_age(start).is_some());
+    contact.record_servers_read(start);
+    assert!(contact.advertised_age(start).is_some());
 }
 
 #[test]
@@ -82,15 +82,15 @@
     let planned = Duration::from_millis(200);
     let mut contact = StoreContact::new();
     assert_eq!(contact.overdue_after(planned), planned);
-    contact.note_delay(Duration::from_millis(4));
+    contact.record_delay(Duration::from_millis(4));
     assert_eq!(contact.overdue_after(planned), planned);
-    contact.note_delay(Duration::from_millis(240));
+    contact.record_delay(Duration::from_millis(240));
     assert!(contact.overdue_after(planned) >= Duration::from_millis(480));
-    contact.note_delay(Duration::from_secs(20));
+    contact.record_delay(Duration::from_secs(20));
     let longest = contact.overdue_after(planned);
     assert!(longest < Duration::from_secs(1), "{longest:?}");
     for _ in 0..60 {
-        contact.note_delay(Duration::from_millis(4));
+        contact.record_delay(Duration::from_millis(4));
     }
     assert_eq!(contact.overdue_after(planned), planned);
 }
--- a/crates/rookferry_core/tests/peers.rs
+++ b/crates/rookferry_core/tests/peers.rs
@@ -130,7 +130,7 @@
     let mut hear = |health: &ServerHealth, turn: usize| {
         let now = start + Duration::from_millis(300) * u32::try_from(turn).expect("a turn");
         let beat = Heartbeat {
-            out: health.told(MOST, turn),
+            out: health.advertised(MOST, turn),
             out_count: u32::try_from(health.out().len()).expect("a count"),
             ..bare_heartbeat(from, 0)
         };
--- a/crates/rookferry_core/tests/quarantine.rs
+++ b/crates/rookferry_core/tests/quarantine.rs
@@ -69,7 +69,7 @@
     for number in 0..servers {
         let at = before(now, STEP * u32::from(servers - 1 - number));
         let end = end_at(first + number, RunProgress::Begun, at);
-        quarantine.note_end(signature, end, now);
+        quarantine.record_crash(signature, end, now);
     }
 }
 
@@ -108,13 +108,13 @@
             progress,
             before(now, STEP * u32::from(servers - number)),
         );
-        let change = quarantine.note_end(signature(1), end, now);
+        let change = quarantine.record_crash(signature(1), end, now);
         assert_eq!(change, QuarantineChange::None);
     }
     // One server's end is one end, whoever tells of it.
-    quarantine.note_end(signature(1), end_at(0, progress, now), now);
+    quarantine.record_crash(signature(1), end_at(0, progress, now), now);
     assert!(!is_held(&quarantine, signature(1), now));
-    let change = quarantine.note_end(signature(1), end_at(servers, progress, now), now);
+    let change = quarantine.record_crash(signature(1), end_at(servers, progress, now), now);
     assert_eq!(change, QuarantineChange::Held);
     assert!(is_held(&quarantine, signature(1), now));
     assert_eq!(quarantine.suspicion(signature(2), now), Suspicion::None);
@@ -125,18 +125,18 @@
     let (mut one, mut other) = (Quarantine::new(), Quarantine::new());
     let start = Instant::now();
     end_begun(&mut one, signature(1), 3, start);
-    for seen in one.next_told(ALL, start) {
-        assert_eq!(other.learn(&seen, start), QuarantineChange::Held);
+    for seen in one.next_advertised(ALL, start) {
+        assert_eq!(other.merge(&seen, start), QuarantineChange::Held);
     }
-    let late = one.told_at_start(ALL, start);
+    let late = one.advertised_at_start(ALL, start);
     // A run that was under way elsewhere ends well.
     let now = start + SECOND;
     assert_eq!(
-        other.note_finished(signature(1), now),
+        other.record_success(signature(1), now),
         QuarantineChange::Released
     );
-    for seen in other.next_told(ALL, now) {
-        assert_eq!(one.learn(&seen, now), QuarantineChange::Released);
+    for seen in other.next_advertised(ALL, now) {
+        assert_eq!(one.merge(&seen, now), QuarantineChange::Released);
     }
     assert_eq!(one.suspicion(signature(1), now), Suspicion::None);
     // A word that was long on its way is from before.
@@ -146,7 +146,7 @@
         for end in &mut seen.ends {
             end.age_ms += delay_ms;
         }
-        one.learn(&seen, now + SECOND / 2);
+        one.merge(&seen, now + SECOND / 2);
     }
     assert!(!is_held(&one, signature(1), now + SECOND));
 }
@@ -157,15 +157,15 @@
     let now = Instant::now();
     for (number, instance) in (0..).zip(&mut instances) {
         let at = before(now, STEP * u32::from(2 - number));
-        instance.note_end(signature(1), end_at(number, RunProgress::Begun, at), now);
+        instance.record_crash(signature(1), end_at(number, RunProgress::Begun, at), now);
     }
     let told: Vec<_> = instances
         .iter_mut()
-        .flat_map(|instance| instance.next_told(ALL, now))
+        .flat_map(|instance| instance.next_advertised(ALL, now))
         .collect();
     for instance in &mut instances {
         for seen in &told {
-            instance.learn(seen, now);
+            instance.merge(seen, now);
         }
         assert!(is_held(instance, signature(1), now));
     }
@@ -180,7 +180,7 @@
     let later = start + 11 * MINUTE;
     assert!(!is_held(&quarantine, signature(1), later));
     let end = end_at(9, RunProgress::Begun, later);
-    let change = quarantine.note_end(signature(1), end, later);
+    let change = quarantine.record_crash(signature(1), end, later);
     assert_eq!(change, QuarantineChange::Held);
     assert!(is_held(&quarantine, signature(1), later + 9 * MINUTE));
 }
@@ -193,7 +193,7 @@
     for number in 1..20_000 {
         let now = start + Duration::from_millis(u64::try_from(number).expect("a number"));
         let end = end_at(1, RunProgress::Answering, now);
-        quarantine.note_end(signature(number), end, now);
+        quarantine.record_crash(signature(number), end, now);
     }
     assert!(quarantine.len() <= 4_096);
     assert!(is_held(&quarantine, signature(0), start + MINUTE));
@@ -210,19 +210,19 @@
     let start = Instant::now();
     end_begun(&mut one, signature(1), 2, start);
     let end = end_at(1, RunProgress::Answering, start);
-    one.note_end(signature(2), end, start);
-    one.note_finished(signature(2), start + SECOND / 10);
+    one.record_crash(signature(2), end, start);
+    one.record_success(signature(2), start + SECOND / 10);
     let mut told = 0;
     for round in 0..100 {
         // Each word takes a while, so that it counts as a little later.
         let now = start + SECOND + round * SECOND / 5;
-        for seen in one.next_told(ALL, now) {
+        for seen in one.next_advertised(ALL, now) {
             told += 1;
-            other.learn(&seen, now + SECOND / 20);
+            other.merge(&seen, now + SECOND / 20);
         }
-        for seen in other.next_told(ALL, now + SECOND / 10) {
+        for seen in other.next_advertised(ALL, now + SECOND / 10) {
             told += 1;
-            one.learn(&seen, now + SECOND / 5);
+            one.merge(&seen, now + SECOND / 5);
         }
     }
     assert!(told <= 4 * 8, "told {told} times");
@@ -239,17 +239,17 @@
         end_others_begun(&mut quarantine, signature(number), first, 3, start);
     }
     for _ in 0..8 {
-        assert_eq!(quarantine.next_told(ALL, start).len(), 3);
+        assert_eq!(quarantine.next_advertised(ALL, start).len(), 3);
     }
     let mut told: Vec<_> = (0..3)
-        .flat_map(|_| quarantine.next_told(ALL, start))
+        .flat_map(|_| quarantine.next_advertised(ALL, start))
         .map(|seen| seen.signature)
         .collect();
     told.sort_unstable();
     let mut all: Vec<_> = (0..3).map(signature).collect();
     all.sort_unstable();
     assert_eq!(told, all);
-    assert_eq!(quarantine.told_at_start(2, start).len(), 2);
+    assert_eq!(quarantine.advertised_at_start(2, start).len(), 2);
 }
 
 #[test]
@@ -276,7 +276,7 @@
 fn a_request_that_ended_well_lately_is_held_only_after_more_servers() {
     let mut quarantine = Quarantine::new();
     let start = Instant::now();
-    quarantine.note_finished(signature(1), start);
+    quarantine.record_success(signature(1), start);
     end_begun(&mut quarantine, signature(1), 4, start + SECOND);
     assert!(!is_held(&quarantine, signature(1), start + SECOND));
     // It may have come to end servers since.
@@ -288,7 +288,7 @@
 fn that_a_request_ended_well_long_ago_says_nothing() {
     let mut quarantine = Quarantine::new();
     let start = Instant::now();
-    quarantine.note_finished(signature(1), start);
+    quarantine.record_success(signature(1), start);
     end_begun(&mut quarantine, signature(1), 3, start + 11 * MINUTE);
     assert!(is_held(&quarantine, signature(1), start + 11 * MINUTE));
 }
@@ -297,16 +297,16 @@
 fn an_instance_that_saw_a_request_end_well_tells_those_that_hold_it() {
     let (mut one, mut other) = (Quarantine::new(), Quarantine::new());
     let start = Instant::now();
-    other.note_finished(signature(1), start);
+    other.record_success(signature(1), start);
     let now = start + SECOND;
     end_begun(&mut one, signature(1), 3, now);
     assert!(is_held(&one, signature(1), now));
-    for seen in one.next_told(ALL, now) {
-        assert_eq!(other.learn(&seen, now), QuarantineChange::None);
+    for seen in one.next_advertised(ALL, now) {
+        assert_eq!(other.merge(&seen, now), QuarantineChange::None);
     }
     assert!(!is_held(&other, signature(1), now));
-    let told = other.next_told(ALL, now);
-    let changes: Vec<_> = told.iter().map(|seen| one.learn(seen, now)).collect();
+    let told = other.next_advertised(ALL, now);
+    let changes: Vec<_> = told.iter().map(|seen| one.merge(seen, now)).collect();
     assert_eq!(changes, [QuarantineChange::Released]);
     // The ends still count towards more.
     assert_eq!(one.crashes(signature(1)), 3);
@@ -317,7 +317,7 @@
     let mut quarantine = Quarantine::new();
     let start = Instant::now();
     for number in 0..100_000 {
-        quarantine.note_finished(signature(number), start);
+        quarantine.record_success(signature(number), start);
     }
     assert!(quarantine.finished_len() <= 4_096);
     end_begun(&mut quarantine, signature(99_999), 3, start + SECOND);
@@ -356,10 +356,10 @@
             begun_at
         };
         let end = end_together(number, gone_at, joined_at, found_at);
-        quarantine.note_end(signature(1), end, found_at);
+        quarantine.record_crash(signature(1), end, found_at);
         assert!(!is_held(&quarantine, signature(1), found_at));
     }
-    assert_eq!(quarantine.ends_in_turn(signature(1)), 1);
+    assert_eq!(quarantine.sequential_crashes(signature(1)), 1);
 }
 
 /// Many callers send a sound request in the same words, at instances that tell each
@@ -383,17 +383,17 @@
                 before(gone_at, SECOND / 5),
                 now,
             );
-            site[place].note_end(signature(1), end, now);
+            site[place].record_crash(signature(1), end, now);
         }
         let told: Vec<_> = site
             .iter_mut()
-            .flat_map(|one| one.next_told(ALL, now))
+            .flat_map(|one| one.next_advertised(ALL, now))
             .collect();
         let heard_at = now + SECOND / 10;
         for one in &mut site {
             for seen in &told {
                 // On its way for a while, which the ages don't know of.
-                one.learn(seen, heard_at);
+                one.merge(seen, heard_at);
             }
             assert!(!is_held(one, signature(1), heard_at), "after {series}");
         }
@@ -410,7 +410,7 @@
     let mut number = 0;
     let mut end_alone = |quarantine: &mut Quarantine, at: Instant| {
         number += 1;
-        quarantine.note_end(signature(1), end_at(number, RunProgress::Begun, at), at);
+        quarantine.record_crash(signature(1), end_at(number, RunProgress::Begun, at), at);
     };
     for end in 0..ends_before {
         end_alone(&mut quarantine, start + u32::from(end) * SECOND / 5);
@@ -418,7 +418,7 @@
     let gone_at = start + SECOND;
     for other in 100..114 {
         let end = end_together(other, gone_at, before(gone_at, SECOND / 10), gone_at);
-        quarantine.note_end(signature(1), end, gone_at);
+        quarantine.record_crash(signature(1), end, gone_at);
     }
     for end in 0..3_u32 {
         let at = gone_at + (end + 1) * SECOND / 5;
@@ -436,7 +436,7 @@
     for number in 0..3 {
         let at = start + u32::from(number) * 2 * SECOND;
         let end = end_together(number, before(start, SECOND), at, at + SECOND / 100);
-        quarantine.note_end(signature(1), end, at);
+        quarantine.record_crash(signature(1), end, at);
     }
     assert!(is_held(&quarantine, signature(1), start + 5 * SECOND));
 }
@@ -450,9 +450,9 @@
     let gone_at = start + SECOND;
     for number in 100..120 {
         let end = end_together(number, gone_at, before(gone_at, SECOND / 2), gone_at);
-        quarantine.note_end(signature(1), end, gone_at);
+        quarantine.record_crash(signature(1), end, gone_at);
     }
-    assert!(quarantine.ends_in_turn(signature(1)) >= 2);
+    assert!(quarantine.sequential_crashes(signature(1)) >= 2);
     assert!(quarantine.crashes(signature(1)) <= 5);
 }
 
@@ -482,7 +482,7 @@
         let mut ends: Vec<_> = beside.collect();
         // Held after three, it is still on its way to a fourth.
         ends.insert(10, (signature(0), joined(SECOND / 7)));
-        let changes = quarantine.note_ends(&ends, at);
+        let changes = quarantine.record_crashes(&ends, at);
         let now_held = changes
             .into_iter()
             .filter(|(_, change)| *change == QuarantineChange::Held);
@@ -501,12 +501,12 @@
     end_begun(&mut quarantine, signature(0), 3, start);
     assert!(!is_held(&quarantine, signature(0), start));
     let end = end_at(3, RunProgress::Begun, start + SECOND);
-    quarantine.note_end(signature(0), end, start + SECOND);
+    quarantine.record_crash(signature(0), end, start + SECOND);
     assert!(is_held(&quarantine, signature(0), start + SECOND));
     // Released, it accounts for nothing any more.
     let start = start + MINUTE;
     for released in [signature(0), signature(1)] {
-        quarantine.note_finished(released, start);
+        quarantine.record_success(released, start);
     }
     end_begun(&mut quarantine, signature(2), 3, start + MINUTE);
     assert!(is_held(&quarantine, signature(2), start + MINUTE));
@@ -525,7 +525,7 @@
             alive_at: before(at, SECOND / 50),
             ..end_at(number, RunProgress::Begun, at)
         };
-        quarantine.note_end(signature(1), end, at);
+        quarantine.record_crash(signature(1), end, at);
     }
     assert!(is_held(&quarantine, signature(1), start + SECOND));
 }
--- a/crates/rookferry_core/tests/room_queue.rs
+++ b/crates/rookferry_core/tests/room_queue.rs
@@ -18,8 +18,8 @@
     let mut queue = AdmissionQueue::new();
     let start = Instant::now();
     for number in 0..100 {
-        queue.note_first_event(first_event);
-        queue.note_freed(start + freed_every * number);
+        queue.record_first_event(first_event);
+        queue.record_release(start + freed_every * number);
     }
     queue
 }
@@ -42,9 +42,9 @@
 fn a_new_request_waits_behind_those_alike_and_not_behind_the_less_urgent() {
     let mut queue = AdmissionQueue::new();
     queue.join(urgency(1, 1));
-    assert!(queue.is_behind(urgency(1, 1)));
-    assert!(queue.is_behind(urgency(2, 0)));
-    assert!(!queue.is_behind(urgency(1, 0)));
+    assert!(queue.would_wait(urgency(1, 1)));
+    assert!(queue.would_wait(urgency(2, 0)));
+    assert!(!queue.would_wait(urgency(1, 0)));
 }
 
 #[rstest]
@@ -56,7 +56,7 @@
     #[case] waits: bool,
 ) {
     let queue = observed(first_event, Duration::from_millis(30));
-    let patience = queue.patience(OBJECTIVE);
+    let patience = queue.max_wait(OBJECTIVE);
     assert!(patience + first_event <= OBJECTIVE || patience.is_zero());
     assert_eq!(
         patience >= Duration::from_millis(100),
@@ -71,9 +71,9 @@
     let mut varying = steady.clone();
     for number in 0..100 {
         let took = if number % 2 == 0 { 40 } else { 160 };
-        varying.note_first_event(Duration::from_millis(took));
+        varying.record_first_event(Duration::from_millis(took));
     }
-    assert!(varying.patience(OBJECTIVE) < steady.patience(OBJECTIVE));
+    assert!(varying.max_wait(OBJECTIVE) < steady.max_wait(OBJECTIVE));
 }
 
 #[test]
--- a/crates/rookferry_core/tests/server_starts.rs
+++ b/crates/rookferry_core/tests/server_starts.rs
@@ -156,7 +156,7 @@
     let new = ServerKey::new(addr(1), "e", Some(20));
     let mut health = ServerHealth::new();
     health.lost(former, now);
-    health.had_no_room(former, 0.0, now);
+    health.refused_for_capacity(former, 0.0, now);
     let mut closed = RefusingServers::new(0.5);
     closed.refused(former, 0.0, 1_000.0, now);
     // A peer tells of it late.
@@ -165,10 +165,10 @@
         age_ms: 100,
         refusals: 3,
     };
-    closed.learn(told, now);
-    assert!(health.is_out(former) && closed.is_closed(former, now));
+    closed.merge(told, now);
+    assert!(health.is_out(former) && closed.is_refusing(former, now));
     assert!(!health.is_out(new) && !health.is_full(new, now));
-    assert!(!closed.is_closed(new, now));
+    assert!(!closed.is_refusing(new, now));
 }
 
 /// What may come of two starts under one name, in any order.
--- a/crates/rookferry_core/tests/serving.rs
+++ b/crates/rookferry_core/tests/serving.rs
@@ -216,14 +216,14 @@
     let addr = server("1").key;
     let start = Instant::now();
     let mut health = ServerHealth::new();
-    assert!((health.room_tokens(addr, 1_000.0, start) - 1_000.0).abs() < 1e-9);
-    health.had_no_room(addr, 600.0, start);
+    assert!((health.capacity_tokens(addr, 1_000.0, start) - 1_000.0).abs() < 1e-9);
+    health.refused_for_capacity(addr, 600.0, start);
     assert!(health.is_full(addr, start));
     let soon = start + Duration::from_secs(1);
-    let room = health.room_tokens(addr, 1_000.0, soon);
+    let room = health.capacity_tokens(addr, 1_000.0, soon);
     assert!((600.0..650.0).contains(&room), "{room}");
     let late = start + Duration::from_secs(20);
-    assert!((health.room_tokens(addr, 1_000.0, late) - 1_000.0).abs() < 1e-9);
+    assert!((health.capacity_tokens(addr, 1_000.0, late) - 1_000.0).abs() < 1e-9);
 }
 
 #[test]
@@ -231,7 +231,7 @@
     let addr = server("1").key;
     let start = Instant::now();
     let mut health = ServerHealth::new();
-    health.turned_away(addr, start);
+    health.refused(addr, start);
     assert!(health.is_full(addr, start));
     assert!(!health.is_full(addr, start + Duration::from_secs(1)));
 }
@@ -246,7 +246,7 @@
     for step in 0..1_000_u32 {
         let now = start + Duration::from_millis(u64::from(step));
         for retries in &mut windows {
-            retries.note_fresh(now);
+            retries.record_new_request(now);
             repeats += u32::from(retries.take(now, instances));
         }
     }
@@ -275,7 +275,7 @@
         }
         for retries in &mut windows {
             if step % 10 == 0 {
-                retries.note_fresh(now);
+                retries.record_new_request(now);
                 fresh += 1;
             }
             repeats += u32::from(retries.take(now, instances));
--- a/crates/rookferry_core/tests/start_line.rs
+++ b/crates/rookferry_core/tests/start_line.rs
@@ -127,9 +127,9 @@
             StartAnswer::Wait(Duration::from_millis(330))
         }
     };
-    let after: Policy = |met| match met.line.wait(met.age) {
+    let after: Policy = |met| match met.line.max_wait(met.age) {
         Some(longest) if !met.has_waited => StartAnswer::Wait(longest),
-        _ => StartAnswer::ComeBack(met.line.come_back_after(met.age, met.chance)),
+        _ => StartAnswer::ComeBack(met.line.retry_after(met.age, met.chance)),
     };
     let [before, after] = [before, after].map(|policy| {
         let mut site = StartSite::restart(DOMAINS, 40, 3);
--- a/crates/rookferry_core/tests/store_era.rs
+++ b/crates/rookferry_core/tests/store_era.rs
@@ -80,16 +80,16 @@
     if by_an_answer {
         eras.observe(Some(999), start, start + SECOND);
     } else {
-        assert!(eras.hear(999, start + SECOND));
+        assert!(eras.merge(999, start + SECOND));
     }
     let asked_at = start + 2 * SECOND;
     let denial = eras.observe(Some(2), asked_at, asked_at);
     assert_eq!(denial, EraVerdict::Changed { before: Some(999) });
     assert_eq!(eras.era(), 2);
     // Those that still believe it don't bring it back.
-    assert!(!eras.hear(999, asked_at + SECOND));
+    assert!(!eras.merge(999, asked_at + SECOND));
     assert!(eras.is_denied(1_000) && !eras.is_denied(3));
-    assert!(eras.hear(3, asked_at + SECOND));
+    assert!(eras.merge(3, asked_at + SECOND));
     assert_eq!(eras.era(), 3);
 }
 
--- a/crates/rookferry_core/tests/support/news_site.rs
+++ b/crates/rookferry_core/tests/support/news_site.rs
@@ -146,7 +146,8 @@
         match self.readings[place] {
             Reading::LooksAt(at_ms) if at_ms > now_ms => {}
             Reading::LooksAt(_) if self.relies_on_peers(place) => {
-                self.readings[place] = Reading::LooksAt(now_ms + millis(self.budget.look()));
+                self.readings[place] =
+                    Reading::LooksAt(now_ms + millis(self.budget.poll_interval()));
             }
             Reading::LooksAt(_) => self.watch(place),
             Reading::Watches { sent_ms, is_silent } => {
@@ -207,13 +208,13 @@
             .left_ms
             .is_some_and(|left_ms| left_ms <= self.site.now_ms);
         let instance = &mut self.site.instances[place];
-        instance.contact.read_config(sent_at);
-        instance.contact.read_servers(sent_at);
+        instance.contact.record_config_read(sent_at);
+        instance.contact.record_servers_read(sent_at);
         self.failures[place] = 0;
         let is_news = is_after
             && instance
                 .departed
-                .note(Self::server(), Departure::Leaving, now);
+                .record(Self::server(), Departure::Leaving, now);
         if is_news {
             self.site.tell_soon(place);
         }
--- a/crates/rookferry_core/tests/support/peer_site.rs
+++ b/crates/rookferry_core/tests/support/peer_site.rs
@@ -361,13 +361,13 @@
             receiver.limits.hear(*seen, now);
         }
         for seen in &beat.departed {
-            receiver.departed.hear(*seen, now);
+            receiver.departed.merge(*seen, now);
         }
         if from_domain == receiver.domain
             && let Some(age_ms) = beat.store_age_ms
             && let Some(at) = now.checked_sub(Duration::from_millis(age_ms + DELAY_MS))
         {
-            receiver.contact.hear(at);
+            receiver.contact.merge_peer(at);
         }
         if !receiver.has_list && beat.servers.version > ListVersion::default() {
             receiver.offered_by.get_or_insert(from_addr);
@@ -499,9 +499,11 @@
         limits: instance
             .limits
             .told(32, usize::try_from(instance.round / 2).unwrap(), now),
-        departed: instance
-            .departed
-            .told(24, usize::try_from(instance.round / 2).unwrap(), now),
+        departed: instance.departed.advertised(
+            24,
+            usize::try_from(instance.round / 2).unwrap(),
+            now,
+        ),
         store_age_ms: told_ms(&instance.contact, now),
         members: table.members(members_from, members, now),
         instances: u32::try_from(table.instances()).unwrap(),
@@ -522,7 +524,7 @@
 
 /// The age of what is known of the store, as others are told.
 fn told_ms(contact: &StoreContact, now: Instant) -> Option<u64> {
-    let age = contact.told_age(now)?;
+    let age = contact.advertised_age(now)?;
     u64::try_from(age.as_millis()).ok()
 }
 
--- a/crates/rookferry_entry/src/quarantine.rs
+++ b/crates/rookferry_entry/src/quarantine.rs
@@ -90,7 +90,7 @@
 impl CallQuarantine {
     /// What others are to be told, at most `most`.
     pub(crate) fn next_told(&self, most: usize) -> Vec<SuspectObservation> {
-        self.calls().next_told(most, clock::now())
+        self.calls().next_advertised(most, clock::now())
     }
 
     fn calls(&self) -> MutexGuard<'_, Quarantine> {
@@ -151,7 +151,7 @@
 
     /// A call's run broke at a server, which is asked whether it is there.
     pub(crate) fn run_broke(self: &Arc<Self>, run: BrokenRun, server: Server) {
-        let noted = self.quarantine.broken().note(run, clock::now());
+        let noted = self.quarantine.broken().record(run, clock::now());
         match noted {
             BrokenRunStatus::Ended(run) => self.runs_crashed(&[run]),
             BrokenRunStatus::Unasked => {
@@ -206,7 +206,7 @@
         }
         self.backoffs.forget(server.key().addr);
         let mut broken = self.quarantine.broken();
-        let crashed = broken.server_ended(server.key(), clock::now());
+        let crashed = broken.server_exited(server.key(), clock::now());
         drop(broken);
         self.runs_crashed(&crashed);
         self.quarantine.decided.notify_waiters();
@@ -215,7 +215,7 @@
     /// A server ended under some runs.
     fn runs_crashed(&self, runs: &[BrokenRun]) {
         let ends: Vec<_> = runs.iter().map(|run| (run.signature, run.end)).collect();
-        let changes = self.quarantine.calls().note_ends(&ends, clock::now());
+        let changes = self.quarantine.calls().record_crashes(&ends, clock::now());
         for run in runs {
             counter!("rookferry_runs_crashed_total").increment(1);
             warn!(self.log, "request: a server ended under it"; "part" => "quarantine",
@@ -232,14 +232,14 @@
         let change = self
             .quarantine
             .calls()
-            .note_finished(signature, clock::now());
+            .record_success(signature, clock::now());
         self.note_change(signature, change, "own");
     }
 
     /// Takes in what another instance knows of calls.
     pub(crate) fn learn_suspects(&self, told: &[SuspectObservation], source: &str) {
         for seen in told {
-            let change = self.quarantine.calls().learn(seen, clock::now());
+            let change = self.quarantine.calls().merge(seen, clock::now());
             self.note_change(seen.signature, change, source);
         }
     }
--- a/crates/rookferry_relay/src/beliefs.rs
+++ b/crates/rookferry_relay/src/beliefs.rs
@@ -115,7 +115,7 @@
         // Each of its answers says so.
         !self.departed.load().contains(server)
             && update(&self.departed, |departed| {
-                departed.note(server, Departure::Leaving, clock::now())
+                departed.record(server, Departure::Leaving, clock::now())
             })
     }
 
@@ -124,7 +124,9 @@
     pub(crate) fn hear_departure(&self, seen: DepartureObservation) -> bool {
         // Each heartbeat tells the same again.
         !self.departed.load().knows(seen.server, seen.departure)
-            && update(&self.departed, |departed| departed.hear(seen, clock::now()))
+            && update(&self.departed, |departed| {
+                departed.merge(seen, clock::now())
+            })
     }
 
     /// Whether a server leaves, by its entry, its own answers or others' word.
@@ -160,8 +162,8 @@
         let mut closed = self.closed();
         for server in servers.all() {
             let known = before.and_then(|before| before.get(server.key));
-            if !known.is_some_and(|known| known.says_the_same(server)) {
-                closed.changed(server.key);
+            if !known.is_some_and(|known| known.has_same_content(server)) {
+                closed.entry_changed(server.key);
             }
         }
         let is_known = |server| servers.get(server).is_some();
@@ -189,16 +191,16 @@
 ) {
     let now = clock::now();
     let version = servers.version();
-    departed.listed(version, now, |server| servers.get(server).is_some());
+    departed.adopt_list(version, now, |server| servers.get(server).is_some());
     for server in servers.all().iter().filter(|server| server.is_leaving) {
-        departed.note(server.key, Departure::Leaving, now);
+        departed.record(server.key, Departure::Leaving, now);
     }
     // The list is as it was where a newer configuration has no use for some.
     let before = before.filter(|before| before.version() < version);
     let before = before.map_or(&[][..], |before| before.all());
     for server in before {
         if !servers.lists(server.key) {
-            departed.note(server.key, Departure::Gone(version), now);
+            departed.record(server.key, Departure::Gone(version), now);
         }
     }
 }
--- a/crates/rookferry_relay/src/door.rs
+++ b/crates/rookferry_relay/src/door.rs
@@ -39,7 +39,7 @@
 
     /// Whether others wait that a request of some urgency may not pass.
     pub(crate) fn is_behind(&self, service: &ServiceId, urgency: Urgency) -> bool {
-        self.with(service, |queue| queue.is_behind(urgency))
+        self.with(service, |queue| queue.would_wait(urgency))
     }
 
     /// Has a request wait.
@@ -53,7 +53,7 @@
 
     /// A stream has left its room.
     pub(crate) fn note_freed(&self, service: &ServiceId) {
-        self.with(service, |queue| queue.note_freed(clock::now()));
+        self.with(service, |queue| queue.record_release(clock::now()));
         self.note_change();
     }
 
@@ -64,7 +64,7 @@
 
     /// A stream's first event came some time after it was sent.
     pub(crate) fn note_first_event(&self, service: &ServiceId, took: Duration) {
-        self.with(service, |queue| queue.note_first_event(took));
+        self.with(service, |queue| queue.record_first_event(took));
     }
 
     /// A request is turned away.
@@ -95,7 +95,7 @@
     /// objective, having waited for some time.
     pub(crate) fn is_hopeful(&self, objective: Duration, waited: Duration) -> bool {
         self.door.with(&self.service, |queue| {
-            queue.expected_wait(self.ticket) + waited <= queue.patience(objective)
+            queue.expected_wait(self.ticket) + waited <= queue.max_wait(objective)
         })
     }
 
--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -66,14 +66,16 @@
         let room_tokens = entry.map_or(0.0, |entry| published_tokens(entry, model));
         let (was_closed, is_closed) = {
             let mut closed = self.beliefs.closed();
-            let was_closed = closed.is_closed(server, now);
+            let was_closed = closed.is_refusing(server, now);
             (
                 was_closed,
                 closed.refused(server, used_tokens, room_tokens, now),
             )
         };
         if !is_closed {
-            self.beliefs.health().had_no_room(server, used_tokens, now);
+            self.beliefs
+                .health()
+                .refused_for_capacity(server, used_tokens, now);
         } else if !was_closed && let Some(log) = self.events.line(Weight::Notable) {
             warn!(log, "health: a server takes no new work"; "event" => "server_closed",
                 "server" => %server.addr, "source" => "own", "used_tokens" => used_tokens,
@@ -132,7 +134,7 @@
         let engines = usable.filter_map(|server| {
             let mut engine = self.pipeline_engine(server, model, health, now)?;
             engine.is_closed =
-                closed.is_closed(server.key, now) || self.is_doubted(&doubted, server.key, now);
+                closed.is_refusing(server.key, now) || self.is_doubted(&doubted, server.key, now);
             if health.is_full(server.key, now) {
                 engine.used_tokens = engine.cache_tokens;
             }
@@ -218,7 +220,7 @@
             domain: server.domain.clone(),
             held,
             layer_step_ms: model.layer_step_ms(kind) * self.beliefs.signs.slowdown(server.key, now),
-            cache_tokens: health.room_tokens(server.key, published_tokens(server, model), now),
+            cache_tokens: health.capacity_tokens(server.key, published_tokens(server, model), now),
             used_tokens: self.load_of(server.key).tokens,
             is_closed: false,
         })
--- a/crates/rookferry_relay/src/opener/mod.rs
+++ b/crates/rookferry_relay/src/opener/mod.rs
@@ -193,7 +193,7 @@
         self.avoided.push(first);
         let now = clock::now();
         if error.is_own_limit() {
-            relay.beliefs.health().turned_away(first, now);
+            relay.beliefs.health().refused(first, now);
             return true;
         }
         if error.is_held_here() {
--- a/crates/rookferry_relay/src/opener/room.rs
+++ b/crates/rookferry_relay/src/opener/room.rs
@@ -110,7 +110,7 @@
             return Room::On(path);
         }
         let instances = relay.instances.load(Ordering::Relaxed);
-        let taken = lock(&relay.link_pace).take(needed_ms, instances, clock::now());
+        let taken = lock(&relay.link_pace).reserve(needed_ms, instances, clock::now());
         match taken {
             Ok(()) => Room::On(path),
             Err(wait) => Room::NoLink(wait),
--- a/crates/rookferry_relay/src/peers/compose.rs
+++ b/crates/rookferry_relay/src/peers/compose.rs
@@ -95,9 +95,9 @@
         });
         let (out, out_count) = {
             let health = self.relay.beliefs.health();
-            (health.told(MAX_OUT, turn), health.out_count())
+            (health.advertised(MAX_OUT, turn), health.out_count())
         };
-        let closed = self.relay.beliefs.closed().told(MAX_OUT, turn, now);
+        let closed = self.relay.beliefs.closed().advertised(MAX_OUT, turn, now);
         let (members, instances, is_joining) = {
             let table = lock(&self.relay.peers);
             let members = table.members(members_from, MEMBERS_TOLD, now);
@@ -116,7 +116,7 @@
                 version: self.relay.servers_version(),
                 age_ms: self.relay.servers_age(now).map(told_ms),
             },
-            store_age_ms: self.relay.store.contact().told_age(now).map(told_ms),
+            store_age_ms: self.relay.store.contact().advertised_age(now).map(told_ms),
             holder: self.holder(now),
             loads: self.load_entries(self.relay.beliefs.loads.snapshot(), now),
             domain_loads: None,
@@ -125,7 +125,11 @@
             closed,
             suspects: self.relay.quarantine.next_told(MAX_SUSPECTS, now),
             limits: self.relay.beliefs.limits().told(MAX_LIMITS, turn, now),
-            departed: self.relay.beliefs.departed().told(MAX_DEPARTED, turn, now),
+            departed: self
+                .relay
+                .beliefs
+                .departed()
+                .advertised(MAX_DEPARTED, turn, now),
             members,
             instances: u32::try_from(instances).unwrap_or(u32::MAX),
             is_joining,
@@ -140,7 +144,7 @@
             .relay
             .quarantine
             .lock()
-            .told_at_start(MAX_SUSPECTS, now);
+            .advertised_at_start(MAX_SUSPECTS, now);
         let table = lock(&self.relay.peers);
         let from = rand::random_range(0..usize::MAX);
         answer.members = table.members(from, OTHERS_TOLD_JOINING, now);
--- a/crates/rookferry_relay/src/peers/exchange.rs
+++ b/crates/rookferry_relay/src/peers/exchange.rs
@@ -148,7 +148,7 @@
     let view = relay.view.load_full();
     let table = view.servers.as_ref()?;
     let history = lock(&relay.list_history);
-    let list = history.mark();
+    let list = history.fingerprint();
     if list.version != table.version() || list.version <= had.version {
         return None;
     }
@@ -182,7 +182,7 @@
 
 /// Hands a peer's backend servers on if they are newer.
 pub(super) async fn fetch_servers(relay: &Relay, from: SocketAddr) {
-    let had = lock(&relay.list_history).mark();
+    let had = lock(&relay.list_history).fingerprint();
     if !take_servers(relay, from, had).await {
         // The list here isn't the one that the peer remembers under its version.
         take_servers(relay, from, ListFingerprint::default()).await;
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/intake.rs
@@ -167,7 +167,7 @@
             let view = self.relay.view.load();
             let told = beat.closed.iter();
             let known = told.filter(|seen| view.server(seen.server).is_some());
-            known.filter(|seen| closed.learn(**seen, now)).collect()
+            known.filter(|seen| closed.merge(**seen, now)).collect()
         };
         for seen in news {
             if let Some(log) = self.relay.events.line(Weight::Notable) {
--- a/crates/rookferry_relay/src/placement/mod.rs
+++ b/crates/rookferry_relay/src/placement/mod.rs
@@ -89,7 +89,7 @@
         let mut has_more = false;
         for service in &index.config().services {
             if let Some(model) = &service.model {
-                let longest_pause = index.config().longest_pause(&service.name);
+                let longest_pause = index.config().strictest_gap_objective(&service.name);
                 has_more |= self.plan(service, model, longest_pause, table, scope).await;
             }
         }
--- a/crates/rookferry_relay/src/quarantine.rs
+++ b/crates/rookferry_relay/src/quarantine.rs
@@ -93,7 +93,7 @@
         if !self.has_records() {
             return Vec::new();
         }
-        self.update(|quarantine| quarantine.next_told(most, now))
+        self.update(|quarantine| quarantine.next_advertised(most, now))
     }
 
     fn has_records(&self) -> bool {
@@ -153,7 +153,7 @@
             request: request.attempt.clone(),
             end: self.run_end(broken),
         };
-        let noted = self.beliefs.broken_runs.lock().note(run, clock::now());
+        let noted = self.beliefs.broken_runs.lock().record(run, clock::now());
         match noted {
             BrokenRunStatus::Ended(run) => self.note_runs_crashed(&[run]),
             BrokenRunStatus::Unasked => {
@@ -187,7 +187,7 @@
     /// A server's process has ended, and its runs with it.
     pub(crate) fn server_ended(&self, server: ServerKey) {
         let broken = &self.beliefs.broken_runs;
-        let crashed = broken.lock().server_ended(server, clock::now());
+        let crashed = broken.lock().server_exited(server, clock::now());
         self.note_runs_crashed(&crashed);
         broken.tell_decided();
     }
@@ -198,7 +198,7 @@
         let ends: Vec<_> = runs.iter().map(|run| (run.signature, run.end)).collect();
         let changes = self
             .quarantine
-            .update(|quarantine| quarantine.note_ends(&ends, now));
+            .update(|quarantine| quarantine.record_crashes(&ends, now));
         for run in runs {
             counter!("rookferry_runs_crashed_total").increment(1);
             self.tell_run_crashed(run);
@@ -214,7 +214,7 @@
         };
         let (ends, in_turn) = {
             let quarantine = self.quarantine.lock();
-            let in_turn = quarantine.ends_in_turn(run.signature);
+            let in_turn = quarantine.sequential_crashes(run.signature);
             (quarantine.crashes(run.signature), in_turn)
         };
         warn!(log, "health: a server ended under a request"; "event" => "run_crashed",
@@ -231,7 +231,7 @@
         let now = clock::now();
         let change = self
             .quarantine
-            .update(|quarantine| quarantine.note_finished(signature, now));
+            .update(|quarantine| quarantine.record_success(signature, now));
         self.note_own_change(signature, change);
     }
 
@@ -240,7 +240,7 @@
         for seen in told {
             let change = self
                 .quarantine
-                .update(|quarantine| quarantine.learn(seen, now));
+                .update(|quarantine| quarantine.merge(seen, now));
             self.note_change(seen.signature, change, source);
         }
     }
--- a/crates/rookferry_relay/src/quarantine_keeper.rs
+++ b/crates/rookferry_relay/src/quarantine_keeper.rs
@@ -194,7 +194,7 @@
         let unix_now = clock::unix_now();
         let quarantine = self.relay.quarantine.lock();
         let held: Vec<_> = quarantine
-            .held(now)
+            .quarantined(now)
             .map(|(signature, at)| {
                 let since = unix_now.saturating_sub(now.saturating_duration_since(at));
                 (signature, since)
--- a/crates/rookferry_relay/src/readiness.rs
+++ b/crates/rookferry_relay/src/readiness.rs
@@ -33,7 +33,7 @@
     pub(crate) fn unknown_site(&self) -> Refusal {
         if self.is_starting() {
             let line = self.start_line();
-            return Refusal::Starting(line.come_back_after(self.age(), rand::random()));
+            return Refusal::Starting(line.retry_after(self.age(), rand::random()));
         }
         // Peers that are heard would have passed a newer word on.
         if lock(&self.peers).hears_any(clock::now()) {
@@ -92,7 +92,7 @@
         if self.age() >= self.start_line().first_read_after() {
             return false;
         }
-        let fresh = self.settings.bounds.news_budget().rely();
+        let fresh = self.settings.bounds.news_budget().max_report_age();
         !self.knows_site() || self.store.contact().is_fresh(clock::now(), fresh)
     }
 
@@ -110,7 +110,7 @@
     /// How long a request waits at most that comes while this instance starts; `None` if
     /// it is refused at once.
     pub(crate) fn start_wait(&self) -> Option<Duration> {
-        self.start_line().wait(self.age())
+        self.start_line().max_wait(self.age())
     }
 
     /// Whether the store is left alone, because peers tell what it has.
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -261,7 +261,7 @@
     pub(crate) fn adopt_servers(&self, servers: ServerTable, source: &'static str) {
         let servers = Arc::new(servers);
         self.note_servers(&servers, source);
-        lock(&self.list_history).put(servers.version(), servers.listed());
+        lock(&self.list_history).set_current(servers.version(), servers.listed());
         self.beliefs
             .adopt(self.view.load().servers.as_deref(), &servers);
         self.update_view(|view| SiteView {
--- a/crates/rookferry_relay/src/retries.rs
+++ b/crates/rookferry_relay/src/retries.rs
@@ -24,7 +24,7 @@
 impl Relay {
     /// Counts a fresh request for a service.
     pub(crate) fn note_fresh(&self, service: &ServiceId) {
-        self.with_retries(service, |window| window.note_fresh(clock::now()));
+        self.with_retries(service, |window| window.record_new_request(clock::now()));
     }
 
     /// Takes one repeat of a request out of the budget.
--- a/crates/rookferry_relay/src/sync/mod.rs
+++ b/crates/rookferry_relay/src/sync/mod.rs
@@ -24,6 +24,6 @@
     if relay.awaits_peers() {
         START_PAUSE
     } else {
-        relay.settings.bounds.news_budget().look()
+        relay.settings.bounds.news_budget().poll_interval()
     }
 }
--- a/crates/rookferry_relay/src/sync/outage.rs
+++ b/crates/rookferry_relay/src/sync/outage.rs
@@ -45,7 +45,7 @@
             if left.is_zero() {
                 return;
             }
-            let look = relay.settings.bounds.news_budget().look();
+            let look = relay.settings.bounds.news_budget().poll_interval();
             tokio::time::sleep(left.min(look)).await;
         }
     }
--- a/crates/rookferry_relay/src/sync/servers.rs
+++ b/crates/rookferry_relay/src/sync/servers.rs
@@ -428,7 +428,7 @@
     now: Instant,
 ) {
     match change {
-        DirectoryChange::Removed(id) if may_have_lapsed => directory.lapse(&id, now),
+        DirectoryChange::Removed(id) if may_have_lapsed => directory.mark_missing(&id, now),
         DirectoryChange::Removed(id) => {
             note_removed(relay, &id, "its entry is gone");
             directory.apply(DirectoryChange::Removed(id), now);
--- a/crates/rookferry_relay/src/tracked_store.rs
+++ b/crates/rookferry_relay/src/tracked_store.rs
@@ -86,7 +86,7 @@
     /// Another instance knows of an era.
     pub(crate) fn hear_era(&self, era: StoreEra) {
         let before = self.era();
-        if lock(&self.eras).hear(era, clock::now()) {
+        if lock(&self.eras).merge(era, clock::now()) {
             self.note_era(era, Some(before), "peer");
         }
     }
@@ -98,7 +98,7 @@
 
     /// Another instance of the domain has its word as of a time.
     pub(crate) fn hear_contact(&self, at: Instant) {
-        lock(&self.contact).hear(at);
+        lock(&self.contact).merge_peer(at);
     }
 
     /// Waits until the store is in another era.
@@ -215,7 +215,7 @@
     /// A watch that was sent at a time, and should have ended within another, was answered.
     fn note_delay(&self, sent_at: Instant, wait: Duration) {
         let delay = clock::since(sent_at).saturating_sub(wait);
-        lock(&self.contact).note_delay(delay);
+        lock(&self.contact).record_delay(delay);
     }
 
     /// A write that is to replace a version.
@@ -245,7 +245,7 @@
 
     pub(crate) async fn config(&self) -> Result<Versioned<Option<ServingConfig>>, StoreError> {
         let read = self.read("config", self.inner.config()).await?;
-        lock(&self.contact).read_config(read.asked_at);
+        lock(&self.contact).record_config_read(read.asked_at);
         Ok(read)
     }
 
@@ -259,13 +259,13 @@
         let beside = self.read("config_since", inner.config_since(after.revision));
         let answer = self.first_answer(wait, watch, beside);
         let read = self.watch(after, answer).await?;
-        lock(&self.contact).read_config(read.asked_at);
+        lock(&self.contact).record_config_read(read.asked_at);
         Ok(read)
     }
 
     pub(crate) async fn servers(&self) -> Result<Versioned<Vec<BackendServer>>, StoreError> {
         let read = self.read("servers", self.inner.servers()).await?;
-        lock(&self.contact).read_servers(read.asked_at);
+        lock(&self.contact).record_servers_read(read.asked_at);
         Ok(read)
     }
 
@@ -279,7 +279,7 @@
         let beside = self.read("servers_since", inner.servers_since(after.revision));
         let answer = self.first_answer(wait, watch, beside);
         let read = self.watch(after, answer).await?;
-        lock(&self.contact).read_servers(read.asked_at);
+        lock(&self.contact).record_servers_read(read.asked_at);
         Ok(read)
     }
 
