--- a/crates/rookferry_core/src/serving/broken_runs.rs
+++ b/crates/rookferry_core/src/serving/broken_runs.rs
@@ -31,18 +31,18 @@
     /// The request's id, for logs.
     pub request: String,
     /// The crash to record if the server has exited.
-    pub end: RunCrash,
+    pub crash: RunCrash,
 }
 
 /// What is known of the server when a run breaks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BrokenRunStatus {
     /// The server has exited; the run isn't stored.
-    Ended(BrokenRun),
+    ServerExited(BrokenRun),
     /// Unknown; the caller is to probe the server.
-    Unasked,
+    Unprobed,
     /// Unknown; an earlier broken run has caused a probe already.
-    Asked,
+    ProbePending,
 }
 
 /// Broken runs that are undecided, and servers that exited lately.
@@ -63,18 +63,18 @@
     /// Records a broken run and returns what is known of its server.
     pub fn record(&mut self, run: BrokenRun, now: Instant) -> BrokenRunStatus {
         self.expire(now);
-        if self.exited.contains_key(&run.end.server) {
-            return BrokenRunStatus::Ended(run);
+        if self.exited.contains_key(&run.crash.server) {
+            return BrokenRunStatus::ServerExited(run);
         }
         let mut undecided = self.undecided.iter();
-        let is_probed = undecided.any(|(known, _)| known.end.server == run.end.server);
+        let is_probed = undecided.any(|(known, _)| known.crash.server == run.crash.server);
         if self.undecided.len() < MAX_UNDECIDED {
             self.undecided.push((run, now));
         }
         if is_probed {
-            BrokenRunStatus::Asked
+            BrokenRunStatus::ProbePending
         } else {
-            BrokenRunStatus::Unasked
+            BrokenRunStatus::Unprobed
         }
     }
 
@@ -108,7 +108,7 @@
     fn take(&mut self, server: ServerKey) -> Vec<BrokenRun> {
         let taken = self
             .undecided
-            .extract_if(.., |(run, _)| run.end.server == server);
+            .extract_if(.., |(run, _)| run.crash.server == server);
         taken.map(|(run, _)| run).collect()
     }
 }
--- a/crates/rookferry_core/src/serving/directory.rs
+++ b/crates/rookferry_core/src/serving/directory.rs
@@ -45,26 +45,26 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListUncertainty {
     /// A server that isn't in the list may merely have expired during an outage.
-    pub may_lack: bool,
+    pub may_be_incomplete: bool,
     /// The list may show old entries after a restore. The entry of a server that had been
     /// removed is only accepted if it persists for this time, in which the entry of an
     /// exited server expires.
-    pub may_be_old: Option<Duration>,
-    /// Like `may_be_old`, for servers that the previous list lacked: they may have been
+    pub may_be_outdated: Option<Duration>,
+    /// Like `may_be_outdated`, for servers that the previous list lacked: they may have been
     /// removed before this instance knew of any.
-    pub may_have_gone_unseen: bool,
+    pub may_have_unseen_removals: bool,
 }
 
 impl ListUncertainty {
     /// The list is complete and contains nothing outdated.
     pub const NONE: Self = Self {
-        may_lack: false,
-        may_be_old: None,
-        may_have_gone_unseen: false,
+        may_be_incomplete: false,
+        may_be_outdated: None,
+        may_have_unseen_removals: false,
     };
     /// The list was read right after an outage.
     pub const AFTER_OUTAGE: Self = Self {
-        may_lack: true,
+        may_be_incomplete: true,
         ..Self::NONE
     };
 }
@@ -97,16 +97,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ExpiryOutcome {
     /// Servers that were removed after the grace period.
-    pub gone: Vec<EngineId>,
+    pub removed: Vec<EngineId>,
     /// Servers whose restored entries were accepted.
-    pub back: Vec<EngineId>,
+    pub restored: Vec<EngineId>,
 }
 
 impl ExpiryOutcome {
     /// Whether nothing changed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.gone.is_empty() && self.back.is_empty()
+        self.removed.is_empty() && self.restored.is_empty()
     }
 }
 
@@ -208,7 +208,8 @@
         self.read_count += 1;
         let uncertainty = ListUncertainty {
             // On the first list no server counts as removed before.
-            may_have_gone_unseen: uncertainty.may_have_gone_unseen && !self.entries.is_empty(),
+            may_have_unseen_removals: uncertainty.may_have_unseen_removals
+                && !self.entries.is_empty(),
             ..uncertainty
         };
         let listed: BTreeSet<EngineId> = list.iter().map(|server| server.id.clone()).collect();
@@ -218,11 +219,11 @@
         }
         let names = self.entries.keys();
         let missing: Vec<EngineId> = names.filter(|id| !listed.contains(*id)).cloned().collect();
-        if !uncertainty.may_lack {
+        if !uncertainty.may_be_incomplete {
             self.missing_since.clear();
         }
         for id in missing {
-            if uncertainty.may_lack {
+            if uncertainty.may_be_incomplete {
                 self.missing_since.entry(id).or_insert(now);
             } else {
                 self.remove(&id, now);
@@ -231,7 +232,7 @@
     }
 
     fn apply_listed(&mut self, server: BackendServer, uncertainty: ListUncertainty, now: Instant) {
-        if let Some(persists_for) = uncertainty.may_be_old {
+        if let Some(persists_for) = uncertainty.may_be_outdated {
             self.apply_restored(server, uncertainty, now + persists_for);
         } else if self.is_outdated(&server) {
             self.missing_since.remove(&server.id);
@@ -257,7 +258,7 @@
         }
         let former = self.former.get(&server.id);
         let was_removed = former.is_some_and(|former| former.listed.server.key == server.key);
-        let is_unknown = uncertainty.may_have_gone_unseen
+        let is_unknown = uncertainty.may_have_unseen_removals
             && former.is_none()
             && !self.entries.contains_key(&server.id);
         if was_removed || is_unknown {
@@ -284,13 +285,13 @@
         self.former
             .retain(|_, former| now.saturating_duration_since(former.removed_at) < FORMER_TTL);
         let is_over = |since: &Instant| now.saturating_duration_since(*since) >= grace;
-        let gone: Vec<EngineId> = self
+        let removed: Vec<EngineId> = self
             .missing_since
             .iter()
             .filter(|(_, since)| is_over(since))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &gone {
+        for id in &removed {
             self.missing_since.remove(id);
             self.remove(id, now);
         }
@@ -299,11 +300,11 @@
             .extract_if(.., |_, restored| restored.accepted_at <= now);
         let persisted: Vec<BackendServer> =
             persisted.map(|(_, restored)| restored.server).collect();
-        let back = persisted.iter().map(|server| server.id.clone()).collect();
+        let restored = persisted.iter().map(|server| server.id.clone()).collect();
         for server in persisted {
             self.insert(server);
         }
-        ExpiryOutcome { gone, back }
+        ExpiryOutcome { removed, restored }
     }
 
     /// When [`Directory::expire`] is next due; `None` if nothing is pending.
--- a/crates/rookferry_core/src/serving/propagation_budget.rs
+++ b/crates/rookferry_core/src/serving/propagation_budget.rs
@@ -40,11 +40,11 @@
     /// The connection of the store reader's watch was lost without an error.
     SilentWatch,
     /// The store reader exited, or is cut off from its domain.
-    ReaderGone,
+    ReaderLost,
     /// The store reader is cut off from the store, and reports it.
-    ReaderCutOff,
+    ReaderDisconnected,
     /// The store reader's last report is too old.
-    OldWord,
+    StaleReport,
     /// Calls to the store failed before; the first-ranked instance is the first to read
     /// it.
     AfterFailures,
@@ -55,9 +55,9 @@
     pub const ALL: [Self; 6] = [
         Self::Watch,
         Self::SilentWatch,
-        Self::ReaderGone,
-        Self::ReaderCutOff,
-        Self::OldWord,
+        Self::ReaderLost,
+        Self::ReaderDisconnected,
+        Self::StaleReport,
         Self::AfterFailures,
     ];
 }
@@ -147,17 +147,17 @@
 
     /// Longest time from the store's statement to the last instance of a domain.
     #[must_use]
-    pub fn worst_case(&self, way: PropagationPath) -> Duration {
-        let until_read = match way {
+    pub fn worst_case(&self, path: PropagationPath) -> Duration {
+        let until_read = match path {
             PropagationPath::Watch => Duration::ZERO,
             PropagationPath::SilentWatch => self.watch_wait() + self.overdue(),
-            PropagationPath::ReaderGone => self.reader_timeout() + self.poll_interval(),
-            PropagationPath::ReaderCutOff => {
+            PropagationPath::ReaderLost => self.reader_timeout() + self.poll_interval(),
+            PropagationPath::ReaderDisconnected => {
                 self.watch_wait() + self.overdue() + self.delivery() + self.poll_interval()
             }
             // The last confirmation is up to one wait old when the store reader falls
             // silent.
-            PropagationPath::OldWord => {
+            PropagationPath::StaleReport => {
                 self.max_report_age().saturating_sub(self.watch_wait())
                     + self.rank_delay(usize::MAX)
                     + self.poll_interval()
--- a/crates/rookferry_core/src/serving/quarantine/mod.rs
+++ b/crates/rookferry_core/src/serving/quarantine/mod.rs
@@ -77,7 +77,7 @@
         servers: usize,
     },
     /// It is quarantined.
-    Held {
+    Quarantined {
         /// Time until the quarantine ends.
         left: Duration,
     },
@@ -89,7 +89,7 @@
     /// It did not.
     None,
     /// The request was quarantined.
-    Held,
+    Quarantined,
     /// The quarantine ended, since a run of the request succeeded.
     Released,
 }
@@ -212,7 +212,7 @@
             return Suspicion::None;
         };
         if let Some(left) = record.quarantine_left(now) {
-            return Suspicion::Held { left };
+            return Suspicion::Quarantined { left };
         }
         match record.crashes.len() {
             0 => Suspicion::None,
@@ -365,7 +365,7 @@
             self.records.remove(&signature);
         }
         match (was_quarantined, is_quarantined) {
-            (false, true) => QuarantineChange::Held,
+            (false, true) => QuarantineChange::Quarantined,
             (true, false) => QuarantineChange::Released,
             _ => QuarantineChange::None,
         }
--- a/crates/rookferry_core/tests/quarantine.rs
+++ b/crates/rookferry_core/tests/quarantine.rs
@@ -30,7 +30,10 @@
 }
 
 fn is_held(quarantine: &Quarantine, signature: RequestSignature, now: Instant) -> bool {
-    matches!(quarantine.suspicion(signature, now), Suspicion::Held { .. })
+    matches!(
+        quarantine.suspicion(signature, now),
+        Suspicion::Quarantined { .. }
+    )
 }
 
 /// Time between the ends of servers under a request at fault.
@@ -115,7 +118,7 @@
     quarantine.record_crash(signature(1), end_at(0, progress, now), now);
     assert!(!is_held(&quarantine, signature(1), now));
     let change = quarantine.record_crash(signature(1), end_at(servers, progress, now), now);
-    assert_eq!(change, QuarantineChange::Held);
+    assert_eq!(change, QuarantineChange::Quarantined);
     assert!(is_held(&quarantine, signature(1), now));
     assert_eq!(quarantine.suspicion(signature(2), now), Suspicion::None);
 }
@@ -126,7 +129,7 @@
     let start = Instant::now();
     end_begun(&mut one, signature(1), 3, start);
     for seen in one.next_advertised(ALL, start) {
-        assert_eq!(other.merge(&seen, start), QuarantineChange::Held);
+        assert_eq!(other.merge(&seen, start), QuarantineChange::Quarantined);
     }
     let late = one.advertised_at_start(ALL, start);
     // A run that was under way elsewhere ends well.
@@ -181,7 +184,7 @@
     assert!(!is_held(&quarantine, signature(1), later));
     let end = end_at(9, RunProgress::Begun, later);
     let change = quarantine.record_crash(signature(1), end, later);
-    assert_eq!(change, QuarantineChange::Held);
+    assert_eq!(change, QuarantineChange::Quarantined);
     assert!(is_held(&quarantine, signature(1), later + 9 * MINUTE));
 }
 
@@ -485,7 +488,7 @@
         let changes = quarantine.record_crashes(&ends, at);
         let now_held = changes
             .into_iter()
-            .filter(|(_, change)| *change == QuarantineChange::Held);
+            .filter(|(_, change)| *change == QuarantineChange::Quarantined);
         held.extend(now_held.map(|(signature, _)| signature));
     }
     assert_eq!(held, [signature(0)]);
--- a/crates/rookferry_core/tests/serving.rs
+++ b/crates/rookferry_core/tests/serving.rs
@@ -175,7 +175,7 @@
     assert_eq!(ids(&directory), ["1", "2", "3"]);
     directory.apply(DirectoryChange::Updated(server("2")), start);
     assert!(directory.expire(start + grace / 2, grace).is_empty());
-    let gone = directory.expire(start + grace, grace).gone;
+    let gone = directory.expire(start + grace, grace).removed;
     assert_eq!(gone.len(), 1);
     assert_eq!(ids(&directory), ["1", "2"]);
     assert_eq!(directory.expires_at(grace), None);
--- a/crates/rookferry_core/tests/store_era.rs
+++ b/crates/rookferry_core/tests/store_era.rs
@@ -25,9 +25,9 @@
 const STANDS_FOR: Duration = Duration::from_secs(5);
 /// A list from right after a restore.
 const RESTORED: ListUncertainty = ListUncertainty {
-    may_lack: true,
-    may_be_old: Some(STANDS_FOR),
-    may_have_gone_unseen: true,
+    may_be_incomplete: true,
+    may_be_outdated: Some(STANDS_FOR),
+    may_have_unseen_removals: true,
 };
 
 #[test]
@@ -149,7 +149,7 @@
     } else {
         assert_eq!(directory.expires_at(GRACE), Some(now + STANDS_FOR));
         let expired = directory.expire(now + STANDS_FOR, GRACE);
-        assert_eq!(expired.back, ["a".into()]);
+        assert_eq!(expired.restored, ["a".into()]);
     }
     assert_eq!(used(&directory), ["a"]);
 }
@@ -184,7 +184,7 @@
     directory.replace(Vec::new(), RESTORED, now);
     assert_eq!(used(&directory), ["a"]);
     let expired = directory.expire(now + GRACE, GRACE);
-    assert_eq!(expired.gone, ["a".into()], "it did not write again");
+    assert_eq!(expired.removed, ["a".into()], "it did not write again");
 }
 
 #[test]
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -308,7 +308,7 @@
         let run = BrokenRun {
             signature: self.signature,
             request: self.request_id.to_string(),
-            end: RunCrash {
+            crash: RunCrash {
                 server: server.key(),
                 run: rand::random(),
                 progress: RunProgress::Begun,
--- a/crates/rookferry_entry/src/quarantine.rs
+++ b/crates/rookferry_entry/src/quarantine.rs
@@ -132,7 +132,7 @@
     pub(crate) fn held_for(&self, signature: RequestSignature) -> Option<Duration> {
         let suspicion = self.quarantine.calls().suspicion(signature, clock::now());
         match suspicion {
-            Suspicion::Held { left } => Some(left),
+            Suspicion::Quarantined { left } => Some(left),
             Suspicion::None | Suspicion::Suspected { .. } => None,
         }
     }
@@ -153,12 +153,12 @@
     pub(crate) fn run_broke(self: &Arc<Self>, run: BrokenRun, server: Server) {
         let noted = self.quarantine.broken().record(run, clock::now());
         match noted {
-            BrokenRunStatus::Ended(run) => self.runs_crashed(&[run]),
-            BrokenRunStatus::Unasked => {
+            BrokenRunStatus::ServerExited(run) => self.runs_crashed(&[run]),
+            BrokenRunStatus::Unprobed => {
                 let entry = self.clone();
                 tokio::spawn(async move { entry.check_ended(&server).await });
             }
-            BrokenRunStatus::Asked => {}
+            BrokenRunStatus::ProbePending => {}
         }
     }
 
@@ -214,13 +214,13 @@
 
     /// A server ended under some runs.
     fn runs_crashed(&self, runs: &[BrokenRun]) {
-        let ends: Vec<_> = runs.iter().map(|run| (run.signature, run.end)).collect();
+        let ends: Vec<_> = runs.iter().map(|run| (run.signature, run.crash)).collect();
         let changes = self.quarantine.calls().record_crashes(&ends, clock::now());
         for run in runs {
             counter!("rookferry_runs_crashed_total").increment(1);
             warn!(self.log, "request: a server ended under it"; "part" => "quarantine",
                 "request_id" => &run.request, "signature" => %run.signature,
-                "server" => %run.end.server.addr, "progress" => ?run.end.progress);
+                "server" => %run.crash.server.addr, "progress" => ?run.crash.progress);
         }
         for (signature, change) in changes {
             self.note_change(signature, change, "own");
@@ -247,7 +247,7 @@
     fn note_change(&self, signature: RequestSignature, change: QuarantineChange, source: &str) {
         match change {
             QuarantineChange::None => {}
-            QuarantineChange::Held => {
+            QuarantineChange::Quarantined => {
                 warn!(self.log, "quarantine: a call is kept from servers";
                     "part" => "quarantine", "signature" => %signature, "source" => source);
             }
--- a/crates/rookferry_entry/src/runner.rs
+++ b/crates/rookferry_entry/src/runner.rs
@@ -246,7 +246,7 @@
         let run = BrokenRun {
             signature: self.need.signature,
             request: self.driver.stream().to_string(),
-            end: RunCrash {
+            crash: RunCrash {
                 server: server.key(),
                 run: self.run,
                 progress: self.progress,
--- a/crates/rookferry_relay/src/quarantine.rs
+++ b/crates/rookferry_relay/src/quarantine.rs
@@ -113,12 +113,12 @@
 
     /// Whether a request is kept from servers.
     pub(crate) fn is_held(&self, request: &CallerRequest) -> bool {
-        matches!(self.suspicion(request), Suspicion::Held { .. })
+        matches!(self.suspicion(request), Suspicion::Quarantined { .. })
     }
 
     /// The refusal of a request that is kept from servers.
     pub(crate) fn refusal_if_held(&self, request: &CallerRequest) -> Option<Refusal> {
-        let Suspicion::Held { left } = self.suspicion(request) else {
+        let Suspicion::Quarantined { left } = self.suspicion(request) else {
             return None;
         };
         Some(Refusal::Quarantined {
@@ -151,16 +151,16 @@
         let run = BrokenRun {
             signature: request.signature(),
             request: request.attempt.clone(),
-            end: self.run_end(broken),
+            crash: self.run_end(broken),
         };
         let noted = self.beliefs.broken_runs.lock().record(run, clock::now());
         match noted {
-            BrokenRunStatus::Ended(run) => self.note_runs_crashed(&[run]),
-            BrokenRunStatus::Unasked => {
+            BrokenRunStatus::ServerExited(run) => self.note_runs_crashed(&[run]),
+            BrokenRunStatus::Unprobed => {
                 let relay = self.clone();
                 tokio::spawn(async move { probe::check_ended(&relay, server).await });
             }
-            BrokenRunStatus::Asked => {}
+            BrokenRunStatus::ProbePending => {}
         }
     }
 
@@ -195,7 +195,7 @@
     /// A server ended under some runs.
     fn note_runs_crashed(&self, runs: &[BrokenRun]) {
         let now = clock::now();
-        let ends: Vec<_> = runs.iter().map(|run| (run.signature, run.end)).collect();
+        let ends: Vec<_> = runs.iter().map(|run| (run.signature, run.crash)).collect();
         let changes = self
             .quarantine
             .update(|quarantine| quarantine.record_crashes(&ends, now));
@@ -219,10 +219,10 @@
         };
         warn!(log, "health: a server ended under a request"; "event" => "run_crashed",
             "request" => &run.request, "signature" => %run.signature,
-            "server" => %run.end.server.addr, "servers_ended" => ends, "in_turn" => in_turn,
-            "answering" => run.end.progress == RunProgress::Answering,
-            "lasted_ms" => millis(run.end.at.saturating_duration_since(run.end.joined_at)),
-            "silent_ms" => millis(run.end.at.saturating_duration_since(run.end.alive_at)));
+            "server" => %run.crash.server.addr, "servers_ended" => ends, "in_turn" => in_turn,
+            "answering" => run.crash.progress == RunProgress::Answering,
+            "lasted_ms" => millis(run.crash.at.saturating_duration_since(run.crash.joined_at)),
+            "silent_ms" => millis(run.crash.at.saturating_duration_since(run.crash.alive_at)));
     }
 
     /// A run of a request ended well.
@@ -275,7 +275,7 @@
         let Some(log) = self.events.line(Weight::Notable) else {
             return;
         };
-        if change == QuarantineChange::Held {
+        if change == QuarantineChange::Quarantined {
             warn!(log, "quarantine: a request is kept from servers"; "event" => "request_held",
                 "signature" => %signature, "servers_ended" => ends, "source" => source);
         } else {
--- a/crates/rookferry_relay/src/sync/servers.rs
+++ b/crates/rookferry_relay/src/sync/servers.rs
@@ -164,7 +164,7 @@
         };
         let grace = self.relay.settings.bounds.lapse_grace();
         let expired = self.directory.expire(now, grace);
-        for id in &expired.gone {
+        for id in &expired.removed {
             note_removed(&self.relay, id, "it did not come back after the outage");
         }
         if !expired.is_empty() {
@@ -257,8 +257,8 @@
     fn of_stores_list(&self, now: Instant) -> ListUncertainty {
         let doubts = self.of_peers_list(now);
         ListUncertainty {
-            may_lack: self.may_lapse(now),
-            may_have_gone_unseen: doubts.may_be_old.is_some(),
+            may_be_incomplete: self.may_lapse(now),
+            may_have_unseen_removals: doubts.may_be_outdated.is_some(),
             ..doubts
         }
     }
@@ -270,9 +270,9 @@
             .old_until
             .map(|until| until.saturating_duration_since(now));
         ListUncertainty {
-            may_lack: false,
-            may_be_old: old_for.filter(|old_for| !old_for.is_zero()),
-            may_have_gone_unseen: false,
+            may_be_incomplete: false,
+            may_be_outdated: old_for.filter(|old_for| !old_for.is_zero()),
+            may_have_unseen_removals: false,
         }
     }
 }
