--- a/crates/rookferry_core/src/serving/departed.rs
+++ b/crates/rookferry_core/src/serving/departed.rs
@@ -96,10 +96,10 @@
     }
 
     /// Merges a peer's report; returns whether it is new.
-    pub fn merge(&mut self, seen: DepartureObservation, now: Instant) -> bool {
-        let age = Duration::from_millis(seen.age_ms);
+    pub fn merge(&mut self, observation: DepartureObservation, now: Instant) -> bool {
+        let age = Duration::from_millis(observation.age_ms);
         let since = now.checked_sub(age).unwrap_or(now);
-        self.record(seen.server, seen.departure, since)
+        self.record(observation.server, observation.departure, since)
     }
 
     /// Whether a server gets no new work.
@@ -127,8 +127,9 @@
             .retain(|_, (_, since)| age(since) < REMOVED_TTL);
     }
 
-    /// At most `most` departures to advertise in round `round`: the latest, and a rotating
-    /// part of the others, so that each is repeated however many servers leave at once.
+    /// At most `most` departures to advertise in this `round` of heartbeats: the latest,
+    /// and a rotating part of the others, so that each is repeated however many servers
+    /// leave at once.
     #[must_use]
     pub fn advertised(&self, most: usize, round: usize, now: Instant) -> Vec<DepartureObservation> {
         let leaving = self
@@ -143,15 +144,16 @@
             let age = now.saturating_duration_since(since);
             (age, server, departure)
         });
-        let mut told: Vec<_> = all.filter(|(age, ..)| *age < ADVERTISED_FOR).collect();
-        told.sort_unstable_by_key(|(age, server, _)| (*age, *server));
-        let told = rotation_batch(&told, most, round).into_iter();
-        told.map(|(age, server, departure)| DepartureObservation {
-            server,
-            departure,
-            age_ms: millis(age),
-        })
-        .collect()
+        let mut recent: Vec<_> = all.filter(|(age, ..)| *age < ADVERTISED_FOR).collect();
+        recent.sort_unstable_by_key(|(age, server, _)| (*age, *server));
+        let recent = rotation_batch(&recent, most, round).into_iter();
+        recent
+            .map(|(age, server, departure)| DepartureObservation {
+                server,
+                departure,
+                age_ms: millis(age),
+            })
+            .collect()
     }
 
     /// Whether no departure is stored.
--- a/crates/rookferry_core/src/serving/directory.rs
+++ b/crates/rookferry_core/src/serving/directory.rs
@@ -50,8 +50,8 @@
     /// removed is only accepted if it persists for this time, in which the entry of an
     /// exited server expires.
     pub may_be_outdated: Option<Duration>,
-    /// Like `may_be_outdated`, for servers that the previous list lacked: they may have been
-    /// removed before this instance knew of any.
+    /// Like `may_be_outdated`, for servers that the previous list lacked: they may have
+    /// been removed before this instance knew of any.
     pub may_have_unseen_removals: bool,
 }
 
--- a/crates/rookferry_core/src/serving/health.rs
+++ b/crates/rookferry_core/src/serving/health.rs
@@ -1,9 +1,9 @@
 //! Health of backend servers, from the outcome of requests and probes.
 //!
-//! Three conditions are tracked separately: a server that doesn't answer is out until a
-//! probe succeeds; one that fails a share of its requests is avoided by that share, which
-//! decays, while other servers are available; one that refused a request for lack of
-//! cache capacity counts as smaller than it published for a time.
+//! Three conditions are tracked separately: a server that doesn't answer is unresponsive
+//! until a probe succeeds; one that fails a share of its requests is avoided by that
+//! share, which decays, while other servers are available; one that refused a request for
+//! lack of cache capacity counts as smaller than it published for a time.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 struct Record {
     failing_share: f64,
     updated_at: Instant,
-    out_since: Option<Instant>,
+    unresponsive_since: Option<Instant>,
     full_at: Option<Instant>,
     capacity_refusal: Option<CapacityRefusal>,
 }
@@ -56,10 +56,11 @@
         Self::default()
     }
 
-    /// Records that a request or probe succeeded; the server is no longer out.
+    /// Records that a request or probe succeeded; the server is no longer
+    /// unresponsive.
     pub fn succeeded(&mut self, server: ServerKey, now: Instant) {
         if let Some(record) = self.records.get_mut(&server) {
-            record.out_since = None;
+            record.unresponsive_since = None;
             record.failing_share = decayed(record, now) * (1.0 - SAMPLE_WEIGHT);
             record.updated_at = now;
         }
@@ -72,11 +73,11 @@
         record.updated_at = now;
     }
 
-    /// Records that a server doesn't answer; returns whether it is newly out.
+    /// Records that a server doesn't answer; returns whether it is newly unresponsive.
     pub fn lost(&mut self, server: ServerKey, now: Instant) -> bool {
         let record = self.record(server, now);
-        let is_new = record.out_since.is_none();
-        record.out_since.get_or_insert(now);
+        let is_new = record.unresponsive_since.is_none();
+        record.unresponsive_since.get_or_insert(now);
         is_new
     }
 
@@ -118,44 +119,48 @@
         full_at.is_some_and(|at| now.saturating_duration_since(at) < FULL_FOR)
     }
 
-    /// Whether a server is out.
+    /// Whether a server is unresponsive.
     #[must_use]
-    pub fn is_out(&self, server: ServerKey) -> bool {
-        self.out_since(server).is_some()
+    pub fn is_unresponsive(&self, server: ServerKey) -> bool {
+        self.unresponsive_since(server).is_some()
     }
 
-    /// Since when a server is out; `None` if it isn't.
+    /// Since when a server has been unresponsive; `None` if it isn't.
     #[must_use]
-    pub fn out_since(&self, server: ServerKey) -> Option<Instant> {
-        self.records.get(&server)?.out_since
+    pub fn unresponsive_since(&self, server: ServerKey) -> Option<Instant> {
+        self.records.get(&server)?.unresponsive_since
     }
 
-    /// The servers that are out.
+    /// The unresponsive servers.
     #[must_use]
-    pub fn out(&self) -> Vec<ServerKey> {
-        let out = self
+    pub fn unresponsive(&self) -> Vec<ServerKey> {
+        let unresponsive = self
             .records
             .iter()
-            .filter(|(_, record)| record.out_since.is_some());
-        out.map(|(server, _)| *server).collect()
+            .filter(|(_, record)| record.unresponsive_since.is_some());
+        unresponsive.map(|(server, _)| *server).collect()
     }
 
-    /// How many servers are out.
+    /// How many servers are unresponsive.
     #[must_use]
-    pub fn out_count(&self) -> usize {
+    pub fn unresponsive_count(&self) -> usize {
         let records = self.records.values();
-        records.filter(|record| record.out_since.is_some()).count()
+        records
+            .filter(|record| record.unresponsive_since.is_some())
+            .count()
     }
 
-    /// At most `most` servers that are out, to advertise in round `round`.
+    /// At most `most` unresponsive servers to advertise in this `round` of heartbeats.
     #[must_use]
     pub fn advertised(&self, most: usize, round: usize) -> Vec<ServerKey> {
         let records = self.records.iter();
-        let out = records.filter_map(|(server, record)| Some((record.out_since?, *server)));
-        let mut out: Vec<_> = out.collect();
-        out.sort_unstable_by_key(|(since, server)| (std::cmp::Reverse(*since), *server));
-        let out: Vec<ServerKey> = out.into_iter().map(|(_, server)| server).collect();
-        rotation_batch(&out, most, round)
+        let unresponsive =
+            records.filter_map(|(server, record)| Some((record.unresponsive_since?, *server)));
+        let mut unresponsive: Vec<_> = unresponsive.collect();
+        unresponsive.sort_unstable_by_key(|(since, server)| (std::cmp::Reverse(*since), *server));
+        let unresponsive: Vec<ServerKey> =
+            unresponsive.into_iter().map(|(_, server)| server).collect();
+        rotation_batch(&unresponsive, most, round)
     }
 
     /// The decayed share of requests that failed, 0 to 1.
@@ -175,7 +180,7 @@
         self.records.entry(server).or_insert(Record {
             failing_share: 0.0,
             updated_at: now,
-            out_since: None,
+            unresponsive_since: None,
             full_at: None,
             capacity_refusal: None,
         })
--- a/crates/rookferry_core/src/serving/list_history.rs
+++ b/crates/rookferry_core/src/serving/list_history.rs
@@ -59,10 +59,10 @@
         earlier: impl IntoIterator<Item = &'a BackendServer>,
         digest: ListDigest,
     ) -> Option<Vec<BackendServer>> {
-        let gone: HashSet<EngineId> = self.gone.into_iter().collect();
+        let removed: HashSet<EngineId> = self.gone.into_iter().collect();
         let kept = earlier
             .into_iter()
-            .filter(|server| !gone.contains(&server.id));
+            .filter(|server| !removed.contains(&server.id));
         let mut list: BTreeMap<EngineId, BackendServer> = kept
             .map(|server| (server.id.clone(), server.clone()))
             .collect();
--- a/crates/rookferry_core/src/serving/mod.rs
+++ b/crates/rookferry_core/src/serving/mod.rs
@@ -12,16 +12,18 @@
 //!
 //! The platform's store: [`StoreVersion`] orders its states across restores,
 //! [`EraTracker`] detects a restore, [`StoreContact`] tracks how old the knowledge of the
-//! store is, [`PropagationBudget`] bounds how long a change may take to reach all instances,
-//! [`StartQueue`] and [`ranked_pause`] limit the load on a store at a start and in an
-//! outage. [`ConfigAge`] bounds how old the configuration may be when a request is sent.
+//! store is, [`PropagationBudget`] bounds how long a change may take to reach all
+//! instances, [`StartQueue`] and [`ranked_pause`] limit the load on a store at a start
+//! and in an outage. [`ConfigAge`] bounds how old the configuration may be when a request
+//! is sent.
 //!
 //! Choice of servers: [`ServerHealth`] records failures, [`RefusingServers`] servers that
 //! refuse work although their load is low, [`Backoffs`] servers that asked for a pause.
 //!
-//! Admission and retries: [`AdmissionQueue`] queues requests that wait for cache capacity,
-//! [`Overload`] computes the retry time of refused requests, [`LinkRateLimiter`] limits the
-//! prompts that cross the link between failure domains, [`RetryWindow`] limits retries.
+//! Admission and retries: [`AdmissionQueue`] queues requests that wait for cache
+//! capacity, [`Overload`] computes the retry time of refused requests,
+//! [`LinkRateLimiter`] limits the prompts that cross the link between failure domains,
+//! [`RetryWindow`] limits retries.
 //!
 //! Quarantine: [`RequestSignature`] recognises a request that is sent again,
 //! [`Quarantine`] withholds requests that crash servers, and [`BrokenRuns`] keeps broken
--- a/crates/rookferry_core/src/serving/propagation_budget.rs
+++ b/crates/rookferry_core/src/serving/propagation_budget.rs
@@ -117,8 +117,7 @@
     }
 
     /// Age up to which the peers' knowledge of the store is relied on. With a working
-    /// store reader it is up to two waits of its watch old, plus the overdue time and a
-    /// heartbeat.
+    /// store reader it is up to two waits of its watch and a heartbeat old.
     #[must_use]
     pub fn max_report_age(&self) -> Duration {
         2 * self.watch_wait() + self.overdue() + self.delivery()
--- a/crates/rookferry_core/src/serving/quarantine/mod.rs
+++ b/crates/rookferry_core/src/serving/quarantine/mod.rs
@@ -191,13 +191,13 @@
     }
 
     /// Merges a peer's report.
-    pub fn merge(&mut self, seen: &SuspectObservation, now: Instant) -> QuarantineChange {
+    pub fn merge(&mut self, observation: &SuspectObservation, now: Instant) -> QuarantineChange {
         let before = |age_ms: u64| now.checked_sub(Duration::from_millis(age_ms));
-        let crashes = seen.ends.iter().take(MAX_CRASHES);
+        let crashes = observation.ends.iter().take(MAX_CRASHES);
         let crashes = crashes.filter_map(|crash| crash.crash(now));
-        let finished_at = seen.finished_ms.and_then(before);
-        let quarantined_at = seen.held_ms.and_then(before);
-        self.update(seen.signature, now, |record| {
+        let finished_at = observation.finished_ms.and_then(before);
+        let quarantined_at = observation.held_ms.and_then(before);
+        self.update(observation.signature, now, |record| {
             let is_finished = finished_at.is_some_and(|at| record.record_success(at));
             let new_crashes = crashes.filter(|crash| record.add(*crash)).count();
             let is_quarantined = quarantined_at.is_some_and(|at| record.merge_quarantine(at));
@@ -266,12 +266,12 @@
             record.rounds_left -= 1;
             advertised.push(record.observation(*signature, now));
         }
-        if let Some(held) = self.next_quarantined(now) {
+        if let Some(quarantined) = self.next_quarantined(now) {
             let is_advertised = advertised
                 .iter()
-                .any(|seen| seen.signature == held.signature);
+                .any(|observation| observation.signature == quarantined.signature);
             if !is_advertised && advertised.len() < most {
-                advertised.push(held);
+                advertised.push(quarantined);
             }
         }
         advertised
@@ -280,20 +280,21 @@
     /// What to send to an instance that has just started.
     #[must_use]
     pub fn advertised_at_start(&self, most: usize, now: Instant) -> Vec<SuspectObservation> {
-        let held = self.quarantined(now).take(most);
-        held.filter_map(|(signature, _)| {
-            let record = self.records.get(&signature)?;
-            Some(record.observation(signature, now))
-        })
-        .collect()
+        let quarantined = self.quarantined(now).take(most);
+        quarantined
+            .filter_map(|(signature, _)| {
+                let record = self.records.get(&signature)?;
+                Some(record.observation(signature, now))
+            })
+            .collect()
     }
 
     fn next_quarantined(&mut self, now: Instant) -> Option<SuspectObservation> {
-        let held = || self.quarantined(now).map(|(signature, _)| signature);
-        let after = held()
+        let quarantined = || self.quarantined(now).map(|(signature, _)| signature);
+        let after = quarantined()
             .filter(|signature| Some(*signature) > self.last_advertised)
             .min();
-        let next = after.or_else(|| held().min())?;
+        let next = after.or_else(|| quarantined().min())?;
         self.last_advertised = Some(next);
         Some(self.records.get(&next)?.observation(next, now))
     }
--- a/crates/rookferry_core/src/serving/quarantine/record.rs
+++ b/crates/rookferry_core/src/serving/quarantine/record.rs
@@ -20,9 +20,9 @@
 /// retry two more, so a request that merely ran beside the cause each time is still
 /// served.
 const QUARANTINE_POINTS: u32 = 5;
-/// The same for a request that succeeded within [`QUARANTINE_PERIOD`] before: five servers that
-/// crashed at the start of a run. A faulty request has no successful run, so this one
-/// most likely ran beside the cause, as requests do that many callers send.
+/// The same for a request that succeeded within [`QUARANTINE_PERIOD`] before: five
+/// servers that crashed at the start of a run. A faulty request has no successful run, so
+/// this one most likely ran beside the cause, as requests do that many callers send.
 const QUARANTINE_POINTS_AFTER_SUCCESS: u32 = 10;
 
 #[derive(Clone, Debug)]
--- a/crates/rookferry_core/src/serving/quarantine_object.rs
+++ b/crates/rookferry_core/src/serving/quarantine_object.rs
@@ -39,12 +39,12 @@
     #[must_use]
     pub fn with(
         &self,
-        held: impl IntoIterator<Item = (RequestSignature, Duration)>,
+        quarantined: impl IntoIterator<Item = (RequestSignature, Duration)>,
         now: Duration,
     ) -> Self {
         let stored = self.requests();
         let mut since_by_request = BTreeMap::new();
-        for (signature, since) in stored.chain(held) {
+        for (signature, since) in stored.chain(quarantined) {
             let known = since_by_request.entry(signature).or_insert(since);
             *known = since.max(*known);
         }
@@ -66,8 +66,8 @@
     /// The object without the requests for which `is_left_out` is true.
     #[must_use]
     pub fn without(&self, is_left_out: impl Fn(RequestSignature) -> bool) -> Self {
-        let is_kept = |held: &&QuarantinedRequest| {
-            let signature = held.signature.parse();
+        let is_kept = |request: &&QuarantinedRequest| {
+            let signature = request.signature.parse();
             !signature.is_ok_and(&is_left_out)
         };
         Self {
@@ -78,9 +78,9 @@
     /// The requests, each with the start of its quarantine as Unix time. Signatures that
     /// can't be parsed are skipped.
     pub fn requests(&self) -> impl Iterator<Item = (RequestSignature, Duration)> {
-        self.held.iter().filter_map(|held| {
-            let signature = held.signature.parse().ok()?;
-            Some((signature, Duration::from_millis(held.since_ms)))
+        self.held.iter().filter_map(|request| {
+            let signature = request.signature.parse().ok()?;
+            Some((signature, Duration::from_millis(request.since_ms)))
         })
     }
 }
--- a/crates/rookferry_core/src/serving/refusing_servers.rs
+++ b/crates/rookferry_core/src/serving/refusing_servers.rs
@@ -72,8 +72,8 @@
     }
 
     /// Records a refusal by a server whose load is known as `used_tokens` of
-    /// `capacity_tokens`. Returns whether the load was low enough for the server to count as
-    /// refusing.
+    /// `capacity_tokens`. Returns whether the load was low enough for the server to count
+    /// as refusing.
     pub fn refused(
         &mut self,
         server: ServerKey,
@@ -94,17 +94,17 @@
 
     /// Merges a peer's report; returns whether the server is refusing due to it and
     /// wasn't before.
-    pub fn merge(&mut self, seen: RefusingObservation, now: Instant) -> bool {
-        let Some(at) = now.checked_sub(Duration::from_millis(seen.age_ms)) else {
+    pub fn merge(&mut self, observation: RefusingObservation, now: Instant) -> bool {
+        let Some(at) = now.checked_sub(Duration::from_millis(observation.age_ms)) else {
             return false;
         };
-        let was_refusing = self.is_refusing(seen.server, now);
-        let record = self.record(seen.server);
+        let was_refusing = self.is_refusing(observation.server, now);
+        let record = self.record(observation.server);
         if record.refused_at.max(record.accepted_at) < Some(at) {
             record.refused_at = Some(at);
-            record.refusals = seen.refusals.clamp(1, MAX_REFUSALS);
+            record.refusals = observation.refusals.clamp(1, MAX_REFUSALS);
         }
-        !was_refusing && self.is_refusing(seen.server, now)
+        !was_refusing && self.is_refusing(observation.server, now)
     }
 
     /// Records that a server accepted work.
@@ -128,22 +128,22 @@
         record.is_some_and(|record| record.is_refusing(self.delay_factor, now))
     }
 
-    /// At most `most` refusing servers to advertise in round `round`.
+    /// At most `most` refusing servers to advertise in this `round` of heartbeats.
     #[must_use]
     pub fn advertised(&self, most: usize, round: usize, now: Instant) -> Vec<RefusingObservation> {
-        let mut seen = self.observations(now);
-        seen.sort_unstable_by_key(|seen| (seen.age_ms, seen.server));
-        rotation_batch(&seen, most, round)
+        let mut observations = self.observations(now);
+        observations.sort_unstable_by_key(|observation| (observation.age_ms, observation.server));
+        rotation_batch(&observations, most, round)
     }
 
     /// All refusing servers.
     #[must_use]
     pub fn observations(&self, now: Instant) -> Vec<RefusingObservation> {
-        let closed = self
+        let refusing = self
             .records
             .iter()
             .filter(|(_, record)| record.is_refusing(self.delay_factor, now));
-        let seen = closed.filter_map(|(server, record)| {
+        let observations = refusing.filter_map(|(server, record)| {
             let age = now.saturating_duration_since(record.refused_at?);
             Some(RefusingObservation {
                 server: *server,
@@ -151,7 +151,7 @@
                 refusals: record.refusals,
             })
         });
-        seen.collect()
+        observations.collect()
     }
 
     /// Drops servers for which `is_known` is false.
--- a/crates/rookferry_core/src/serving/rotation.rs
+++ b/crates/rookferry_core/src/serving/rotation.rs
@@ -8,8 +8,8 @@
 /// fit.
 const LATEST_DIVISOR: usize = 4;
 
-/// The reports to advertise in round `round`, at most `most`: the latest, and a rotating
-/// part of the others. `all` has the latest first.
+/// The reports to advertise in this `round` of heartbeats, at most `most`: the latest,
+/// and a rotating part of the others. `all` has the latest first.
 pub(crate) fn rotation_batch<T: Copy>(all: &[T], most: usize, round: usize) -> Vec<T> {
     if all.len() <= most {
         return all.to_vec();
--- a/crates/rookferry_core/tests/peers.rs
+++ b/crates/rookferry_core/tests/peers.rs
@@ -131,7 +131,7 @@
         let now = start + Duration::from_millis(300) * u32::try_from(turn).expect("a turn");
         let beat = Heartbeat {
             out: health.advertised(MOST, turn),
-            out_count: u32::try_from(health.out().len()).expect("a count"),
+            out_count: u32::try_from(health.unresponsive().len()).expect("a count"),
             ..bare_heartbeat(from, 0)
         };
         assert!(beat.out.len() <= MOST);
--- a/crates/rookferry_core/tests/server_starts.rs
+++ b/crates/rookferry_core/tests/server_starts.rs
@@ -166,8 +166,8 @@
         refusals: 3,
     };
     closed.merge(told, now);
-    assert!(health.is_out(former) && closed.is_refusing(former, now));
-    assert!(!health.is_out(new) && !health.is_full(new, now));
+    assert!(health.is_unresponsive(former) && closed.is_refusing(former, now));
+    assert!(!health.is_unresponsive(new) && !health.is_full(new, now));
     assert!(!closed.is_refusing(new, now));
 }
 
--- a/crates/rookferry_core/tests/serving.rs
+++ b/crates/rookferry_core/tests/serving.rs
@@ -199,9 +199,9 @@
     let mut health = ServerHealth::new();
     assert!(health.lost(addr, start));
     assert!(!health.lost(addr, start), "no news the second time");
-    assert!(health.is_out(addr));
+    assert!(health.is_unresponsive(addr));
     health.succeeded(addr, start);
-    assert!(!health.is_out(addr));
+    assert!(!health.is_unresponsive(addr));
     for _ in 0..8 {
         health.failed(addr, start);
     }
--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -264,7 +264,7 @@
 
     /// What is known of a stage of a path in use.
     pub(crate) fn stage_state(&self, table: &ServerTable, stage: &PathStage) -> StageState {
-        if self.beliefs.health().is_out(stage.server) {
+        if self.beliefs.health().is_unresponsive(stage.server) {
             return StageState::Lost;
         }
         // One that has started again has nothing of the request.
@@ -312,7 +312,7 @@
     pub(crate) fn takes(&self, server: &BackendServer, at: Instant) -> bool {
         let refused = self.book.refused_until(server.key, self.urgency, at);
         !server.is_leaving
-            && !self.health.is_out(server.key)
+            && !self.health.is_unresponsive(server.key)
             && !self.departed.contains(server.key)
             && self.backoffs.until(server.key, at).is_none()
             && refused.is_none()
--- a/crates/rookferry_relay/src/path_keeper/repair.rs
+++ b/crates/rookferry_relay/src/path_keeper/repair.rs
@@ -54,7 +54,7 @@
             if lost.contains(&first) {
                 // One that takes no new connections may still serve this one.
                 let stands_still = clock::since(self.stalled_since) >= STALL_AFTER;
-                let is_out = self.relay.beliefs.health().is_out(first.server);
+                let is_out = self.relay.beliefs.health().is_unresponsive(first.server);
                 return if is_out && stands_still {
                     Watched::FirstLost
                 } else {
--- a/crates/rookferry_relay/src/peers/compose.rs
+++ b/crates/rookferry_relay/src/peers/compose.rs
@@ -95,7 +95,10 @@
         });
         let (out, out_count) = {
             let health = self.relay.beliefs.health();
-            (health.advertised(MAX_OUT, turn), health.out_count())
+            (
+                health.advertised(MAX_OUT, turn),
+                health.unresponsive_count(),
+            )
         };
         let closed = self.relay.beliefs.closed().advertised(MAX_OUT, turn, now);
         let (members, instances, is_joining) = {
--- a/crates/rookferry_relay/src/placement/census.rs
+++ b/crates/rookferry_relay/src/placement/census.rs
@@ -66,7 +66,7 @@
             .collect();
         let health = self.relay.beliefs.health();
         let is_lost = |server| {
-            let since = health.out_since(server);
+            let since = health.unresponsive_since(server);
             since.is_some_and(|since| now.saturating_duration_since(since) >= LOST_AFTER)
         };
         let lost = staying.iter().filter(|server| is_lost(server.key)).count();
--- a/crates/rookferry_relay/src/probe.rs
+++ b/crates/rookferry_relay/src/probe.rs
@@ -48,7 +48,7 @@
 
 /// Whether an engine gives a sign within the bound; marks it lost if not.
 pub(crate) async fn check(relay: &Relay, upstream: Upstream) -> bool {
-    if relay.beliefs.health().is_out(upstream.server) {
+    if relay.beliefs.health().is_unresponsive(upstream.server) {
         return false;
     }
     let request = relay.protocol.report_call().request(upstream.server.addr);
@@ -94,7 +94,7 @@
     else {
         return;
     };
-    if relay.beliefs.health().is_out(server)
+    if relay.beliefs.health().is_unresponsive(server)
         || relay.beliefs.backoff_left(server).is_some()
         || !relay
             .beliefs
@@ -111,7 +111,7 @@
 /// Asks a server that a run broke at whether it is still there, whatever was
 /// asked of it just before. One that is out is being probed.
 pub(crate) async fn check_ended(relay: &Relay, server: ServerKey) {
-    if relay.beliefs.health().is_out(server) {
+    if relay.beliefs.health().is_unresponsive(server) {
         return;
     }
     let view = relay.view.load_full();
@@ -188,7 +188,7 @@
     let mut due: HashMap<ServerKey, (Instant, Duration)> = HashMap::new();
     loop {
         tokio::time::sleep(ROUND).await;
-        let out = relay.beliefs.health().out();
+        let out = relay.beliefs.health().unresponsive();
         due.retain(|server, _| out.contains(server));
         let now = clock::now();
         for server in out {
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -343,7 +343,7 @@
     pub(crate) fn server_answered(&self, server: ServerKey) {
         self.beliefs.broken_runs.server_answered(server);
         let mut health = self.beliefs.health();
-        let out_since = health.out_since(server);
+        let out_since = health.unresponsive_since(server);
         health.succeeded(server, clock::now());
         drop(health);
         let Some(since) = out_since else {
