--- a/crates/rookferry_core/src/serving/broken_runs.rs
+++ b/crates/rookferry_core/src/serving/broken_runs.rs
@@ -1,25 +1,26 @@
-//! Runs that broke, until it is known whether their server has ended.
+//! Broken runs whose server isn't known yet to have exited.
 //!
-//! A connection that breaks in the middle of a run says little: it may have
-//! been reset on its way, or the server may have broken off one answer. Only a
-//! server that refuses connections, or answers as another start, has ended, and
-//! each run that it had may be why.
+//! A connection that breaks in the middle of a run isn't proof of a crash: it may have
+//! been reset on the network, or the server may have aborted one answer. Only a server
+//! that refuses connections, or answers as another start, has exited, and any of the runs
+//! that it had may be the cause. So a broken run waits here until a probe of its server
+//! decides; then the caller records it as a crash or drops it.
 
 use std::collections::HashMap;
 use std::time::Duration;
 use std::time::Instant;
 
 use super::RequestSignature;
-use super::RunEnd;
+use super::RunCrash;
 use super::ServerKey;
 
-/// How long a broken run waits for word of its server: a probe takes up to
-/// 0.6 s, and a second one follows 0.3 s later.
-const UNDECIDED_KEPT: Duration = Duration::from_secs(2);
-/// How long it is kept that a server has ended; a stream that stands still
-/// finds its run broken within seconds.
-const ENDED_KEPT: Duration = Duration::from_mins(1);
-/// Most broken runs that wait: what ten engines have under way.
+/// How long a broken run waits for a probe of its server: a probe takes up to 0.6 s, and
+/// a second one follows 0.3 s later.
+const UNDECIDED_TTL: Duration = Duration::from_secs(2);
+/// How long the exit of a server is remembered. A stalled stream finds its run broken
+/// within seconds.
+const EXITED_TTL: Duration = Duration::from_mins(1);
+/// Most broken runs that wait; ten engines have about that many requests in flight.
 const MAX_UNDECIDED: usize = 2_048;
 
 /// A run that broke.
@@ -27,70 +28,70 @@
 pub struct BrokenRun {
     /// The request's signature.
     pub signature: RequestSignature,
-    /// Its id, for logs.
+    /// The request's id, for logs.
     pub request: String,
-    /// The end that it met, if the server has ended.
-    pub end: RunEnd,
+    /// The crash to record if the server has exited.
+    pub crash: RunCrash,
 }
 
-/// What is known when a run breaks.
+/// What is known of the server when a run breaks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BrokenRunNoted {
-    /// Its server has ended.
-    Ended(BrokenRun),
-    /// Nobody knows yet, and nobody asks.
-    Unasked,
-    /// Nobody knows yet; it is being asked.
-    Asked,
+pub enum BrokenRunStatus {
+    /// The server has exited; the run isn't stored.
+    ServerExited(BrokenRun),
+    /// Unknown; the caller is to probe the server.
+    Unprobed,
+    /// Unknown; an earlier broken run has caused a probe already.
+    ProbePending,
 }
 
-/// The runs that broke lately.
+/// Broken runs that are undecided, and servers that exited lately.
 #[derive(Clone, Debug, Default)]
 pub struct BrokenRuns {
     undecided: Vec<(BrokenRun, Instant)>,
-    /// Servers that have ended, for runs that are found broken later.
-    ended: HashMap<ServerKey, Instant>,
+    /// When servers exited, for runs that are found broken later.
+    exited: HashMap<ServerKey, Instant>,
 }
 
 impl BrokenRuns {
-    /// None.
+    /// No broken runs.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A run broke.
-    pub fn note(&mut self, run: BrokenRun, now: Instant) -> BrokenRunNoted {
+    /// Records a broken run and returns what is known of its server.
+    pub fn record(&mut self, run: BrokenRun, now: Instant) -> BrokenRunStatus {
         self.expire(now);
-        if self.ended.contains_key(&run.end.server) {
-            return BrokenRunNoted::Ended(run);
+        if self.exited.contains_key(&run.crash.server) {
+            return BrokenRunStatus::ServerExited(run);
         }
         let mut undecided = self.undecided.iter();
-        let is_asked = undecided.any(|(known, _)| known.end.server == run.end.server);
+        let is_probed = undecided.any(|(known, _)| known.crash.server == run.crash.server);
         if self.undecided.len() < MAX_UNDECIDED {
             self.undecided.push((run, now));
         }
-        if is_asked {
-            BrokenRunNoted::Asked
+        if is_probed {
+            BrokenRunStatus::ProbePending
         } else {
-            BrokenRunNoted::Unasked
+            BrokenRunStatus::Unprobed
         }
     }
 
-    /// A server has ended; gives back the runs that broke with it.
-    pub fn server_ended(&mut self, server: ServerKey, now: Instant) -> Vec<BrokenRun> {
+    /// Records that a server has exited, and removes and returns its broken runs.
+    pub fn server_exited(&mut self, server: ServerKey, now: Instant) -> Vec<BrokenRun> {
         self.expire(now);
-        self.ended.insert(server, now);
+        self.exited.insert(server, now);
         self.take(server)
     }
 
-    /// A server answers: its broken runs, which are given back, have another
-    /// cause.
+    /// Removes and returns the broken runs of a server that is still running: they have
+    /// another cause.
     pub fn server_answered(&mut self, server: ServerKey) -> Vec<BrokenRun> {
         self.take(server)
     }
 
-    /// Whether it isn't known yet of a server at which a request's run broke.
+    /// Whether a run of the request waits for a probe of its server.
     #[must_use]
     pub fn is_undecided(&self, signature: RequestSignature) -> bool {
         let mut undecided = self.undecided.iter();
@@ -99,15 +100,15 @@
 
     fn expire(&mut self, now: Instant) {
         self.undecided
-            .retain(|(_, at)| now.saturating_duration_since(*at) < UNDECIDED_KEPT);
-        self.ended
-            .retain(|_, at| now.saturating_duration_since(*at) < ENDED_KEPT);
+            .retain(|(_, at)| now.saturating_duration_since(*at) < UNDECIDED_TTL);
+        self.exited
+            .retain(|_, at| now.saturating_duration_since(*at) < EXITED_TTL);
     }
 
     fn take(&mut self, server: ServerKey) -> Vec<BrokenRun> {
         let taken = self
             .undecided
-            .extract_if(.., |(run, _)| run.end.server == server);
+            .extract_if(.., |(run, _)| run.crash.server == server);
         taken.map(|(run, _)| run).collect()
     }
 }
--- a/crates/rookferry_core/src/serving/era_tracker.rs
+++ b/crates/rookferry_core/src/serving/era_tracker.rs
@@ -1,35 +1,35 @@
-//! Which era the platform's store is in, from answers that may be late, tell
-//! nothing, or tell something that isn't so.
+//! The store's era (how often it has been restored from a backup), derived from answers
+//! that may be late, lack an era or state a wrong one.
 //!
-//! An answer to a call from before a later era was heard of is late. One that tells
-//! a lower era though it was asked after is the store's own word that there is no
-//! such later era: without that, a single wrong number would have all later answers
+//! An answer to a call that was sent before a later era became known is late. If a call
+//! was sent afterwards and its answer states a lower era, the store itself denies the
+//! later era. Without this rule a single wrong number would cause all later answers to be
 //! dropped.
 
 use std::time::Instant;
 
 use rookferry_wire::StoreEra;
 
-/// What the era of an answer says of it.
+/// How the era in an answer relates to the known era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EraVerdict {
-    /// It is of the known era, or tells none.
+    /// The same era, or the answer states none.
     Current,
-    /// It is the first of another era; what was known of revisions is void.
+    /// A different era; what was known of revisions is void.
     Changed {
         /// The era known before.
         before: Option<StoreEra>,
     },
-    /// It is of an era that is over.
+    /// An outdated era.
     Late,
 }
 
-/// The era of the store, as one instance knows it.
+/// The store's era, as one instance knows it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EraTracker {
     known: Option<StoreEra>,
     known_since: Option<Instant>,
-    /// The lowest era that was heard of and that the store has denied.
+    /// The lowest era that was reported and that the store has denied.
     denied: Option<StoreEra>,
 }
 
@@ -44,50 +44,51 @@
         }
     }
 
-    /// The era; 0 while none was heard of.
+    /// The era; 0 while none is known.
     #[must_use]
     pub fn era(&self) -> StoreEra {
         self.known.unwrap_or(0)
     }
 
-    /// Takes in what an answer of the store tells; it was asked at a time.
+    /// Evaluates the era in an answer of the store to a call that was sent at `asked_at`.
     pub fn observe(
         &mut self,
-        told: Option<StoreEra>,
+        stated: Option<StoreEra>,
         asked_at: Instant,
         now: Instant,
     ) -> EraVerdict {
-        let Some(told) = told else {
+        let Some(stated) = stated else {
             return EraVerdict::Current;
         };
         let before = self.known;
-        if before == Some(told) {
+        if before == Some(stated) {
             return EraVerdict::Current;
         }
-        if let Some(known) = before.filter(|known| told < *known) {
+        if let Some(known) = before.filter(|known| stated < *known) {
             if self.known_since.is_some_and(|since| asked_at < since) {
                 return EraVerdict::Late;
             }
             self.denied = Some(self.denied.map_or(known, |denied| denied.min(known)));
-        } else if self.is_denied(told) {
+        } else if self.is_denied(stated) {
             self.denied = None;
         }
-        self.known = Some(told);
+        self.known = Some(stated);
         self.known_since = Some(now);
         EraVerdict::Changed { before }
     }
 
-    /// Another instance knows of an era; tells whether it is news here.
-    pub fn hear(&mut self, era: StoreEra, now: Instant) -> bool {
-        let is_news = self.era() < era && !self.is_denied(era);
-        if is_news {
+    /// Merges an era that a peer reported; returns whether it is later than the known
+    /// one.
+    pub fn merge(&mut self, era: StoreEra, now: Instant) -> bool {
+        let is_new = self.era() < era && !self.is_denied(era);
+        if is_new {
             self.known = Some(era);
             self.known_since = Some(now);
         }
-        is_news
+        is_new
     }
 
-    /// Whether the store has said that there is no such era.
+    /// Whether the store has denied the era, or a lower one.
     #[must_use]
     pub fn is_denied(&self, era: StoreEra) -> bool {
         self.denied.is_some_and(|denied| era >= denied)
--- a/crates/rookferry_core/src/serving/health.rs
+++ b/crates/rookferry_core/src/serving/health.rs
@@ -1,28 +1,28 @@
-//! Which servers failed lately, from what requests met.
+//! Health of backend servers, from the outcome of requests and probes.
 //!
-//! Three things are kept apart: a server that didn't answer at all is out until
-//! a probe finds it, one that fails part of its requests is avoided by a
-//! decaying share while others are there, and one that had no room for a
-//! request counts as smaller than published until that has worn off.
+//! Three conditions are tracked separately: a server that doesn't answer is unresponsive
+//! until a probe succeeds; one that fails a share of its requests is avoided by that
+//! share, which decays, while other servers are available; one that refused a request for
+//! lack of cache capacity counts as smaller than it published for a time.
 
 use std::collections::HashMap;
 use std::time::Duration;
 use std::time::Instant;
 
 use super::ServerKey;
-use super::turns::told_in_turn;
+use super::rotation::rotation_batch;
 
-/// Time after which a failure counts for about a third.
+/// Time constant of the decay: a failure counts for about a third after it.
 const DECAY: Duration = Duration::from_secs(3);
-/// How long a server that turned a request away for want of room counts as
-/// full; about the time in which a few requests end there.
+/// How long a server that refused a request counts as full: about the time in which a few
+/// of its requests finish.
 const FULL_FOR: Duration = Duration::from_millis(150);
-/// The part of what was in use when a server had no room that still counts as
-/// room: below it, so that the next request doesn't meet the same end.
-const SEEN_ROOM_PART: f64 = 0.95;
-/// The part of the published room that is believed again each second. Requests
-/// take two to three seconds, so a wrong estimate is gone after a few of them.
-const ROOM_REGAINED_PER_S: f64 = 0.05;
+/// Share of the tokens in use at a refusal that still counts as capacity. Less than 1, so
+/// that the next request isn't refused too.
+const OBSERVED_CAPACITY_SHARE: f64 = 0.95;
+/// Share of the published capacity that is trusted again each second. Requests take two
+/// to three seconds, so a wrong estimate is gone after a few of them.
+const CAPACITY_REGAINED_PER_S: f64 = 0.05;
 /// Weight of one request in the failing share.
 const SAMPLE_WEIGHT: f64 = 0.25;
 
@@ -30,129 +30,137 @@
 struct Record {
     failing_share: f64,
     updated_at: Instant,
-    out_since: Option<Instant>,
+    unresponsive_since: Option<Instant>,
     full_at: Option<Instant>,
-    no_room: Option<NoRoom>,
+    capacity_refusal: Option<CapacityRefusal>,
 }
 
-/// A request that found no room.
+/// A refusal for lack of cache capacity.
 #[derive(Clone, Copy, Debug)]
-struct NoRoom {
-    /// Tokens that were in use by what was known.
+struct CapacityRefusal {
+    /// Tokens known to be in use at that time.
     used_tokens: f64,
     at: Instant,
 }
 
-/// What requests met at each server.
+/// Outcomes of requests and probes, by server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerHealth {
     records: HashMap<ServerKey, Record>,
 }
 
 impl ServerHealth {
-    /// Nothing is known.
+    /// Nothing is recorded.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A request or probe went as it should.
+    /// Records that a request or probe succeeded; the server is no longer
+    /// unresponsive.
     pub fn succeeded(&mut self, server: ServerKey, now: Instant) {
         if let Some(record) = self.records.get_mut(&server) {
-            record.out_since = None;
+            record.unresponsive_since = None;
             record.failing_share = decayed(record, now) * (1.0 - SAMPLE_WEIGHT);
             record.updated_at = now;
         }
     }
 
-    /// A request failed at a server that answers.
+    /// Records that a request failed at a server that answers.
     pub fn failed(&mut self, server: ServerKey, now: Instant) {
         let record = self.record(server, now);
         record.failing_share = decayed(record, now) * (1.0 - SAMPLE_WEIGHT) + SAMPLE_WEIGHT;
         record.updated_at = now;
     }
 
-    /// A server doesn't answer. Tells whether that is news.
+    /// Records that a server doesn't answer; returns whether it is newly unresponsive.
     pub fn lost(&mut self, server: ServerKey, now: Instant) -> bool {
         let record = self.record(server, now);
-        let is_news = record.out_since.is_none();
-        record.out_since.get_or_insert(now);
-        is_news
+        let is_new = record.unresponsive_since.is_none();
+        record.unresponsive_since.get_or_insert(now);
+        is_new
     }
 
-    /// A server turned a request away.
-    pub fn turned_away(&mut self, server: ServerKey, now: Instant) {
+    /// Records that a server refused a request.
+    pub fn refused(&mut self, server: ServerKey, now: Instant) {
         self.record(server, now).full_at = Some(now);
     }
 
-    /// A server had no room for a request while it was known to hold some
-    /// tokens.
-    pub fn had_no_room(&mut self, server: ServerKey, used_tokens: f64, now: Instant) {
-        self.turned_away(server, now);
-        self.record(server, now).no_room = Some(NoRoom {
+    /// Records that a server refused a request for lack of capacity while `used_tokens`
+    /// were known to be in use.
+    pub fn refused_for_capacity(&mut self, server: ServerKey, used_tokens: f64, now: Instant) {
+        self.refused(server, now);
+        self.record(server, now).capacity_refusal = Some(CapacityRefusal {
             used_tokens,
             at: now,
         });
     }
 
-    /// Tokens that a server can be expected to hold: what is published, or
-    /// less if it lately had no room before that.
+    /// The server's expected capacity in tokens: what it published, or less if it lately
+    /// refused a request below that.
     #[must_use]
-    pub fn room_tokens(&self, server: ServerKey, published_tokens: f64, now: Instant) -> f64 {
-        let no_room = self.records.get(&server).and_then(|record| record.no_room);
-        let Some(NoRoom { used_tokens, at }) = no_room else {
+    pub fn capacity_tokens(&self, server: ServerKey, published_tokens: f64, now: Instant) -> f64 {
+        let capacity_refusal = self
+            .records
+            .get(&server)
+            .and_then(|record| record.capacity_refusal);
+        let Some(CapacityRefusal { used_tokens, at }) = capacity_refusal else {
             return published_tokens;
         };
         let since_s = now.saturating_duration_since(at).as_secs_f64();
-        let regained_tokens = published_tokens * ROOM_REGAINED_PER_S * since_s;
-        published_tokens.min(used_tokens * SEEN_ROOM_PART + regained_tokens)
+        let regained_tokens = published_tokens * CAPACITY_REGAINED_PER_S * since_s;
+        published_tokens.min(used_tokens * OBSERVED_CAPACITY_SHARE + regained_tokens)
     }
 
-    /// Whether a server turned a request away a moment ago.
+    /// Whether a server refused a request within the last 150 ms.
     #[must_use]
     pub fn is_full(&self, server: ServerKey, now: Instant) -> bool {
         let full_at = self.records.get(&server).and_then(|record| record.full_at);
         full_at.is_some_and(|at| now.saturating_duration_since(at) < FULL_FOR)
     }
 
-    /// Whether a server is out.
+    /// Whether a server is unresponsive.
     #[must_use]
-    pub fn is_out(&self, server: ServerKey) -> bool {
-        self.out_since(server).is_some()
+    pub fn is_unresponsive(&self, server: ServerKey) -> bool {
+        self.unresponsive_since(server).is_some()
     }
 
-    /// Since when a server is out.
+    /// Since when a server has been unresponsive; `None` if it isn't.
     #[must_use]
-    pub fn out_since(&self, server: ServerKey) -> Option<Instant> {
-        self.records.get(&server)?.out_since
+    pub fn unresponsive_since(&self, server: ServerKey) -> Option<Instant> {
+        self.records.get(&server)?.unresponsive_since
     }
 
-    /// The servers that are out.
+    /// The unresponsive servers.
     #[must_use]
-    pub fn out(&self) -> Vec<ServerKey> {
-        let out = self
+    pub fn unresponsive(&self) -> Vec<ServerKey> {
+        let unresponsive = self
             .records
             .iter()
-            .filter(|(_, record)| record.out_since.is_some());
-        out.map(|(server, _)| *server).collect()
+            .filter(|(_, record)| record.unresponsive_since.is_some());
+        unresponsive.map(|(server, _)| *server).collect()
     }
 
-    /// How many servers are out.
+    /// How many servers are unresponsive.
     #[must_use]
-    pub fn out_count(&self) -> usize {
+    pub fn unresponsive_count(&self) -> usize {
         let records = self.records.values();
-        records.filter(|record| record.out_since.is_some()).count()
+        records
+            .filter(|record| record.unresponsive_since.is_some())
+            .count()
     }
 
-    /// The servers that are out, as others are told in a turn: at most `most`.
+    /// At most `most` unresponsive servers to advertise in this `round` of heartbeats.
     #[must_use]
-    pub fn told(&self, most: usize, turn: usize) -> Vec<ServerKey> {
+    pub fn advertised(&self, most: usize, round: usize) -> Vec<ServerKey> {
         let records = self.records.iter();
-        let out = records.filter_map(|(server, record)| Some((record.out_since?, *server)));
-        let mut out: Vec<_> = out.collect();
-        out.sort_unstable_by_key(|(since, server)| (std::cmp::Reverse(*since), *server));
-        let out: Vec<ServerKey> = out.into_iter().map(|(_, server)| server).collect();
-        told_in_turn(&out, most, turn)
+        let unresponsive =
+            records.filter_map(|(server, record)| Some((record.unresponsive_since?, *server)));
+        let mut unresponsive: Vec<_> = unresponsive.collect();
+        unresponsive.sort_unstable_by_key(|(since, server)| (std::cmp::Reverse(*since), *server));
+        let unresponsive: Vec<ServerKey> =
+            unresponsive.into_iter().map(|(_, server)| server).collect();
+        rotation_batch(&unresponsive, most, round)
     }
 
     /// The decayed share of requests that failed, 0 to 1.
@@ -163,7 +171,7 @@
             .map_or(0.0, |record| decayed(record, now))
     }
 
-    /// Forgets servers that `is_known` doesn't know.
+    /// Drops servers for which `is_known` is false.
     pub fn retain(&mut self, is_known: impl Fn(ServerKey) -> bool) {
         self.records.retain(|server, _| is_known(*server));
     }
@@ -172,9 +180,9 @@
         self.records.entry(server).or_insert(Record {
             failing_share: 0.0,
             updated_at: now,
-            out_since: None,
+            unresponsive_since: None,
             full_at: None,
-            no_room: None,
+            capacity_refusal: None,
         })
     }
 }
--- a/crates/rookferry_core/src/serving/list_history.rs
+++ b/crates/rookferry_core/src/serving/list_history.rs
@@ -1,14 +1,13 @@
-//! What has changed in the list of servers, for instances that have an earlier one.
+//! Differences between lists of servers, for peers that have an earlier list.
 //!
-//! Load pattern: a release replaces a hundred of three thousand servers, one after the
-//! other, and a thousand instances hear of each. The whole list with each change is the
-//! number of servers times the changes times the instances, and fills the link of a
-//! small machine. So an instance that has an earlier list is given the entries that
-//! differ.
+//! Load pattern: a release replaces a hundred of three thousand servers one by one, and a
+//! thousand instances receive each change. Sending the whole list for each change would
+//! be the product of servers, changes and instances, and fill the link of a small
+//! machine. So an instance that has an earlier list is sent only the entries that differ.
 //!
-//! Two instances can have put lists of one version together in different ways. A digest
-//! over all entries tells whether they have the same; where they haven't, or the earlier
-//! list isn't remembered, the whole list is given.
+//! Two instances may have built lists of one version in different ways. A digest over all
+//! entries shows whether they agree; if not, or if the earlier list is no longer stored,
+//! the whole list is sent.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -25,45 +24,45 @@
 use super::BackendServer;
 use super::ListVersion;
 
-/// Lists that are remembered: those of several seconds in which each brings a change.
-const MOST_REMEMBERED: usize = 64;
-/// The part of a list that differs from which on the whole list is given.
-const WHOLE_FROM: usize = 2;
+/// Most earlier lists that are stored: several seconds' worth with a change in each.
+const MAX_EARLIER: usize = 64;
+/// Divisor of the list's length: if more than that part differs, the whole list is sent.
+const WHOLE_LIST_DIVISOR: usize = 2;
 
-/// A digest over the entries of a list, in whichever order.
+/// XOR of the entries' hashes; independent of their order.
 pub type ListDigest = u64;
 
-/// A list that an instance has.
+/// Identifies a list by version and content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListMark {
-    /// Its version.
+pub struct ListFingerprint {
+    /// The version.
     pub version: ListVersion,
-    /// The digest over its entries.
+    /// The digest of the entries.
     pub digest: ListDigest,
 }
 
-/// What differs between two lists.
+/// The differences between two lists.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ListDelta {
-    /// Entries that are new, or say something else.
+    /// Entries that are new or have changed.
     pub changed: Vec<BackendServer>,
-    /// Names whose entries are gone.
+    /// Names whose entries were removed.
     pub gone: Vec<EngineId>,
 }
 
 impl ListDelta {
-    /// The list that it makes of an earlier one; `None` if that doesn't come to the
-    /// digest, since the two lists weren't the same.
+    /// Applies the differences to an earlier list. `None` if the result doesn't match
+    /// `digest`, since the earlier list wasn't the one that they refer to.
     #[must_use]
     pub fn applied<'a>(
         self,
         earlier: impl IntoIterator<Item = &'a BackendServer>,
         digest: ListDigest,
     ) -> Option<Vec<BackendServer>> {
-        let gone: HashSet<EngineId> = self.gone.into_iter().collect();
+        let removed: HashSet<EngineId> = self.gone.into_iter().collect();
         let kept = earlier
             .into_iter()
-            .filter(|server| !gone.contains(&server.id));
+            .filter(|server| !removed.contains(&server.id));
         let mut list: BTreeMap<EngineId, BackendServer> = kept
             .map(|server| (server.id.clone(), server.clone()))
             .collect();
@@ -74,7 +73,7 @@
     }
 }
 
-/// Counts the lists, so that changes can be put in order.
+/// Consecutive number of a list.
 type ListNumber = u64;
 
 #[derive(Clone, Copy, Debug)]
@@ -83,16 +82,17 @@
     changed_in: ListNumber,
 }
 
-/// The list in force, and in which list each of its entries changed last.
+/// The current list, and in which list each of its entries last changed.
 #[derive(Clone, Debug, Default)]
 pub struct ListHistory {
     number: ListNumber,
-    mark: ListMark,
+    mark: ListFingerprint,
     entries: HashMap<EngineId, Entry>,
-    /// Names that were in a list which is still remembered, and when they went.
-    gone: HashMap<EngineId, ListNumber>,
-    /// Earlier lists, the latest last.
-    earlier: VecDeque<(ListMark, ListNumber)>,
+    /// Names that a stored list contains and a later one lacks, and the first list
+    /// without.
+    removed: HashMap<EngineId, ListNumber>,
+    /// Earlier lists, oldest first.
+    earlier: VecDeque<(ListFingerprint, ListNumber)>,
 }
 
 impl ListHistory {
@@ -102,19 +102,19 @@
         Self::default()
     }
 
-    /// The list in force.
+    /// The fingerprint of the current list.
     #[must_use]
-    pub const fn mark(&self) -> ListMark {
+    pub const fn fingerprint(&self) -> ListFingerprint {
         self.mark
     }
 
-    /// A list is in force from now on.
-    pub fn put<'a>(
+    /// Makes `list` the current one.
+    pub fn set_current<'a>(
         &mut self,
         version: ListVersion,
         list: impl IntoIterator<Item = &'a BackendServer>,
     ) {
-        self.remember();
+        self.archive_current();
         let mut before = std::mem::take(&mut self.entries);
         let mut digest = 0;
         for server in list {
@@ -122,37 +122,38 @@
             digest ^= hash;
             let known = before.remove(&server.id).filter(|known| known.hash == hash);
             let changed_in = known.map_or(self.number, |known| known.changed_in);
-            self.gone.remove(&server.id);
+            self.removed.remove(&server.id);
             let entry = Entry { hash, changed_in };
             self.entries.insert(server.id.clone(), entry);
         }
         let number = self.number;
-        self.gone.extend(before.into_keys().map(|id| (id, number)));
-        self.mark = ListMark { version, digest };
+        self.removed
+            .extend(before.into_keys().map(|id| (id, number)));
+        self.mark = ListFingerprint { version, digest };
     }
 
-    /// Keeps the list in force among the earlier ones.
-    fn remember(&mut self) {
+    /// Moves the current list to the earlier ones.
+    fn archive_current(&mut self) {
         if self.number > 0 {
             self.earlier.push_back((self.mark, self.number));
         }
         self.number += 1;
-        if self.earlier.len() > MOST_REMEMBERED {
+        if self.earlier.len() > MAX_EARLIER {
             self.earlier.pop_front();
         }
         let oldest = self
             .earlier
             .front()
             .map_or(self.number, |(_, number)| *number);
-        self.gone.retain(|_, gone_in| *gone_in > oldest);
+        self.removed.retain(|_, removed_in| *removed_in > oldest);
     }
 
-    /// What differs in the list in force from an earlier one; `entry` gives the entry of
-    /// a name. `None` if that list isn't remembered, or most of it differs.
+    /// The differences between an earlier list and the current one; `entry` looks up the
+    /// current entry of a name. `None` if that list isn't stored or too much differs.
     #[must_use]
     pub fn since(
         &self,
-        earlier: ListMark,
+        earlier: ListFingerprint,
         entry: impl Fn(&EngineId) -> Option<BackendServer>,
     ) -> Option<ListDelta> {
         let mut known = self.earlier.iter().rev();
@@ -163,15 +164,18 @@
             .iter()
             .filter(|(_, entry)| later(entry.changed_in));
         let changed: Vec<&EngineId> = changed.map(|(id, _)| id).collect();
-        let gone = self.gone.iter().filter(|(_, gone_in)| later(**gone_in));
-        let gone: Vec<EngineId> = gone.map(|(id, _)| id.clone()).collect();
-        if (changed.len() + gone.len()) * WHOLE_FROM > self.entries.len() {
+        let removed = self
+            .removed
+            .iter()
+            .filter(|(_, removed_in)| later(**removed_in));
+        let removed: Vec<EngineId> = removed.map(|(id, _)| id.clone()).collect();
+        if (changed.len() + removed.len()) * WHOLE_LIST_DIVISOR > self.entries.len() {
             return None;
         }
         let changed: Option<Vec<BackendServer>> = changed.into_iter().map(entry).collect();
         Some(ListDelta {
             changed: changed?,
-            gone,
+            gone: removed,
         })
     }
 }
--- a/crates/rookferry_core/src/serving/quarantine/mod.rs
+++ b/crates/rookferry_core/src/serving/quarantine/mod.rs
@@ -1,18 +1,18 @@
-//! Requests that are kept from servers because servers end under them.
+//! Quarantine of requests that crash servers.
 //!
-//! Load pattern: a request makes each server end that begins to run it, and
-//! comes again under another id, at any instance, for as long as its caller
-//! tries. Each end costs the server's other requests their run and the site the
-//! server for seconds. So instances keep under which requests servers have ended,
-//! whatever their ids, and tell each other.
+//! Load pattern: a request crashes each server that starts to run it, and is sent again
+//! under another id, to any instance, for as long as its caller retries. Each crash costs
+//! the server's other requests their run, and the site the server for seconds. So
+//! instances record under which request signatures servers have crashed, and report it to
+//! each other.
 //!
-//! An end says little by itself, as every request that the server had is under
-//! it. What tells the one at fault from those beside it: it never ends well, so
-//! a run that does clears a request; its server ends when it has begun, so an end
-//! after part of the answer had come counts for half; and it ends servers in turn,
-//! so that ends of servers that may have gone together count as one.
+//! One crash is weak evidence, as it hits every request that the server was running. What
+//! distinguishes the faulty request: it never succeeds, so a successful run clears a
+//! request; its server crashes at the start, so a crash after part of the answer counts
+//! for half; and it crashes servers sequentially, so crashes of servers that may have
+//! failed together count as one.
 
-mod ends;
+mod crashes;
 mod record;
 
 use std::cmp::Reverse;
@@ -28,339 +28,353 @@
 use super::finished_requests::FinishedRequests;
 use record::Record;
 
-pub use ends::EndSeen;
-pub use ends::RunEnd;
-pub use ends::RunId;
-pub use ends::RunProgress;
-
-/// How long a request is held after the last end under it: an end then costs
-/// one server a restart of seconds each ten minutes, and a mended one is served.
-pub(in crate::serving) const HELD_FOR: Duration = Duration::from_mins(10);
-/// How long an end counts; one after a time of being held holds it again.
-const KEPT: Duration = Duration::from_hours(1);
-/// How long it is kept that a request was cleared, for those that are yet to
-/// hear of an end before.
-const CLEARED_KEPT: Duration = Duration::from_secs(30);
-/// Most requests that are kept: those of ten engines that end full, twice.
+pub use crashes::CrashObservation;
+pub use crashes::RunCrash;
+pub use crashes::RunId;
+pub use crashes::RunProgress;
+
+/// How long a request is quarantined after the last crash under it. A crash then costs
+/// one server a restart of seconds every ten minutes, and a corrected request is served
+/// again.
+pub(in crate::serving) const QUARANTINE_PERIOD: Duration = Duration::from_mins(10);
+/// How long a crash counts; the first one after a quarantine starts it again.
+const CRASH_TTL: Duration = Duration::from_hours(1);
+/// How long it is remembered that a request was cleared, for peers that have yet to
+/// receive an earlier crash.
+const CLEARED_TTL: Duration = Duration::from_secs(30);
+/// Most requests that are recorded: those of ten engines that crash fully loaded, twice.
 const MAX_RECORDS: usize = 4_096;
-/// The part of them that goes at once where there is no room, one in so many.
-const DROPPED_PART: usize = 8;
-/// Ends that are kept of one request; more change nothing.
-const MAX_ENDS: usize = 5;
-/// Rounds in which a change is told: two to other failure domains, and as many
-/// heartbeats to its own as make a lost one no matter.
-const TOLD_ROUNDS: u8 = 8;
-
-/// What is known of a request, as instances tell each other.
+/// Divisor of the records: that part is dropped at once when there are too many.
+const DROP_DIVISOR: usize = 8;
+/// Most crashes that are stored per request; more don't change the decision.
+const MAX_CRASHES: usize = 5;
+/// Rounds in which a change is advertised: two to other failure domains, and so many
+/// heartbeats to its own that a lost one doesn't matter.
+const ADVERTISED_ROUNDS: u8 = 8;
+
+/// What is known of a request, as reported to peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectSeen {
+pub struct SuspectObservation {
     /// The request.
     pub signature: RequestSignature,
-    /// Servers that ended under it.
-    pub ends: Vec<EndSeen>,
-    /// How long ago a run of it ended well, in milliseconds, if one did.
+    /// Servers that crashed under it.
+    pub ends: Vec<CrashObservation>,
+    /// Time since a run of it succeeded, in milliseconds, if one did.
     pub finished_ms: Option<u64>,
-    /// How long ago it was first held, in milliseconds, if it is.
+    /// Time since its quarantine started or was extended, in milliseconds, if it is
+    /// quarantined.
     pub held_ms: Option<u64>,
 }
 
-/// What is to be done with a request.
+/// What is known against a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Suspicion {
-    /// Nothing speaks against it.
+    /// Nothing.
     None,
-    /// Servers ended under it, too few to hold it.
+    /// Servers crashed under it, too few to quarantine it.
     Suspected {
         /// How many.
         servers: usize,
     },
-    /// It is held.
-    Held {
-        /// How much longer.
+    /// It is quarantined.
+    Quarantined {
+        /// Time until the quarantine ends.
         left: Duration,
     },
 }
 
-/// What a change came to.
+/// How the state of a request changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// It says nothing new, or not enough.
+    /// It did not.
     None,
-    /// The request is held from now on.
-    Held,
-    /// It isn't held any more: it ended well.
+    /// The request was quarantined.
+    Quarantined,
+    /// The quarantine ended, since a run of the request succeeded.
     Released,
 }
 
-/// What accounts for a server's end.
+/// The request to which a server's crash is attributed.
 #[derive(Clone, Copy, Debug)]
-struct Accounting {
+struct Attribution {
     by: RequestSignature,
-    /// What speaks against it.
+    /// Points against the request.
     points: u32,
 }
 
-/// The requests under which servers ended.
+/// The requests under which servers crashed.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     records: HashMap<RequestSignature, Record>,
-    /// Servers whose ends a held request accounts for. Those that were beside it on
-    /// each of them look alike, and one is at fault.
-    accounted: HashMap<ServerKey, Accounting>,
-    /// Those that ended well lately.
+    /// Servers whose crashes are attributed to a quarantined request. Other requests that
+    /// ran on the same servers look alike, but only one is the cause.
+    attributed: HashMap<ServerKey, Attribution>,
+    /// Requests that succeeded lately.
     finished: FinishedRequests,
-    /// The held request that was last told without being news.
-    last_told: Option<RequestSignature>,
+    /// The quarantined request that was last advertised without a change.
+    last_advertised: Option<RequestSignature>,
 }
 
 impl Quarantine {
-    /// Nothing speaks against any request.
+    /// Nothing is recorded.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Whether nothing is kept of any request.
+    /// Whether no request has a record.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// How many requests something is kept of.
+    /// How many requests have a record.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Of how many requests it is kept that they ended well.
+    /// How many requests are recorded as having succeeded.
     #[must_use]
     pub fn finished_len(&self) -> usize {
         self.finished.len()
     }
 
-    /// A server ended under a request.
-    pub fn note_end(
+    /// Records that a server crashed under a request.
+    pub fn record_crash(
         &mut self,
         signature: RequestSignature,
-        end: RunEnd,
+        crash: RunCrash,
         now: Instant,
     ) -> QuarantineChange {
-        self.update(signature, now, |record| record.add(end))
+        self.update(signature, now, |record| record.add(crash))
     }
 
-    /// A server ended under several requests; tells which changed, and how. Of those
-    /// with enough against them the one with the most is held, as one is at fault.
-    pub fn note_ends(
+    /// Records a server's crash under several requests and returns how each changed. Of
+    /// those with enough points only the one with the strongest evidence is quarantined,
+    /// as one is the cause.
+    pub fn record_crashes(
         &mut self,
-        ends: &[(RequestSignature, RunEnd)],
+        crashes: &[(RequestSignature, RunCrash)],
         now: Instant,
     ) -> Vec<(RequestSignature, QuarantineChange)> {
-        // By request, whether it was held: several runs of one may have been there.
+        // Whether each request was quarantined before; it may have had several runs
+        // there.
         let mut suspects: HashMap<RequestSignature, bool> = HashMap::new();
-        for (signature, end) in ends {
-            let was_held = self.change(*signature, now, |record| record.add(*end));
-            suspects.entry(*signature).or_insert(was_held);
+        for (signature, crash) in crashes {
+            let was_quarantined = self.change(*signature, now, |record| record.add(*crash));
+            suspects.entry(*signature).or_insert(was_quarantined);
         }
         let mut suspects: Vec<_> = suspects.into_iter().collect();
         suspects.sort_by_cached_key(|(signature, _)| {
             let record = self.records.get(signature);
             (Reverse(record.map(Record::strength)), *signature)
         });
-        let decided = suspects.into_iter().map(|(signature, was_held)| {
-            let change = self.decide(signature, was_held, now);
+        let decided = suspects.into_iter().map(|(signature, was_quarantined)| {
+            let change = self.decide(signature, was_quarantined, now);
             (signature, change)
         });
         decided.collect()
     }
 
-    /// A run of a request ended well.
-    pub fn note_finished(&mut self, signature: RequestSignature, now: Instant) -> QuarantineChange {
-        self.finished.note(signature, now);
+    /// Records that a run of a request succeeded.
+    pub fn record_success(
+        &mut self,
+        signature: RequestSignature,
+        now: Instant,
+    ) -> QuarantineChange {
+        self.finished.record(signature, now);
         if !self.records.contains_key(&signature) {
             return QuarantineChange::None;
         }
-        self.update(signature, now, |record| record.finish(now))
+        self.update(signature, now, |record| record.record_success(now))
     }
 
-    /// Takes another instance's word in.
-    pub fn learn(&mut self, seen: &SuspectSeen, now: Instant) -> QuarantineChange {
+    /// Merges a peer's report.
+    pub fn merge(&mut self, observation: &SuspectObservation, now: Instant) -> QuarantineChange {
         let before = |age_ms: u64| now.checked_sub(Duration::from_millis(age_ms));
-        let ends = seen.ends.iter().take(MAX_ENDS);
-        let ends = ends.filter_map(|end| end.end(now));
-        let finished_at = seen.finished_ms.and_then(before);
-        let held_at = seen.held_ms.and_then(before);
-        self.update(seen.signature, now, |record| {
-            let is_finished = finished_at.is_some_and(|at| record.finish(at));
-            let new_ends = ends.filter(|end| record.add(*end)).count();
-            let is_held = held_at.is_some_and(|at| record.hold(at));
-            is_finished || new_ends > 0 || is_held
+        let crashes = observation.ends.iter().take(MAX_CRASHES);
+        let crashes = crashes.filter_map(|crash| crash.crash(now));
+        let finished_at = observation.finished_ms.and_then(before);
+        let quarantined_at = observation.held_ms.and_then(before);
+        self.update(observation.signature, now, |record| {
+            let is_finished = finished_at.is_some_and(|at| record.record_success(at));
+            let new_crashes = crashes.filter(|crash| record.add(*crash)).count();
+            let is_quarantined = quarantined_at.is_some_and(|at| record.merge_quarantine(at));
+            is_finished || new_crashes > 0 || is_quarantined
         })
     }
 
-    /// What is to be done with a request.
+    /// What is known against a request.
     #[must_use]
     pub fn suspicion(&self, signature: RequestSignature, now: Instant) -> Suspicion {
         let Some(record) = self.records.get(&signature) else {
             return Suspicion::None;
         };
-        if let Some(left) = record.held_for(now) {
-            return Suspicion::Held { left };
+        if let Some(left) = record.quarantine_left(now) {
+            return Suspicion::Quarantined { left };
         }
-        match record.ends.len() {
+        match record.crashes.len() {
             0 => Suspicion::None,
             servers => Suspicion::Suspected { servers },
         }
     }
 
-    /// How many servers ended under a request since it last ended well.
+    /// How many servers crashed under a request since it last succeeded.
     #[must_use]
-    pub fn ends(&self, signature: RequestSignature) -> usize {
+    pub fn crashes(&self, signature: RequestSignature) -> usize {
         let record = self.records.get(&signature);
-        record.map_or(0, |record| record.ends.len())
+        record.map_or(0, |record| record.crashes.len())
     }
 
-    /// How many of them count: those that ended in turn.
+    /// How many of these crashes count, as they were sequential.
     #[must_use]
-    pub fn ends_in_turn(&self, signature: RequestSignature) -> usize {
+    pub fn sequential_crashes(&self, signature: RequestSignature) -> usize {
         let record = self.records.get(&signature);
-        record.map_or(0, Record::in_turn)
+        record.map_or(0, Record::sequential_crashes)
     }
 
-    /// Whether a request is known to have ended well, and isn't held.
+    /// Whether a request is known to have succeeded and isn't quarantined.
     #[must_use]
     pub fn is_cleared(&self, signature: RequestSignature) -> bool {
         let record = self.records.get(&signature);
-        record.is_some_and(|record| record.finished_at.is_some() && record.held_at.is_none())
+        record.is_some_and(|record| record.finished_at.is_some() && record.quarantined_at.is_none())
     }
 
-    /// The requests that are held.
-    pub fn held(&self, now: Instant) -> impl Iterator<Item = (RequestSignature, Instant)> {
+    /// The quarantined requests, each with the start of its quarantine.
+    pub fn quarantined(&self, now: Instant) -> impl Iterator<Item = (RequestSignature, Instant)> {
         let records = self.records.iter();
         records.filter_map(move |(signature, record)| {
-            record.held_for(now)?;
-            Some((*signature, record.held_at?))
+            record.quarantine_left(now)?;
+            Some((*signature, record.quarantined_at?))
         })
     }
 
-    /// What to tell in the next round: changes, at most `most`, and one of the
-    /// held requests in turn, for those that have started since.
-    pub fn next_told(&mut self, most: usize, now: Instant) -> Vec<SuspectSeen> {
+    /// What to advertise in the next round: changes, at most `most`, and in rotation one
+    /// of the quarantined requests, for instances that have started since.
+    pub fn next_advertised(&mut self, most: usize, now: Instant) -> Vec<SuspectObservation> {
         self.expire(now);
-        let mut told = Vec::new();
-        let mut news: Vec<_> = self
+        let mut advertised = Vec::new();
+        let mut changed: Vec<_> = self
             .records
             .iter_mut()
             .filter(|(_, record)| record.rounds_left > 0)
             .collect();
-        // Those held or nearest to it first, and of these the newest.
-        news.sort_by_key(|(_, record)| Reverse((record.points(), record.changed_at)));
-        for (signature, record) in news.into_iter().take(most) {
+        // Those with most points first, and of these the latest.
+        changed.sort_by_key(|(_, record)| Reverse((record.points(), record.changed_at)));
+        for (signature, record) in changed.into_iter().take(most) {
             record.rounds_left -= 1;
-            told.push(record.seen(*signature, now));
+            advertised.push(record.observation(*signature, now));
         }
-        if let Some(held) = self.next_held(now) {
-            let is_told = told.iter().any(|seen| seen.signature == held.signature);
-            if !is_told && told.len() < most {
-                told.push(held);
+        if let Some(quarantined) = self.next_quarantined(now) {
+            let is_advertised = advertised
+                .iter()
+                .any(|observation| observation.signature == quarantined.signature);
+            if !is_advertised && advertised.len() < most {
+                advertised.push(quarantined);
             }
         }
-        told
+        advertised
     }
 
-    /// What an instance is told that has just started.
+    /// What to send to an instance that has just started.
     #[must_use]
-    pub fn told_at_start(&self, most: usize, now: Instant) -> Vec<SuspectSeen> {
-        let held = self.held(now).take(most);
-        held.filter_map(|(signature, _)| {
-            let record = self.records.get(&signature)?;
-            Some(record.seen(signature, now))
-        })
-        .collect()
+    pub fn advertised_at_start(&self, most: usize, now: Instant) -> Vec<SuspectObservation> {
+        let quarantined = self.quarantined(now).take(most);
+        quarantined
+            .filter_map(|(signature, _)| {
+                let record = self.records.get(&signature)?;
+                Some(record.observation(signature, now))
+            })
+            .collect()
     }
 
-    fn next_held(&mut self, now: Instant) -> Option<SuspectSeen> {
-        let held = || self.held(now).map(|(signature, _)| signature);
-        let after = held()
-            .filter(|signature| Some(*signature) > self.last_told)
+    fn next_quarantined(&mut self, now: Instant) -> Option<SuspectObservation> {
+        let quarantined = || self.quarantined(now).map(|(signature, _)| signature);
+        let after = quarantined()
+            .filter(|signature| Some(*signature) > self.last_advertised)
             .min();
-        let next = after.or_else(|| held().min())?;
-        self.last_told = Some(next);
-        Some(self.records.get(&next)?.seen(next, now))
+        let next = after.or_else(|| quarantined().min())?;
+        self.last_advertised = Some(next);
+        Some(self.records.get(&next)?.observation(next, now))
     }
 
-    /// Changes what is kept of a request; `change` tells whether it is news.
+    /// Changes the record of a request and decides on it; `change` returns whether the
+    /// record changed.
     fn update(
         &mut self,
         signature: RequestSignature,
         now: Instant,
         change: impl FnOnce(&mut Record) -> bool,
     ) -> QuarantineChange {
-        let was_held = self.change(signature, now, change);
-        self.decide(signature, was_held, now)
+        let was_quarantined = self.change(signature, now, change);
+        self.decide(signature, was_quarantined, now)
     }
 
-    /// The same without a decision; tells whether it was held before.
+    /// Changes the record without a decision; returns whether the request was quarantined
+    /// before.
     fn change(
         &mut self,
         signature: RequestSignature,
         now: Instant,
         change: impl FnOnce(&mut Record) -> bool,
     ) -> bool {
-        self.make_room(signature, now);
+        self.evict_if_full(signature, now);
         let finished_at = self.finished.last(signature);
         let record = self.records.entry(signature);
         let record = record.or_insert_with(|| Record::new(finished_at, now));
-        let was_held = record.held_for(now).is_some();
+        let was_quarantined = record.quarantine_left(now).is_some();
         if change(record) {
             record.changed_at = now;
-            record.rounds_left = TOLD_ROUNDS;
+            record.rounds_left = ADVERTISED_ROUNDS;
         }
-        was_held
+        was_quarantined
     }
 
     fn decide(
         &mut self,
         signature: RequestSignature,
-        was_held: bool,
+        was_quarantined: bool,
         now: Instant,
     ) -> QuarantineChange {
         let Some(record) = self.records.get_mut(&signature) else {
             return QuarantineChange::None;
         };
         let points = record.points();
-        // One with more against it than the one that is held may well be at fault.
+        // A request with more points than the one that a crash is attributed to may
+        // itself be the cause.
         record.decide(|server| {
-            let accounting = self.accounted.get(&server);
-            accounting.is_some_and(|one| one.by != signature && one.points >= points)
+            let attribution = self.attributed.get(&server);
+            attribution.is_some_and(|one| one.by != signature && one.points >= points)
         });
-        let is_held = record.held_for(now).is_some();
-        if is_held {
-            let own = Accounting {
+        let is_quarantined = record.quarantine_left(now).is_some();
+        if is_quarantined {
+            let own = Attribution {
                 by: signature,
                 points,
             };
-            for end in &record.ends {
-                let known = self.accounted.entry(end.server).or_insert(own);
+            for crash in &record.crashes {
+                let known = self.attributed.entry(crash.server).or_insert(own);
                 if known.points < points || known.by == signature {
                     *known = own;
                 }
             }
-        } else if was_held {
-            self.accounted.retain(|_, one| one.by != signature);
+        } else if was_quarantined {
+            self.attributed.retain(|_, one| one.by != signature);
         }
         if record.is_blank() {
             self.records.remove(&signature);
         }
-        match (was_held, is_held) {
-            (false, true) => QuarantineChange::Held,
+        match (was_quarantined, is_quarantined) {
+            (false, true) => QuarantineChange::Quarantined,
             (true, false) => QuarantineChange::Released,
             _ => QuarantineChange::None,
         }
     }
 
-    /// Makes room for another request: drops what is old, or else a part of
-    /// those with the least against them.
-    fn make_room(&mut self, signature: RequestSignature, now: Instant) {
+    /// Ensures that one more record fits: drops expired ones, or else a part of those
+    /// with the weakest evidence.
+    fn evict_if_full(&mut self, signature: RequestSignature, now: Instant) {
         if self.records.len() < MAX_RECORDS || self.records.contains_key(&signature) {
             return;
         }
@@ -369,31 +383,31 @@
             return;
         }
         let strength = |record: &Record| {
-            let is_held = record.held_for(now).is_some();
-            (is_held, record.points(), record.changed_at)
+            let is_quarantined = record.quarantine_left(now).is_some();
+            (is_quarantined, record.points(), record.changed_at)
         };
         let records = self.records.iter();
         let mut weakest: Vec<_> = records
             .map(|(signature, record)| (strength(record), *signature))
             .collect();
         weakest.sort_unstable();
-        for (_, signature) in weakest.into_iter().take(MAX_RECORDS / DROPPED_PART) {
+        for (_, signature) in weakest.into_iter().take(MAX_RECORDS / DROP_DIVISOR) {
             self.records.remove(&signature);
         }
     }
 
-    /// Drops what is too old to count.
+    /// Drops records that have expired.
     pub fn expire(&mut self, now: Instant) {
         self.records.retain(|_, record| {
-            let kept = if record.is_cleared() {
-                CLEARED_KEPT
+            let ttl = if record.is_cleared() {
+                CLEARED_TTL
             } else {
-                KEPT
+                CRASH_TTL
             };
-            now.saturating_duration_since(record.changed_at) < kept
+            now.saturating_duration_since(record.changed_at) < ttl
         });
         let records = &self.records;
-        self.accounted
+        self.attributed
             .retain(|_, one| records.contains_key(&one.by));
     }
 }
--- a/crates/rookferry_core/src/serving/retry_window.rs
+++ b/crates/rookferry_core/src/serving/retry_window.rs
@@ -1,38 +1,38 @@
-//! What an instance may send a second time, within a site's shared budget.
+//! Limit on retries of one instance, within the shared retry budget of a site.
 //!
-//! The site allows `ratio` x fresh requests + `slack` repeats in a sliding
-//! window, over all instances. Each instance keeps to its own part without
-//! asking the others: the ratio of its own requests, and an equal part of the
-//! slack. An instance that has just restarted doesn't know what it spent of the
-//! slack before, so it keeps to a part that was left for that.
+//! The site allows `ratio` x new requests + `slack` retries in a sliding window, over all
+//! instances. Each instance keeps to its share without coordination: the ratio of its own
+//! requests, and an equal share of the slack. An instance that has just restarted doesn't
+//! know what it spent of the slack before, so it keeps to a part that is reserved for
+//! this.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use std::time::Instant;
 
-/// The part of the budget that is used, since another instance's count of
-/// members can be late.
-const USED_PART: f64 = 0.8;
+/// Part of the budget that is used. The rest is a margin, since the known number of
+/// instances can be out of date.
+const USED_SHARE: f64 = 0.8;
 
-/// The part of the slack that is used in the first window after a restart: half
-/// of what is otherwise left, so that a site may restart twice in a window.
-/// With the whole part instances that are killed together exceed the budget.
-const USED_PART_AFTER_RESTART: f64 = (1.0 - USED_PART) / 2.0;
+/// Part of the slack that is used in the first window after a restart: half of the
+/// margin, so that a site may restart twice in a window. Without this limit, instances
+/// that are killed together exceed the budget.
+const USED_SHARE_AFTER_RESTART: f64 = (1.0 - USED_SHARE) / 2.0;
 
-/// Repeats and fresh requests of one instance for one service.
+/// Retries and new requests of one instance for one service.
 #[derive(Clone, Debug)]
 pub struct RetryWindow {
     window: Duration,
     ratio: f64,
     slack: f64,
     restarted_at: Option<Instant>,
-    fresh: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    new_requests: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
 impl RetryWindow {
-    /// A window with nothing in it. `restarted_at` is when an instance started
-    /// on a site that has run before: what it spent until then isn't known.
+    /// An empty window. `restarted_at` is when the instance started, if the site had run
+    /// before: what it spent until then is unknown.
     #[must_use]
     pub const fn new(
         window: Duration,
@@ -45,39 +45,39 @@
             ratio,
             slack,
             restarted_at,
-            fresh: VecDeque::new(),
-            repeats: VecDeque::new(),
+            new_requests: VecDeque::new(),
+            retries: VecDeque::new(),
         }
     }
 
-    /// A fresh request came.
-    pub fn note_fresh(&mut self, now: Instant) {
-        self.forget(now);
-        self.fresh.push_back(now);
+    /// Records a new request.
+    pub fn record_new_request(&mut self, now: Instant) {
+        self.expire(now);
+        self.new_requests.push_back(now);
     }
 
-    /// Takes one repeat, if the instance's part allows it.
+    /// Takes one retry from the budget; false if the instance's share is used up.
     pub fn take(&mut self, now: Instant, instances: usize) -> bool {
-        self.forget(now);
+        self.expire(now);
         let has_just_restarted = self
             .restarted_at
             .is_some_and(|at| now.saturating_duration_since(at) < self.window);
-        let slack_part = if has_just_restarted {
-            USED_PART_AFTER_RESTART
+        let slack_share = if has_just_restarted {
+            USED_SHARE_AFTER_RESTART
         } else {
-            USED_PART
+            USED_SHARE
         };
-        let slack = slack_part * self.slack / instances.max(1) as f64;
-        let allowed = USED_PART * self.ratio * self.fresh.len() as f64 + slack;
-        if self.repeats.len() as f64 + 1.0 > allowed {
+        let slack = slack_share * self.slack / instances.max(1) as f64;
+        let allowed = USED_SHARE * self.ratio * self.new_requests.len() as f64 + slack;
+        if self.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
-    fn forget(&mut self, now: Instant) {
-        for times in [&mut self.fresh, &mut self.repeats] {
+    fn expire(&mut self, now: Instant) {
+        for times in [&mut self.new_requests, &mut self.retries] {
             let is_old = |at: &Instant| now.saturating_duration_since(*at) > self.window;
             while times.front().is_some_and(is_old) {
                 times.pop_front();
--- a/crates/rookferry_core/tests/serving.rs
+++ b/crates/rookferry_core/tests/serving.rs
@@ -9,7 +9,7 @@
 use rookferry_core::ConfigAge;
 use rookferry_core::Directory;
 use rookferry_core::DirectoryChange;
-use rookferry_core::ListDoubts;
+use rookferry_core::ListUncertainty;
 use rookferry_core::Repeatability;
 use rookferry_core::RetryWindow;
 use rookferry_core::RouteTarget;
@@ -19,7 +19,7 @@
 use rookferry_core::ServingConfig;
 use rookferry_core::ServingIndex;
 use rookferry_core::ServingRoute;
-use rookferry_core::pause_in_line;
+use rookferry_core::ranked_pause;
 use rstest::rstest;
 
 fn route(name: &str, host: &str, prefix: &str) -> ServingRoute {
@@ -168,14 +168,14 @@
     let mut directory = Directory::new();
     directory.replace(
         vec![server("1"), server("2"), server("3")],
-        ListDoubts::NONE,
+        ListUncertainty::NONE,
         start,
     );
-    directory.replace(vec![server("1")], ListDoubts::AFTER_OUTAGE, start);
+    directory.replace(vec![server("1")], ListUncertainty::AFTER_OUTAGE, start);
     assert_eq!(ids(&directory), ["1", "2", "3"]);
     directory.apply(DirectoryChange::Updated(server("2")), start);
     assert!(directory.expire(start + grace / 2, grace).is_empty());
-    let gone = directory.expire(start + grace, grace).gone;
+    let gone = directory.expire(start + grace, grace).removed;
     assert_eq!(gone.len(), 1);
     assert_eq!(ids(&directory), ["1", "2"]);
     assert_eq!(directory.expires_at(grace), None);
@@ -185,8 +185,8 @@
 fn a_list_without_an_outage_is_the_truth() {
     let mut directory = Directory::new();
     let now = Instant::now();
-    directory.replace(vec![server("1"), server("2")], ListDoubts::NONE, now);
-    directory.replace(vec![server("2")], ListDoubts::NONE, now);
+    directory.replace(vec![server("1"), server("2")], ListUncertainty::NONE, now);
+    directory.replace(vec![server("2")], ListUncertainty::NONE, now);
     assert_eq!(ids(&directory), ["2"]);
     directory.apply(DirectoryChange::Removed("2".into()), now);
     assert!(ids(&directory).is_empty());
@@ -199,9 +199,9 @@
     let mut health = ServerHealth::new();
     assert!(health.lost(addr, start));
     assert!(!health.lost(addr, start), "no news the second time");
-    assert!(health.is_out(addr));
+    assert!(health.is_unresponsive(addr));
     health.succeeded(addr, start);
-    assert!(!health.is_out(addr));
+    assert!(!health.is_unresponsive(addr));
     for _ in 0..8 {
         health.failed(addr, start);
     }
@@ -216,14 +216,14 @@
     let addr = server("1").key;
     let start = Instant::now();
     let mut health = ServerHealth::new();
-    assert!((health.room_tokens(addr, 1_000.0, start) - 1_000.0).abs() < 1e-9);
-    health.had_no_room(addr, 600.0, start);
+    assert!((health.capacity_tokens(addr, 1_000.0, start) - 1_000.0).abs() < 1e-9);
+    health.refused_for_capacity(addr, 600.0, start);
     assert!(health.is_full(addr, start));
     let soon = start + Duration::from_secs(1);
-    let room = health.room_tokens(addr, 1_000.0, soon);
+    let room = health.capacity_tokens(addr, 1_000.0, soon);
     assert!((600.0..650.0).contains(&room), "{room}");
     let late = start + Duration::from_secs(20);
-    assert!((health.room_tokens(addr, 1_000.0, late) - 1_000.0).abs() < 1e-9);
+    assert!((health.capacity_tokens(addr, 1_000.0, late) - 1_000.0).abs() < 1e-9);
 }
 
 #[test]
@@ -231,7 +231,7 @@
     let addr = server("1").key;
     let start = Instant::now();
     let mut health = ServerHealth::new();
-    health.turned_away(addr, start);
+    health.refused(addr, start);
     assert!(health.is_full(addr, start));
     assert!(!health.is_full(addr, start + Duration::from_secs(1)));
 }
@@ -246,7 +246,7 @@
     for step in 0..1_000_u32 {
         let now = start + Duration::from_millis(u64::from(step));
         for retries in &mut windows {
-            retries.note_fresh(now);
+            retries.record_new_request(now);
             repeats += u32::from(retries.take(now, instances));
         }
     }
@@ -275,7 +275,7 @@
         }
         for retries in &mut windows {
             if step % 10 == 0 {
-                retries.note_fresh(now);
+                retries.record_new_request(now);
                 fresh += 1;
             }
             repeats += u32::from(retries.take(now, instances));
@@ -288,11 +288,11 @@
 #[test]
 fn instances_that_stand_further_back_spare_a_store_that_is_away() {
     let without_line = Duration::from_millis(500);
-    let pauses: Vec<Duration> = (0..30).map(|rank| pause_in_line(20, rank)).collect();
+    let pauses: Vec<Duration> = (0..30).map(|rank| ranked_pause(20, rank)).collect();
     assert!(pauses.is_sorted());
     assert!(pauses[0] < without_line, "the first notices soon");
     assert!(pauses[29] <= Duration::from_secs(3), "none stops asking");
-    assert!(pause_in_line(1, 0) < pauses[0], "one failure may be chance");
+    assert!(ranked_pause(1, 0) < pauses[0], "one failure may be chance");
     let calls_per_s: f64 = pauses.iter().map(|pause| 1.0 / pause.as_secs_f64()).sum();
     let without: f64 = 30.0 / without_line.as_secs_f64();
     assert!(calls_per_s < without / 2.0, "{calls_per_s} of {without}");
--- a/crates/rookferry_core/tests/support/news_site.rs
+++ b/crates/rookferry_core/tests/support/news_site.rs
@@ -7,9 +7,9 @@
 
 use rand::RngExt;
 use rookferry_core::Departure;
-use rookferry_core::NewsBudget;
+use rookferry_core::PropagationBudget;
 use rookferry_core::ServerKey;
-use rookferry_core::pause_in_line;
+use rookferry_core::ranked_pause;
 
 use crate::peer_site::Site;
 use crate::peer_site::engine_key;
@@ -49,7 +49,7 @@
 pub struct NewsSite {
     pub site: Site,
     pub links: Vec<StoreLink>,
-    budget: NewsBudget,
+    budget: PropagationBudget,
     readings: Vec<Reading>,
     failures: Vec<u32>,
     /// When the store knew that the server leaves.
@@ -66,7 +66,7 @@
         let mut news = Self {
             site,
             links: vec![StoreLink::Sound; count],
-            budget: NewsBudget::new(bound),
+            budget: PropagationBudget::new(bound),
             readings: vec![Reading::LooksAt(0); count],
             failures: vec![0; count],
             left_ms: None,
@@ -146,7 +146,8 @@
         match self.readings[place] {
             Reading::LooksAt(at_ms) if at_ms > now_ms => {}
             Reading::LooksAt(_) if self.relies_on_peers(place) => {
-                self.readings[place] = Reading::LooksAt(now_ms + millis(self.budget.look()));
+                self.readings[place] =
+                    Reading::LooksAt(now_ms + millis(self.budget.poll_interval()));
             }
             Reading::LooksAt(_) => self.watch(place),
             Reading::Watches { sent_ms, is_silent } => {
@@ -177,7 +178,7 @@
                 if now_ms >= watch_ends_ms.max(sent_ms + CALL_MS) {
                     self.failures[place] += 1;
                     let rank = self.site.instances[place].table.rank(self.site.now());
-                    let pause = pause_in_line(self.failures[place], rank);
+                    let pause = ranked_pause(self.failures[place], rank);
                     self.readings[place] = Reading::LooksAt(now_ms + millis(pause));
                 }
             }
@@ -207,13 +208,13 @@
             .left_ms
             .is_some_and(|left_ms| left_ms <= self.site.now_ms);
         let instance = &mut self.site.instances[place];
-        instance.contact.read_config(sent_at);
-        instance.contact.read_servers(sent_at);
+        instance.contact.record_config_read(sent_at);
+        instance.contact.record_servers_read(sent_at);
         self.failures[place] = 0;
         let is_news = is_after
             && instance
                 .departed
-                .note(Self::server(), Departure::Leaving, now);
+                .record(Self::server(), Departure::Leaving, now);
         if is_news {
             self.site.tell_soon(place);
         }
--- a/crates/rookferry_entry/src/quarantine.rs
+++ b/crates/rookferry_entry/src/quarantine.rs
@@ -11,13 +11,13 @@
 
 use metrics::counter;
 use rookferry_core::BrokenRun;
-use rookferry_core::BrokenRunNoted;
+use rookferry_core::BrokenRunStatus;
 use rookferry_core::BrokenRuns;
 use rookferry_core::Quarantine;
 use rookferry_core::QuarantineChange;
 use rookferry_core::RequestSignature;
 use rookferry_core::ServerKey;
-use rookferry_core::SuspectSeen;
+use rookferry_core::SuspectObservation;
 use rookferry_core::Suspicion;
 use rookferry_net::clock;
 use rookferry_net::until;
@@ -89,8 +89,8 @@
 
 impl CallQuarantine {
     /// What others are to be told, at most `most`.
-    pub(crate) fn next_told(&self, most: usize) -> Vec<SuspectSeen> {
-        self.calls().next_told(most, clock::now())
+    pub(crate) fn next_told(&self, most: usize) -> Vec<SuspectObservation> {
+        self.calls().next_advertised(most, clock::now())
     }
 
     fn calls(&self) -> MutexGuard<'_, Quarantine> {
@@ -132,7 +132,7 @@
     pub(crate) fn held_for(&self, signature: RequestSignature) -> Option<Duration> {
         let suspicion = self.quarantine.calls().suspicion(signature, clock::now());
         match suspicion {
-            Suspicion::Held { left } => Some(left),
+            Suspicion::Quarantined { left } => Some(left),
             Suspicion::None | Suspicion::Suspected { .. } => None,
         }
     }
@@ -151,14 +151,14 @@
 
     /// A call's run broke at a server, which is asked whether it is there.
     pub(crate) fn run_broke(self: &Arc<Self>, run: BrokenRun, server: Server) {
-        let noted = self.quarantine.broken().note(run, clock::now());
+        let noted = self.quarantine.broken().record(run, clock::now());
         match noted {
-            BrokenRunNoted::Ended(run) => self.runs_crashed(&[run]),
-            BrokenRunNoted::Unasked => {
+            BrokenRunStatus::ServerExited(run) => self.runs_crashed(&[run]),
+            BrokenRunStatus::Unprobed => {
                 let entry = self.clone();
                 tokio::spawn(async move { entry.check_ended(&server).await });
             }
-            BrokenRunNoted::Asked => {}
+            BrokenRunStatus::ProbePending => {}
         }
     }
 
@@ -206,7 +206,7 @@
         }
         self.backoffs.forget(server.key().addr);
         let mut broken = self.quarantine.broken();
-        let crashed = broken.server_ended(server.key(), clock::now());
+        let crashed = broken.server_exited(server.key(), clock::now());
         drop(broken);
         self.runs_crashed(&crashed);
         self.quarantine.decided.notify_waiters();
@@ -214,13 +214,13 @@
 
     /// A server ended under some runs.
     fn runs_crashed(&self, runs: &[BrokenRun]) {
-        let ends: Vec<_> = runs.iter().map(|run| (run.signature, run.end)).collect();
-        let changes = self.quarantine.calls().note_ends(&ends, clock::now());
+        let ends: Vec<_> = runs.iter().map(|run| (run.signature, run.crash)).collect();
+        let changes = self.quarantine.calls().record_crashes(&ends, clock::now());
         for run in runs {
             counter!("rookferry_runs_crashed_total").increment(1);
             warn!(self.log, "request: a server ended under it"; "part" => "quarantine",
                 "request_id" => &run.request, "signature" => %run.signature,
-                "server" => %run.end.server.addr, "progress" => ?run.end.progress);
+                "server" => %run.crash.server.addr, "progress" => ?run.crash.progress);
         }
         for (signature, change) in changes {
             self.note_change(signature, change, "own");
@@ -232,14 +232,14 @@
         let change = self
             .quarantine
             .calls()
-            .note_finished(signature, clock::now());
+            .record_success(signature, clock::now());
         self.note_change(signature, change, "own");
     }
 
     /// Takes in what another instance knows of calls.
-    pub(crate) fn learn_suspects(&self, told: &[SuspectSeen], source: &str) {
+    pub(crate) fn learn_suspects(&self, told: &[SuspectObservation], source: &str) {
         for seen in told {
-            let change = self.quarantine.calls().learn(seen, clock::now());
+            let change = self.quarantine.calls().merge(seen, clock::now());
             self.note_change(seen.signature, change, source);
         }
     }
@@ -247,7 +247,7 @@
     fn note_change(&self, signature: RequestSignature, change: QuarantineChange, source: &str) {
         match change {
             QuarantineChange::None => {}
-            QuarantineChange::Held => {
+            QuarantineChange::Quarantined => {
                 warn!(self.log, "quarantine: a call is kept from servers";
                     "part" => "quarantine", "signature" => %signature, "source" => source);
             }
--- a/crates/rookferry_relay/src/admission_gate.rs
+++ b/crates/rookferry_relay/src/admission_gate.rs
@@ -9,10 +9,10 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
+use rookferry_core::AdmissionQueue;
+use rookferry_core::AdmissionTicket;
 use rookferry_core::Overload;
 use rookferry_core::Overloaded;
-use rookferry_core::RoomQueue;
-use rookferry_core::RoomTicket;
 use rookferry_core::Urgency;
 use rookferry_net::clock;
 use rookferry_wire::ServiceId;
@@ -23,7 +23,7 @@
 /// The queues by service, and the state of the overload.
 #[derive(Debug, Default)]
 pub(crate) struct AdmissionGate {
-    queues: Mutex<HashMap<ServiceId, RoomQueue>>,
+    queues: Mutex<HashMap<ServiceId, AdmissionQueue>>,
     overload: Mutex<Overload>,
     changed: Notify,
 }
@@ -33,7 +33,7 @@
 pub(crate) struct QueueEntry {
     gate: Arc<AdmissionGate>,
     service: ServiceId,
-    ticket: RoomTicket,
+    ticket: AdmissionTicket,
 }
 
 impl AdmissionGate {
@@ -43,7 +43,7 @@
 
     /// Whether a request of this urgency has to wait behind queued ones.
     pub(crate) fn must_wait(&self, service: &ServiceId, urgency: Urgency) -> bool {
-        self.with(service, |queue| queue.is_behind(urgency))
+        self.with(service, |queue| queue.would_wait(urgency))
     }
 
     /// Adds a request to the queue of a service.
@@ -57,7 +57,7 @@
 
     /// Records that a stream has ended and freed its cache.
     pub(crate) fn record_freed(&self, service: &ServiceId) {
-        self.with(service, |queue| queue.note_freed(clock::now()));
+        self.with(service, |queue| queue.record_release(clock::now()));
         self.notify_change();
     }
 
@@ -68,7 +68,7 @@
 
     /// Records the time from sending a stream to its first event.
     pub(crate) fn record_first_event(&self, service: &ServiceId, took: Duration) {
-        self.with(service, |queue| queue.note_first_event(took));
+        self.with(service, |queue| queue.record_first_event(took));
     }
 
     /// Records a refusal; returns the overload's length and the retry time.
@@ -76,7 +76,7 @@
         lock(&self.overload).refused(clock::now(), rand::random())
     }
 
-    fn with<T>(&self, service: &ServiceId, run: impl FnOnce(&mut RoomQueue) -> T) -> T {
+    fn with<T>(&self, service: &ServiceId, run: impl FnOnce(&mut AdmissionQueue) -> T) -> T {
         let mut queues = lock(&self.queues);
         let queue = queues.entry(service.clone()).or_default();
         run(queue)
@@ -99,7 +99,7 @@
     /// time for its latency objective.
     pub(crate) fn can_meet_objective(&self, objective: Duration, waited: Duration) -> bool {
         self.gate.with(&self.service, |queue| {
-            queue.expected_wait(self.ticket) + waited <= queue.patience(objective)
+            queue.expected_wait(self.ticket) + waited <= queue.max_wait(objective)
         })
     }
 
--- a/crates/rookferry_relay/src/beliefs.rs
+++ b/crates/rookferry_relay/src/beliefs.rs
@@ -17,11 +17,11 @@
 use arc_swap::Guard;
 use rookferry_core::BackendServer;
 use rookferry_core::Backoffs;
-use rookferry_core::ClosedServers;
 use rookferry_core::DepartedServers;
 use rookferry_core::Departure;
-use rookferry_core::DepartureSeen;
+use rookferry_core::DepartureObservation;
 use rookferry_core::DoubtedServers;
+use rookferry_core::RefusingServers;
 use rookferry_core::ServerHealth;
 use rookferry_core::ServerKey;
 use rookferry_core::ServerLimits;
@@ -40,7 +40,7 @@
     /// What requests met at each.
     health: Mutex<ServerHealth>,
     /// Those that take no new work.
-    closed: Mutex<ClosedServers>,
+    closed: Mutex<RefusingServers>,
     /// Those that others of the failure domain have trouble with.
     doubted: ArcSwap<DoubtedServers>,
     /// The backoffs that they asked this instance for.
@@ -64,7 +64,7 @@
     pub(crate) fn new(chance: f64) -> Self {
         Self {
             health: Mutex::new(ServerHealth::new()),
-            closed: Mutex::new(ClosedServers::new(chance)),
+            closed: Mutex::new(RefusingServers::new(chance)),
             doubted: ArcSwap::default(),
             backoffs: ArcSwap::default(),
             departed: ArcSwap::default(),
@@ -80,7 +80,7 @@
         lock(&self.health)
     }
 
-    pub(crate) fn closed(&self) -> MutexGuard<'_, ClosedServers> {
+    pub(crate) fn closed(&self) -> MutexGuard<'_, RefusingServers> {
         lock(&self.closed)
     }
 
@@ -115,16 +115,18 @@
         // Each of its answers says so.
         !self.departed.load().contains(server)
             && update(&self.departed, |departed| {
-                departed.note(server, Departure::Leaving, clock::now())
+                departed.record(server, Departure::Leaving, clock::now())
             })
     }
 
     /// Takes another instance's word on a server that leaves in. Tells whether that is
     /// news.
-    pub(crate) fn hear_departure(&self, seen: DepartureSeen) -> bool {
+    pub(crate) fn hear_departure(&self, seen: DepartureObservation) -> bool {
         // Each heartbeat tells the same again.
         !self.departed.load().knows(seen.server, seen.departure)
-            && update(&self.departed, |departed| departed.hear(seen, clock::now()))
+            && update(&self.departed, |departed| {
+                departed.merge(seen, clock::now())
+            })
     }
 
     /// Whether a server leaves, by its entry, its own answers or others' word.
@@ -160,8 +162,8 @@
         let mut closed = self.closed();
         for server in servers.all() {
             let known = before.and_then(|before| before.get(server.key));
-            if !known.is_some_and(|known| known.says_the_same(server)) {
-                closed.changed(server.key);
+            if !known.is_some_and(|known| known.has_same_content(server)) {
+                closed.entry_changed(server.key);
             }
         }
         let is_known = |server| servers.get(server).is_some();
@@ -189,16 +191,16 @@
 ) {
     let now = clock::now();
     let version = servers.version();
-    departed.listed(version, now, |server| servers.get(server).is_some());
+    departed.adopt_list(version, now, |server| servers.get(server).is_some());
     for server in servers.all().iter().filter(|server| server.is_leaving) {
-        departed.note(server.key, Departure::Leaving, now);
+        departed.record(server.key, Departure::Leaving, now);
     }
     // The list is as it was where a newer configuration has no use for some.
     let before = before.filter(|before| before.version() < version);
     let before = before.map_or(&[][..], |before| before.all());
     for server in before {
         if !servers.lists(server.key) {
-            departed.note(server.key, Departure::Gone(version), now);
+            departed.record(server.key, Departure::Gone(version), now);
         }
     }
 }
--- a/crates/rookferry_relay/src/path_supervisor/repair.rs
+++ b/crates/rookferry_relay/src/path_supervisor/repair.rs
@@ -56,7 +56,7 @@
             if lost.contains(&first) {
                 // An engine that refuses new connections may still serve this one.
                 let stands_still = clock::since(self.stalled_since) >= STALL_AFTER;
-                let is_out = self.relay.beliefs.health().is_out(first.server);
+                let is_out = self.relay.beliefs.health().is_unresponsive(first.server);
                 return if is_out && stands_still {
                     PathCheck::FirstEngineLost
                 } else {
--- a/crates/rookferry_relay/src/quarantine.rs
+++ b/crates/rookferry_relay/src/quarantine.rs
@@ -14,15 +14,15 @@
 
 use metrics::counter;
 use rookferry_core::BrokenRun;
-use rookferry_core::BrokenRunNoted;
+use rookferry_core::BrokenRunStatus;
 use rookferry_core::Quarantine;
 use rookferry_core::QuarantineChange;
 use rookferry_core::RequestSignature;
-use rookferry_core::RunEnd;
+use rookferry_core::RunCrash;
 use rookferry_core::RunId;
 use rookferry_core::RunProgress;
 use rookferry_core::ServerKey;
-use rookferry_core::SuspectSeen;
+use rookferry_core::SuspectObservation;
 use rookferry_core::Suspicion;
 use rookferry_net::clock;
 use slog::info;
@@ -92,11 +92,11 @@
     }
 
     /// The records to advertise next, at most `most`.
-    pub(crate) fn next_advertised(&self, most: usize, now: Instant) -> Vec<SuspectSeen> {
+    pub(crate) fn next_advertised(&self, most: usize, now: Instant) -> Vec<SuspectObservation> {
         if !self.has_records() {
             return Vec::new();
         }
-        self.update(|quarantine| quarantine.next_told(most, now))
+        self.update(|quarantine| quarantine.next_advertised(most, now))
     }
 
     fn has_records(&self) -> bool {
@@ -116,12 +116,12 @@
 
     /// Whether a request is quarantined.
     pub(crate) fn is_quarantined(&self, request: &CallerRequest) -> bool {
-        matches!(self.suspicion(request), Suspicion::Held { .. })
+        matches!(self.suspicion(request), Suspicion::Quarantined { .. })
     }
 
     /// The refusal of a quarantined request; none for others.
     pub(crate) fn quarantine_refusal(&self, request: &CallerRequest) -> Option<Refusal> {
-        let Suspicion::Held { left } = self.suspicion(request) else {
+        let Suspicion::Quarantined { left } = self.suspicion(request) else {
             return None;
         };
         Some(Refusal::Quarantined {
@@ -156,23 +156,23 @@
         let run = BrokenRun {
             signature: request.signature(),
             request: request.attempt.clone(),
-            end: self.crash_of(broken),
+            crash: self.crash_of(broken),
         };
-        let noted = self.beliefs.broken_runs.lock().note(run, clock::now());
+        let noted = self.beliefs.broken_runs.lock().record(run, clock::now());
         match noted {
-            BrokenRunNoted::Ended(run) => self.record_crashes(&[run]),
-            BrokenRunNoted::Unasked => {
+            BrokenRunStatus::ServerExited(run) => self.record_crashes(&[run]),
+            BrokenRunStatus::Unprobed => {
                 let relay = self.clone();
                 tokio::spawn(async move { probe::check_ended(&relay, server).await });
             }
-            BrokenRunNoted::Asked => {}
+            BrokenRunStatus::ProbePending => {}
         }
     }
 
     /// The crash that the run met if its server has exited. A server is known to have
     /// been alive when it last gave liveness evidence, less an event's transit time, or
     /// when it accepted the request.
-    fn crash_of(&self, broken: RunBreak) -> RunEnd {
+    fn crash_of(&self, broken: RunBreak) -> RunCrash {
         let at = clock::now();
         let last_seen_age = self.beliefs.signs.of(broken.server).age(at);
         let last_seen_at = at.checked_sub(last_seen_age);
@@ -182,7 +182,7 @@
             Reach::Direct => last_seen_at.max(Some(broken.joined_at)),
             Reach::Forwarded => last_seen_at,
         };
-        RunEnd {
+        RunCrash {
             server: broken.server,
             run: broken.run,
             progress: broken.progress,
@@ -195,7 +195,7 @@
     /// Records that a server's process has exited, so that its broken runs are crashes.
     pub(crate) fn record_server_exit(&self, server: ServerKey) {
         let broken = &self.beliefs.broken_runs;
-        let crashed = broken.lock().server_ended(server, clock::now());
+        let crashed = broken.lock().server_exited(server, clock::now());
         self.record_crashes(&crashed);
         broken.notify_decided();
     }
@@ -203,10 +203,10 @@
     /// Records runs whose server crashed, and logs them and the resulting changes.
     fn record_crashes(&self, runs: &[BrokenRun]) {
         let now = clock::now();
-        let ends: Vec<_> = runs.iter().map(|run| (run.signature, run.end)).collect();
+        let ends: Vec<_> = runs.iter().map(|run| (run.signature, run.crash)).collect();
         let changes = self
             .quarantine
-            .update(|quarantine| quarantine.note_ends(&ends, now));
+            .update(|quarantine| quarantine.record_crashes(&ends, now));
         for run in runs {
             counter!("rookferry_runs_crashed_total").increment(1);
             self.log_run_crash(run);
@@ -222,15 +222,15 @@
         };
         let (ends, sequential) = {
             let quarantine = self.quarantine.lock();
-            let sequential = quarantine.ends_in_turn(run.signature);
-            (quarantine.ends(run.signature), sequential)
+            let sequential = quarantine.sequential_crashes(run.signature);
+            (quarantine.crashes(run.signature), sequential)
         };
         warn!(log, "health: a server crashed while it ran a request"; "event" => "run_crashed",
             "request" => &run.request, "signature" => %run.signature,
-            "server" => %run.end.server.addr, "servers_ended" => ends, "in_turn" => sequential,
-            "answering" => run.end.progress == RunProgress::Answering,
-            "lasted_ms" => millis(run.end.at.saturating_duration_since(run.end.joined_at)),
-            "silent_ms" => millis(run.end.at.saturating_duration_since(run.end.alive_at)));
+            "server" => %run.crash.server.addr, "servers_ended" => ends, "in_turn" => sequential,
+            "answering" => run.crash.progress == RunProgress::Answering,
+            "lasted_ms" => millis(run.crash.at.saturating_duration_since(run.crash.joined_at)),
+            "silent_ms" => millis(run.crash.at.saturating_duration_since(run.crash.alive_at)));
     }
 
     /// Records a successful run, which releases or clears the request.
@@ -239,16 +239,16 @@
         let now = clock::now();
         let change = self
             .quarantine
-            .update(|quarantine| quarantine.note_finished(signature, now));
+            .update(|quarantine| quarantine.record_success(signature, now));
         self.record_own_change(signature, change);
     }
 
     /// Merges records from a peer or the store, which `source` names.
-    pub(crate) fn merge_suspects(&self, observations: &[SuspectSeen], source: &str, now: Instant) {
+    pub(crate) fn merge_suspects(&self, observations: &[SuspectObservation], source: &str, now: Instant) {
         for seen in observations {
             let change = self
                 .quarantine
-                .update(|quarantine| quarantine.learn(seen, now));
+                .update(|quarantine| quarantine.merge(seen, now));
             self.record_change(seen.signature, change, source);
         }
     }
@@ -256,7 +256,7 @@
     /// Merges a request that the store has had as quarantined for `age`.
     pub(crate) fn merge_stored(&self, signature: RequestSignature, age: Duration) {
         let now = clock::now();
-        let seen = SuspectSeen {
+        let seen = SuspectObservation {
             signature,
             ends: Vec::new(),
             finished_ms: None,
@@ -281,11 +281,11 @@
         if change == QuarantineChange::Released {
             self.quarantine.released.notify_one();
         }
-        let ends = self.quarantine.lock().ends(signature);
+        let ends = self.quarantine.lock().crashes(signature);
         let Some(log) = self.events.line(Weight::Notable) else {
             return;
         };
-        if change == QuarantineChange::Held {
+        if change == QuarantineChange::Quarantined {
             warn!(log, "quarantine: a request is quarantined"; "event" => "request_held",
                 "signature" => %signature, "servers_ended" => ends, "source" => source);
         } else {
--- a/crates/rookferry_relay/src/readiness.rs
+++ b/crates/rookferry_relay/src/readiness.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use rookferry_core::StartLine;
+use rookferry_core::StartQueue;
 use rookferry_net::clock;
 
 use crate::mutex::lock;
@@ -33,7 +33,7 @@
     pub(crate) fn unknown_site(&self) -> Refusal {
         if self.is_starting() {
             let line = self.start_line();
-            return Refusal::Starting(line.come_back_after(self.age(), rand::random()));
+            return Refusal::Starting(line.retry_after(self.age(), rand::random()));
         }
         // Peers that are heard would have passed a newer word on.
         if lock(&self.peers).hears_any(clock::now()) {
@@ -92,14 +92,14 @@
         if self.age() >= self.start_line().first_read_after() {
             return false;
         }
-        let fresh = self.settings.bounds.news_budget().rely();
+        let fresh = self.settings.bounds.news_budget().max_report_age();
         !self.knows_site() || self.store.contact().is_fresh(clock::now(), fresh)
     }
 
     /// This instance's place in line at its start.
-    fn start_line(&self) -> StartLine {
+    fn start_line(&self) -> StartQueue {
         let peers = lock(&self.peers);
-        StartLine {
+        StartQueue {
             is_first_start: self.settings.is_first_start,
             rank: peers.rank(clock::now()).max(peers.known_before()),
             offered_ago: lock(&self.offered_at).map(clock::since),
@@ -110,7 +110,7 @@
     /// How long a request waits at most that comes while this instance starts; `None` if
     /// it is refused at once.
     pub(crate) fn start_wait(&self) -> Option<Duration> {
-        self.start_line().wait(self.age())
+        self.start_line().max_wait(self.age())
     }
 
     /// Whether the store is left alone, because peers tell what it has.
--- a/crates/rookferry_relay/src/retries.rs
+++ b/crates/rookferry_relay/src/retries.rs
@@ -27,7 +27,7 @@
 impl Relay {
     /// Counts the first send of a request towards the service's budget.
     pub(crate) fn count_new_request(&self, service: &ServiceId) {
-        self.with_retries(service, |window| window.note_fresh(clock::now()));
+        self.with_retries(service, |window| window.record_new_request(clock::now()));
     }
 
     /// Takes one repeat out of the budget; false if none is left.
--- a/crates/rookferry_relay/src/stream_opener/mod.rs
+++ b/crates/rookferry_relay/src/stream_opener/mod.rs
@@ -211,7 +211,7 @@
         self.avoided.push(first);
         let now = clock::now();
         if error.is_connection_limit() {
-            relay.beliefs.health().turned_away(first, now);
+            relay.beliefs.health().refused(first, now);
             return true;
         }
         if error.is_local_refusal() {
--- a/crates/rookferry_relay/src/sync/outage.rs
+++ b/crates/rookferry_relay/src/sync/outage.rs
@@ -3,7 +3,7 @@
 use std::fmt::Display;
 use std::time::Instant;
 
-use rookferry_core::pause_in_line;
+use rookferry_core::ranked_pause;
 use rookferry_net::clock;
 
 use crate::relay::Relay;
@@ -40,12 +40,12 @@
             return;
         }
         loop {
-            let pause = pause_in_line(self.count, relay.rank(clock::now()));
+            let pause = ranked_pause(self.count, relay.rank(clock::now()));
             let left = pause.saturating_sub(clock::since(self.last_at));
             if left.is_zero() {
                 return;
             }
-            let look = relay.settings.bounds.news_budget().look();
+            let look = relay.settings.bounds.news_budget().poll_interval();
             tokio::time::sleep(left.min(look)).await;
         }
     }
--- a/crates/rookferry_relay/src/sync/servers.rs
+++ b/crates/rookferry_relay/src/sync/servers.rs
@@ -8,7 +8,7 @@
 use rookferry_core::BackendServer;
 use rookferry_core::Directory;
 use rookferry_core::DirectoryChange;
-use rookferry_core::ListDoubts;
+use rookferry_core::ListUncertainty;
 use rookferry_core::ListVersion;
 use rookferry_core::StoreVersion;
 use rookferry_net::clock;
@@ -164,7 +164,7 @@
         };
         let grace = self.relay.settings.bounds.lapse_grace();
         let expired = self.directory.expire(now, grace);
-        for id in &expired.gone {
+        for id in &expired.removed {
             note_removed(&self.relay, id, "it did not come back after the outage");
         }
         if !expired.is_empty() {
@@ -254,25 +254,25 @@
     }
 
     /// What may be wrong with a list that the store gives.
-    fn of_stores_list(&self, now: Instant) -> ListDoubts {
+    fn of_stores_list(&self, now: Instant) -> ListUncertainty {
         let doubts = self.of_peers_list(now);
-        ListDoubts {
-            may_lack: self.may_lapse(now),
-            may_have_gone_unseen: doubts.may_be_old.is_some(),
+        ListUncertainty {
+            may_be_incomplete: self.may_lapse(now),
+            may_have_unseen_removals: doubts.may_be_outdated.is_some(),
             ..doubts
         }
     }
 
     /// What may be wrong with a list that a peer gives: what it lacks has been looked
     /// into there.
-    fn of_peers_list(&self, now: Instant) -> ListDoubts {
+    fn of_peers_list(&self, now: Instant) -> ListUncertainty {
         let old_for = self
             .old_until
             .map(|until| until.saturating_duration_since(now));
-        ListDoubts {
-            may_lack: false,
-            may_be_old: old_for.filter(|old_for| !old_for.is_zero()),
-            may_have_gone_unseen: false,
+        ListUncertainty {
+            may_be_incomplete: false,
+            may_be_outdated: old_for.filter(|old_for| !old_for.is_zero()),
+            may_have_unseen_removals: false,
         }
     }
 }
@@ -428,7 +428,7 @@
     now: Instant,
 ) {
     match change {
-        DirectoryChange::Removed(id) if may_have_lapsed => directory.lapse(&id, now),
+        DirectoryChange::Removed(id) if may_have_lapsed => directory.mark_missing(&id, now),
         DirectoryChange::Removed(id) => {
             note_removed(relay, &id, "its entry is gone");
             directory.apply(DirectoryChange::Removed(id), now);
