--- a/crates/rookferry_core/examples/embed.rs
+++ b/crates/rookferry_core/examples/embed.rs
@@ -1,8 +1,8 @@
-//! Embeds the coordination parts: chooses a chain of engines by labels and
-//! drives a stream over it, while one of the engines is lost on the way.
+//! Embeds the coordination crate: chooses a chain of engines by their labels and
+//! drives a stream over it, during which one engine is lost and replaced.
 //!
-//! The engines are functions in this program; an embedder puts its own
-//! transport in their place and feeds back what comes of each action.
+//! The engines are functions in this program. An embedder calls engines over its
+//! own transport instead, and returns the outcome of each action as an event.
 //!
 //! ```text
 //! cargo run -p rookferry_core --example embed
@@ -86,8 +86,8 @@
                     events.push(StageEvent::Replaced { stages });
                 }
                 StreamAction::Emit { index, token } => println!("token {index}: {token}"),
-                StreamAction::Finish => println!("the answer is whole"),
-                StreamAction::Abandon { reason } => println!("given up: {reason:?}"),
+                StreamAction::Finish => println!("the answer is complete"),
+                StreamAction::Abandon { reason } => println!("stream abandoned: {reason:?}"),
             }
         }
         for event in events {
@@ -116,7 +116,7 @@
         .stages
 }
 
-/// An engine whose one layer adds one.
+/// Runs a step on an engine whose single layer adds one to each input.
 fn run(gates: &mut BTreeMap<EngineId, StageGate>, engine: EngineId, step: &Step) -> StageEvent {
     let gate = gates.entry(engine.clone()).or_default();
     if let GateVerdict::Run { from } = gate.check(step) {
--- a/crates/rookferry_core/examples/path_time.rs
+++ b/crates/rookferry_core/examples/path_time.rs
@@ -1,4 +1,4 @@
-//! Times the search for a request's path over a site's engines.
+//! Measures the time of a path search over the engines of a site.
 //!
 //! `cargo run --release -p rookferry_core --example path_time`
 
@@ -17,11 +17,11 @@
 const LAYERS: u16 = 80;
 const DOMAINS: usize = 5;
 const SEARCHES: u32 = 200;
-/// Tokens of a request.
+/// Tokens of the request.
 const TOKENS: f64 = 950.0;
 
-/// Engines of two kinds, as a layout gives them: ranges that line up, each
-/// held by about as many engines.
+/// Engines of two kinds as in a planned layout: aligned ranges, each held by about
+/// the same number of engines.
 fn fleet(count: usize, rng: &mut StdRng) -> Vec<PipelineEngine> {
     let engines = (0..count).map(|number| {
         let (length, layer_step_ms) = if number % 3 == 0 {
@@ -65,6 +65,6 @@
     let mut rng = StdRng::seed_from_u64(1);
     for count in [40, 218, 2_900] {
         let engines = fleet(count, &mut rng);
-        println!("{count} engines: {:.1?} a search", search_time(&engines));
+        println!("{count} engines: {:.1?} per search", search_time(&engines));
     }
 }
--- a/crates/rookferry_core/examples/plan_time.rs
+++ b/crates/rookferry_core/examples/plan_time.rs
@@ -1,4 +1,5 @@
-//! Times a layout from nothing, and after the loss of an engine.
+//! Measures the time of a layout plan for empty engines, for a complete layout and
+//! after the loss of an engine.
 //!
 //! `cargo run --release -p rookferry_core --example plan_time`
 
@@ -87,7 +88,7 @@
         engines.remove(0);
         let after_loss = timed(&planner, &engines);
         println!(
-            "{count} engines: {first:.1?} from nothing, {settled:.1?} with nothing to do, \
+            "{count} engines: {first:.1?} for empty engines, {settled:.1?} with no changes needed, \
              {after_loss:.1?} after a loss"
         );
     }
--- a/crates/rookferry_core/examples/quarantine_size.rs
+++ b/crates/rookferry_core/examples/quarantine_size.rs
@@ -1,4 +1,5 @@
-//! Memory, bytes and time that held and suspected requests cost an instance.
+//! Measures the memory and time that quarantined and suspected requests cost an
+//! instance.
 //!
 //! `cargo run --release -p rookferry_core --example quarantine_size`
 
@@ -12,13 +13,13 @@
 use rookferry_core::RunProgress;
 use rookferry_core::ServerKey;
 
-/// More than are kept.
+/// Number of requests; more than the quarantine retains.
 const REQUESTS: u32 = 20_000;
-/// Ends under each request.
+/// Server crashes per request.
 const ENDS: u16 = 5;
-/// Most requests in one heartbeat.
+/// Maximum number of requests in one heartbeat.
 const TOLD: usize = 24;
-/// Bytes of the body that is signed.
+/// Size of the request body that signatures are computed over.
 const BODY_BYTES: usize = 4_096;
 
 fn signature(number: u32, body: &[u8]) -> RequestSignature {
@@ -30,7 +31,7 @@
     ServerKey::new(addr, "server", Some(u64::from(number)))
 }
 
-/// Kilobytes of this process in memory; 0 where the system doesn't tell.
+/// Resident memory of this process in kilobytes; 0 if the system doesn't report it.
 fn resident_kb() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -59,15 +60,15 @@
     }
     let noted_us = start.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS * u32::from(ENDS));
     let kept = quarantine.len();
-    println!("kept {kept} requests, {} kB", resident_kb() - before_kb);
-    println!("an end noted in {noted_us:.2} us");
+    println!("retained {kept} requests, {} kB", resident_kb() - before_kb);
+    println!("{noted_us:.2} us to record a crash");
 
     let round = Instant::now();
     let told = quarantine.next_told(TOLD, start);
     let round_us = round.elapsed().as_secs_f64() * 1e6;
     let ends: usize = told.iter().map(|seen| seen.ends.len()).sum();
     println!(
-        "a round tells {} requests with {ends} ends in {round_us:.0} us",
+        "{} requests with {ends} crashes in a heartbeat, selected in {round_us:.0} us",
         told.len()
     );
 
@@ -77,5 +78,5 @@
         std::hint::black_box(signature(request, &body));
     }
     let signed_us = signing.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS);
-    println!("a signature over {BODY_BYTES} bytes in {signed_us:.2} us");
+    println!("{signed_us:.2} us to compute a signature over {BODY_BYTES} bytes");
 }
--- a/crates/rookferry_core/src/pipeline/cover.rs
+++ b/crates/rookferry_core/src/pipeline/cover.rs
@@ -1,13 +1,18 @@
-//! The cheapest way through a range of layers.
+//! Shortest-path search over a range of layers.
 //!
-//! Positions between layers and failure domains are the nodes; an engine leads
-//! from any position within its range to a later one. Only positions at which
-//! some engine's range starts or ends are looked at, since cutting elsewhere
-//! gains nothing.
+//! A node of the graph is a layer boundary together with the failure domain of
+//! the engine before it. An engine is an edge from any boundary within its range
+//! to any later one. Only boundaries at which some engine's range starts or ends
+//! are nodes, since splitting elsewhere gains nothing. Nodes are visited in the
+//! order of the layers, and each keeps its cheapest path only.
 //!
-//! Load pattern: each try of each request searches, over all engines of the
-//! site, on an eighth of a core. Of the engines of a domain that lead from one
-//! position to another only the cheapest few are gone on with.
+//! A path may use an address only once, so the search skips edges whose address the
+//! path to their node already uses. It may therefore miss a path whose start is a
+//! more expensive one to that node.
+//!
+//! Load pattern: every try of every request runs a search over all engines of
+//! the site, on an eighth of a core. To bound its time, only the cheapest few
+//! engines of a domain are kept for each pair of boundaries.
 
 use std::collections::BTreeSet;
 
@@ -16,21 +21,21 @@
 
 use super::PipelineEngine;
 
-/// Engines kept of those that lead from one position to another in a domain:
-/// the cheapest, and two that stand in where a path has used it already. A path
-/// that could need more goes back to an engine that it left three times.
+/// Number of engines of a domain that are kept for each pair of boundaries: the
+/// cheapest, and two alternatives for paths that already use it. Only a path that
+/// returns three times to an engine that it left could need more.
 const KEPT: usize = 3;
 
-/// What an engine adds to a path's expected time a token.
+/// What an engine adds to the cost of a path, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EngineCost {
-    /// Once, for taking it in.
+    /// Once per stage.
     pub(super) entry_ms: f64,
-    /// For each layer that it runs.
+    /// Per layer that it runs.
     pub(super) layer_ms: f64,
 }
 
-/// What a path pays to go from one failure domain to another.
+/// What a change of the failure domain adds to the cost of a path, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CrossingCost {
     /// Before the first layer.
@@ -40,7 +45,7 @@
 }
 
 impl CrossingCost {
-    /// The cost where the next layer is at a position.
+    /// The cost of a change right before the layer at `position`.
     pub(super) const fn before(&self, position: u16) -> f64 {
         if position == 0 {
             self.first_ms
@@ -50,15 +55,15 @@
     }
 }
 
-/// A part of a way: an engine's place in the list, and the layer its part ends
-/// at.
+/// One stage of a search result: the engine's index in the list, and the end of its
+/// layers, exclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Part {
     pub(super) engine: usize,
     pub(super) end: u16,
 }
 
-/// One engine of the search.
+/// A usable engine, with the index of its domain.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     engine: usize,
@@ -66,41 +71,41 @@
     cost: EngineCost,
 }
 
-/// The best way to a node so far.
+/// The cheapest path found so far from the start to a node.
 #[derive(Clone, Copy, Debug)]
 struct Reached {
     cost_ms: f64,
-    /// Its last part; none where the search starts.
+    /// Last edge of the path; `None` for the start.
     last: Option<Link>,
 }
 
-/// An engine, and the node that it leads from.
+/// An engine, and the node that its edge starts from.
 #[derive(Clone, Copy, Debug)]
 struct Link {
     engine: usize,
     from: usize,
 }
 
-/// An engine that leads to a position, and its cost without a crossing.
+/// Cost of an edge without the domain change, and its engine's index.
 type Step = (f64, usize);
 
-/// A search over the engines that may be used.
+/// State of one search.
 pub(super) struct Cover<'a> {
     engines: &'a [&'a PipelineEngine],
-    /// Positions that are looked at, in order: the first layer of the range to
-    /// the end of its last.
+    /// Layer boundaries of the graph in order, from the start of the range to its end.
     cuts: Vec<u16>,
-    /// Failure domains, in order.
+    /// Failure domains, sorted.
     domains: Vec<&'a DomainId>,
-    /// Engines that hold the layer behind each cut, in order.
+    /// By boundary: the engines that hold the layer after it.
     holders: Vec<Vec<Candidate>>,
-    /// By cut and domain.
+    /// By node, see `node`.
     reached: Vec<Option<Reached>>,
     crossing: CrossingCost,
 }
 
 impl<'a> Cover<'a> {
-    /// A search from a domain over those engines that `is_usable`.
+    /// Creates a search that starts in the domain `home` and uses the engines for
+    /// which `is_usable`, called with an index and its engine, returns true.
     pub(super) fn new(
         engines: &'a [&'a PipelineEngine],
         range: LayerRange,
@@ -148,7 +153,7 @@
         }
     }
 
-    /// The parts of the cheapest way through the range.
+    /// The stages of the cheapest path through the range; `None` if there is none.
     pub(super) fn cheapest(mut self) -> Option<Vec<Part>> {
         let last = self.cuts.len().saturating_sub(1);
         for cut in 0..last {
@@ -160,7 +165,7 @@
         Some(self.parts(best))
     }
 
-    /// Goes on from a position by the engines that hold the next layer.
+    /// Relaxes the edges from a boundary: those of the engines that hold the next layer.
     fn extend(&mut self, cut: usize) {
         if self.nodes_at(cut).all(|node| self.reached[node].is_none()) {
             return;
@@ -190,7 +195,8 @@
         }
     }
 
-    /// The cheapest engines from a position to each later node.
+    /// The cheapest edges from a boundary to each node after it, by the node's offset
+    /// from the first node of the next boundary.
     fn steps(&self, cut: usize) -> Vec<[Option<Step>; KEPT]> {
         let position = self.cuts[cut];
         let later = &self.cuts[cut + 1..];
@@ -215,15 +221,15 @@
         self.crossing.before(self.cuts[cut])
     }
 
-    /// Whether the way to a node uses an engine, or another start at its
-    /// address: engines take no path that names an address twice.
+    /// Whether the path to a node uses the address of an engine, by this or another
+    /// incarnation: engines accept no path that has an address twice.
     fn uses(&self, node: usize, engine: usize) -> bool {
         let addr = self.engines[engine].addr();
         self.way_back(node)
             .any(|link| self.engines[link.engine].addr() == addr)
     }
 
-    /// The way to a node, its last part first.
+    /// The edges of the path to a node, last one first.
     fn way_back(&self, node: usize) -> impl Iterator<Item = Link> {
         let last = |node: usize| self.reached[node].and_then(|reached| reached.last);
         std::iter::successors(last(node), move |link| last(link.from))
@@ -243,6 +249,7 @@
         parts
     }
 
+    /// Index of the node of a boundary and a domain.
     fn node(&self, cut: usize, domain: usize) -> usize {
         cut * self.domains.len() + domain
     }
@@ -256,7 +263,7 @@
     }
 }
 
-/// Where ranges start or end, within a range.
+/// Boundaries at which the layers of usable engines start or end, clamped to a range.
 fn cuts(engines: &[&PipelineEngine], range: LayerRange, usable: &[usize]) -> Vec<u16> {
     let mut cuts = vec![range.start, range.end];
     for index in usable {
@@ -269,7 +276,7 @@
     cuts
 }
 
-/// Keeps a step among the cheapest; of equal ones the earlier.
+/// Inserts an edge if it is among the cheapest; of equal ones the earlier stays first.
 fn keep(kept: &mut [Option<Step>; KEPT], step: Step) {
     let is_cheaper = |known: &Option<Step>| known.is_none_or(|known| step.0 < known.0);
     let Some(place) = kept.iter().position(is_cheaper) else {
--- a/crates/rookferry_core/src/pipeline/engine.rs
+++ b/crates/rookferry_core/src/pipeline/engine.rs
@@ -1,4 +1,4 @@
-//! An engine as path search sees it.
+//! Path search input: what is known of one engine.
 
 use std::net::SocketAddr;
 
@@ -8,42 +8,42 @@
 
 use crate::serving::ServerKey;
 
-/// An engine that may be a stage.
+/// An engine that may be a stage of a path.
 #[derive(Clone, Debug)]
 pub struct PipelineEngine {
-    /// Its name.
+    /// The engine's name.
     pub engine: EngineId,
-    /// This start of it, and where it listens.
+    /// The engine's process (incarnation) and its address.
     pub server: ServerKey,
-    /// Its failure domain.
+    /// The engine's failure domain.
     pub domain: DomainId,
-    /// The layers it holds, ready to run.
+    /// The layers that are loaded and ready to run.
     pub held: LayerRange,
-    /// Expected time of one step through one layer.
+    /// Expected time of one step through one layer, in milliseconds.
     pub layer_step_ms: f64,
-    /// Tokens that fit in its cache.
+    /// Cache capacity, in tokens.
     pub cache_tokens: f64,
-    /// Tokens of the requests under way on it, as far as known.
+    /// Tokens of the requests in flight on it, as far as known.
     pub used_tokens: f64,
-    /// Whether it refused work lately though it had room.
+    /// Whether it is expected to refuse new work, as it lately did despite free cache.
     pub is_closed: bool,
 }
 
 impl PipelineEngine {
-    /// Where it listens.
+    /// The address that the engine listens on.
     #[must_use]
     pub const fn addr(&self) -> SocketAddr {
         self.server.addr
     }
 
-    /// Whether it holds all of a range.
+    /// Whether it holds every layer of a range.
     #[must_use]
     pub const fn holds(&self, layers: LayerRange) -> bool {
         self.held.covers(layers)
     }
 
-    /// The part of its room that another request's tokens would go beyond it;
-    /// 0 or less if they fit.
+    /// Fraction of the cache capacity by which it would be exceeded with `tokens`
+    /// more; 0 or less if they fit, 1 at most and for an engine without cache.
     #[must_use]
     pub fn overfill(&self, tokens: f64) -> f64 {
         if self.cache_tokens <= 0.0 {
--- a/crates/rookferry_core/src/pipeline/finder.rs
+++ b/crates/rookferry_core/src/pipeline/finder.rs
@@ -1,5 +1,9 @@
-//! Search for the path with the lowest expected time a token, and what taking
-//! an engine into it counts for.
+//! Choice of the path with the lowest cost, and the cost model.
+//!
+//! Costs are milliseconds: the expected time per token of the path, plus
+//! penalties that keep requests off full engines, engines that refuse work and
+//! the link between failure domains. The penalties are weights, not expected
+//! times.
 
 use std::net::SocketAddr;
 
@@ -17,76 +21,77 @@
 use super::cover::Part;
 use super::start_choice::StartChoice;
 
-/// Time of one more stage: handing on, and waiting for the engine's pass
-/// under way. Half a pass of a mid-sized stage at the published figures.
+/// Time that one more stage adds per token: the transfer, and the wait for the
+/// engine's current pass. Half a pass of a mid-sized stage at the published figures.
 const STAGE_MS: f64 = 0.7;
-/// What a crossing between failure domains counts for. A few dozen prompts a second
-/// fill the link that all share, and then all that cross it stand still. So
-/// crossings are for domains that
-/// lack layers: full engines are waited for, or another domain's whole path is
-/// taken.
+/// Penalty for a path that goes from one failure domain to another between two layers.
+/// A few dozen prompts per second saturate the link that all domains share, and then
+/// every stream that crosses it stalls. So the penalty leaves crossings to domains
+/// that lack layers; other requests wait for full engines or run wholly in another
+/// domain.
 const CROSSING_MS: f64 = 1_000.0;
-/// What it counts for to enter in another failure domain than the caller's:
-/// only the request and single tokens go that way, not activations.
+/// Penalty for a first stage outside the caller's failure domain. Only the request and
+/// single tokens cross the link then, not activations.
 const ENTRY_CROSSING_MS: f64 = 8.0;
-/// Both, as the search takes them.
+/// Both crossing penalties, as the search takes them.
 const CROSSING: CrossingCost = CrossingCost {
     first_ms: ENTRY_CROSSING_MS,
     later_ms: CROSSING_MS,
 };
-/// How much a full cache lengthens the expected step, as a share; spreads
-/// requests over engines that hold the same layers.
+/// Increase of the expected step time at a full cache, as a fraction. Spreads requests
+/// over engines that hold the same layers.
 const LOAD_WEIGHT: f64 = 1.0;
-/// The filled share of a cache from which an engine is avoided more and more,
-/// up to [`FULL_MS`]; beyond it, newer requests are put off for room.
+/// Fraction of the cache in use above which an engine gets a penalty that grows up to
+/// [`FULL_MS`]. Above it, newer requests are delayed for lack of free cache.
 const CROWDED: f64 = 0.6;
-/// What an engine counts for whose cache is full: less than a crossing.
+/// Penalty for an engine with a full cache; less than a crossing.
 const FULL_MS: f64 = 20.0;
-/// Added for an engine without room for the request, so that it is taken
-/// only where no other holds the layers.
+/// Additional penalty for an engine without enough free cache for the request, so
+/// that it is used only if no other engine holds the layers.
 const NO_ROOM_MS: f64 = 60.0;
-/// Added for as much again as fits: a request waits there until what is over
-/// has ended. Engines that are all full so share what is too much.
+/// Additional penalty for exceeding the cache by its whole capacity, in proportion: a
+/// request waits there until the excess has completed. Distributes the excess over
+/// engines that are all full.
 const OVERFULL_MS: f64 = 800.0;
 
-/// What it counts for to take an engine that takes no new work, so far as is
-/// known: more than any way round it, as the try would be refused.
+/// Penalty for an engine that is expected to refuse new work: more than any path
+/// around it costs, since the try would be refused.
 const CLOSED_MS: f64 = 4_000.0;
 
-/// Searches paths over a set of engines.
+/// Finds and repairs paths over a set of engines.
 #[derive(Debug)]
 pub struct PathFinder<'a> {
     layers: u16,
     engines: Vec<&'a PipelineEngine>,
 }
 
-/// Why a search has no path.
+/// Reasons why a search yields no path.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum NoPath {
-    /// A layer is held by no engine that may be used.
+    /// No usable engine holds some layer.
     #[snafu(display("no engines cover the layers"))]
     Uncovered,
-    /// The way that was found is no path; a fault of the search, unless it
-    /// takes more stages than engines accept.
-    #[snafu(display("the way found is no path: {fault}"))]
+    /// The result of the search isn't a valid path: a bug in the search, unless it
+    /// has more stages than engines accept.
+    #[snafu(display("the search result is not a valid path: {fault}"))]
     Unusable {
-        /// What speaks against it.
+        /// Why the result is invalid.
         fault: PathFault,
     },
 }
 
-/// The engine of a path with the least room.
+/// The engine of a path with the least free cache relative to its capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct FullestStage<'a> {
     /// The engine.
     pub engine: &'a PipelineEngine,
-    /// The part of its room that the request goes beyond it; 0 or less if it
-    /// fits.
+    /// Fraction of its cache capacity by which the request would exceed it; 0 or less
+    /// if the request fits.
     pub overfill: f64,
 }
 
 impl<'a> PathFinder<'a> {
-    /// A search over the engines that may be used now.
+    /// Creates a finder for a model of `layers` layers over usable engines.
     pub fn new(layers: u16, engines: impl IntoIterator<Item = &'a PipelineEngine>) -> Self {
         Self {
             layers,
@@ -94,12 +99,13 @@
         }
     }
 
-    /// The best path for a request of some tokens that enters in a domain.
+    /// The cheapest path for a request of `tokens` tokens that is received in the
+    /// domain `home`.
     ///
     /// # Errors
     ///
-    /// If the engines don't cover the layers, or only with more stages than
-    /// engines accept.
+    /// Returns an error if the engines don't cover the layers, or only with more
+    /// stages than engines accept.
     pub fn find(&self, home: &DomainId, tokens: f64) -> Result<PipelinePath, NoPath> {
         let whole = LayerRange {
             start: 0,
@@ -110,9 +116,10 @@
         PipelinePath::new(stages, self.layers).map_err(|fault| NoPath::Unusable { fault })
     }
 
-    /// What a path's stages count for, by which paths are compared: the expected
-    /// time a token, and more for crossings and engines without room. `None` if
-    /// they name an engine that may not be used.
+    /// Cost of a path's stages, by which paths are compared: the expected
+    /// milliseconds per token, plus penalties such as those for crossings and for
+    /// engines without free cache. `None` if a stage's engine isn't among those of
+    /// the finder.
     #[must_use]
     pub fn cost_ms(&self, stages: &[PathStage], home: &DomainId, tokens: f64) -> Option<f64> {
         let mut cost_ms = 0.0;
@@ -132,8 +139,9 @@
         Some(cost_ms)
     }
 
-    /// The engine of a path that a request's tokens leave the least room on.
-    /// An engine keeps a token's cache for the layers that it runs only.
+    /// The engine of a path that would have the least free cache, relative to its
+    /// capacity, with a request of `tokens` tokens. An engine caches a token only for
+    /// the layers that it runs.
     #[must_use]
     pub fn fullest(&self, path: &PipelinePath, tokens: f64) -> Option<FullestStage<'a>> {
         let stages = path.stages().iter();
@@ -149,9 +157,9 @@
         filled.max_by(|left, right| left.overfill.total_cmp(&right.overfill))
     }
 
-    /// Replaces the parts of a path that `is_lost` names; the others stay as
-    /// they are, so that they keep what they have cached. `None` if nothing
-    /// can stand in, or the first stage is lost, which can't be replaced.
+    /// Replaces the stages of a path for which `is_lost` returns true. The others stay
+    /// unchanged, since their caches hold the request's tokens. `None` if no engines can
+    /// replace the lost stages, or if the first stage, which can't be replaced, is lost.
     #[must_use]
     pub fn repair(
         &self,
@@ -194,7 +202,8 @@
         PipelinePath::new(stages, self.layers).ok()
     }
 
-    /// Stages that cover a range exactly, without some addresses.
+    /// The cheapest stages that cover a range exactly and use none of the addresses in
+    /// `without`.
     fn cover(
         &self,
         range: LayerRange,
@@ -238,7 +247,7 @@
     }
 }
 
-/// What it counts for to take an engine into a path.
+/// Cost of using an engine for a request of `tokens` tokens.
 fn cost(engine: &PipelineEngine, tokens: f64) -> EngineCost {
     let room_ms = match engine.overfill(tokens) {
         over if over > 0.0 => NO_ROOM_MS + over * OVERFULL_MS,
@@ -253,6 +262,7 @@
     }
 }
 
+/// Fraction of the cache in use, 1 at most.
 fn fill(engine: &PipelineEngine) -> f64 {
     if engine.cache_tokens <= 0.0 {
         return 1.0;
--- a/crates/rookferry_core/src/pipeline/forecast.rs
+++ b/crates/rookferry_core/src/pipeline/forecast.rs
@@ -1,47 +1,50 @@
-//! What a chain of engines can be expected to carry.
+//! Expected latency and throughput of a chain of engines.
 //!
-//! A request reads its prompt through every stage and then goes round the
-//! chain once a pass, for as many tokens as a pass plays. The longer that
-//! takes, the more requests are under way, the more room they need, and the
-//! fewer layers fit beside it: so time and room are solved together. By
-//! Little's law a chain with room for N requests that take T carries N / T.
+//! A request passes every stage for prefill (reading its prompt), and then once
+//! per pass for as many tokens as a pass has steps. Latency and throughput
+//! depend on each other: longer requests mean more of them in flight, which need
+//! more cache, beside which fewer layers fit. By Little's law a chain with
+//! cache for N concurrent requests that take time T completes N / T. The
+//! fixed point of both is found by iteration.
+//!
+//! The layout planner calls this for each number of requests that it considers.
 
 use super::AcceleratorKind;
 use super::ModelShape;
 
-/// A stage waits for the pass that is under way: half of one on the mean,
-/// since requests that circulate reach a busy engine at any point of it.
+/// Mean wait at a stage for the engine's current pass, in passes. Requests arrive at
+/// a busy engine at any point of a pass, so half of one remains on average.
 const WAIT_PASSES: f64 = 0.5;
-/// Most of an engine's time that reading prompts is reckoned to take; beyond
-/// it a chain has no steady state.
+/// Maximum fraction of an engine's time assumed for prefill; a chain with more has no
+/// steady state.
 const MAX_READ_SHARE: f64 = 0.95;
-/// Rounds of the fixed point; each halves what is off.
+/// Iterations of the fixed point; each halves the error.
 const ROUNDS: usize = 12;
 
-/// A run of layers on an engine of some kind.
+/// One engine of a chain: its kind and its number of layers.
 #[derive(Clone, Copy, Debug)]
 pub struct ChainStage<'a> {
-    /// Its accelerator's kind.
+    /// The engine's accelerator kind.
     pub kind: &'a AcceleratorKind,
-    /// How many layers it runs.
+    /// Number of layers that it runs.
     pub layers: u16,
 }
 
-/// What a chain does with a number of requests under way.
+/// Latency and throughput of a chain at a number of concurrent requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChainForecast {
-    /// Time once round the chain: the pause between two events.
+    /// Time for one traversal of the chain, which is the pause between two events.
     pub round_ms: f64,
-    /// Time from sending to the first event.
+    /// Time from sending a request to its first event.
     pub first_event_ms: f64,
-    /// Time of a usual request, from sending to its last event.
+    /// Time of a request of mean size, from sending to its last event.
     pub request_ms: f64,
-    /// Requests that are completed in a second.
+    /// Requests completed per second.
     pub requests_per_s: f64,
 }
 
-/// Reckons a chain with `requests` of usual size always under way.
-/// `handover_ms` is the time from one stage to the next.
+/// Forecast for a chain that always runs `requests` concurrent requests of mean size.
+/// `handover_ms` is the transfer time from one stage to the next.
 #[must_use]
 pub fn forecast(
     model: &ModelShape,
@@ -71,7 +74,7 @@
         let mut reading_ms = 0.0;
         for stage in stages {
             let reads = (found.requests_per_s * read_ms(stage) / 1_000.0).min(MAX_READ_SHARE);
-            // Of those that circulate, a pass takes up what came during the last.
+            // A pass batches the decoding requests that arrived during the previous pass.
             let share = alone_ms(stage, 0.0) / found.round_ms.max(f64::MIN_POSITIVE);
             let writers = (requests * share).max(1.0);
             let pass_ms = alone_ms(stage, writers) / (1.0 - reads);
@@ -81,7 +84,7 @@
         found.round_ms = round_ms;
         found.first_event_ms = reading_ms + round_ms;
         found.request_ms = found.first_event_ms + (passes - 1.0) * round_ms;
-        // Halfway, as a rate that is too high makes the next one too low.
+        // Damped by half, as too high a rate makes the next estimate too low.
         let requests_per_s = requests / found.request_ms * 1_000.0;
         found.requests_per_s = f64::midpoint(found.requests_per_s, requests_per_s);
     }
--- a/crates/rookferry_core/src/pipeline/layout/arrivals.rs
+++ b/crates/rookferry_core/src/pipeline/layout/arrivals.rs
@@ -1,8 +1,8 @@
-//! Domains whose engines are just coming back.
+//! Detection of domains whose engines are being listed again.
 //!
-//! After a cut the entries of a domain's engines come back one by one. A plan
-//! for those that are back so far would spread all layers over a few of them,
-//! and what the others hold would be loaded twice.
+//! After a network cut the entries of a domain's engines reappear one by one. A
+//! plan for those listed so far would spread all layers over a few engines, and
+//! load layers a second time that the others still hold.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,18 +14,18 @@
 
 use super::LayoutEngine;
 
-/// Arrivals within the window that are more than a lone engine's: one that
-/// was added or restarted needs no wait.
+/// Number of arrivals within the window from which a domain counts as returning. A
+/// single engine that was added or restarted doesn't delay a plan.
 const SEVERAL: usize = 2;
 
-/// The engines of one domain as last seen.
+/// The engines of one domain at the last call, and when recent ones arrived.
 #[derive(Clone, Debug, Default)]
 struct Seen {
     engines: BTreeSet<EngineId>,
     arrived_at: Vec<Instant>,
 }
 
-/// When engines of each domain came to be listed.
+/// Times at which the engines of each domain were first listed.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
     window: Duration,
@@ -33,8 +33,8 @@
 }
 
 impl Arrivals {
-    /// Nothing seen so far. Engines that come within a window of each other
-    /// come back together.
+    /// Creates a tracker without engines. Engines that arrive within `window` of each
+    /// other count as returning together.
     #[must_use]
     pub const fn new(window: Duration) -> Self {
         Self {
@@ -43,7 +43,8 @@
         }
     }
 
-    /// The engines that are listed now.
+    /// Updates the tracker with all engines that are listed now. Those of the first
+    /// non-empty call don't count as arrivals.
     pub fn observe(&mut self, engines: &[LayoutEngine], now: Instant) {
         let is_first_look = self.domains.is_empty();
         let mut listed: BTreeMap<&DomainId, BTreeSet<EngineId>> = BTreeMap::new();
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Whether several engines of a domain have just come.
+    /// Whether several engines of a domain arrived within the window before `now`.
     #[must_use]
     pub fn is_returning(&self, domain: &DomainId, now: Instant) -> bool {
         let is_recent = |at: &&Instant| now.saturating_duration_since(**at) < self.window;
--- a/crates/rookferry_core/src/pipeline/layout/balance.rs
+++ b/crates/rookferry_core/src/pipeline/layout/balance.rs
@@ -1,24 +1,26 @@
-//! Moves the border between two neighbours of which one has next to no room.
+//! Moves the boundary between two neighbours of which one has little cache.
 //!
-//! Load pattern: engines are lost while nothing is spare, so their neighbours
-//! are widened until they have room for ten requests, and hold their whole
-//! domain back. When the lost ones come back, each gets layers of its own, and
-//! the wide one stays as it was for the rest of the day. A border moves in two
-//! steps: the neighbour takes some of the layers as well, which loads no more
-//! than those, and then the wide one gives them up. All layers are held all the
-//! while.
+//! Load pattern: engines are lost while there are no spare ones, so the ranges of
+//! their neighbours are extended until these have cache for only ten requests and
+//! limit the throughput of their whole domain. When the lost engines return, each
+//! gets layers of its own, and without this step the extended engine would keep
+//! its range for the rest of the day.
+//!
+//! A boundary moves by two orders in successive plans. First the neighbour also
+//! loads some of the layers, which costs a load of just those; then the extended
+//! engine drops them. So every layer is held throughout.
 
 use rookferry_wire::LayerRange;
 
 use super::draft::Draft;
 
-/// How many times the room of the tight engine a widened neighbour must lead
-/// to: a load and the streams that are moved for it have to be worth it.
+/// Minimum growth of the extended engine's cache, as a factor, for which a neighbour
+/// loads layers. The gain has to outweigh the load and the streams moved for it.
 const WORTH_A_LOAD: f64 = 2.0;
-/// The same where layers are only given up.
+/// The same where layers are only dropped.
 const WORTH_A_MOVE: f64 = 1.25;
 
-/// A range for an engine, and the least room that it leads to.
+/// A new range for an engine, and the least cache that results.
 #[derive(Clone, Copy, Debug)]
 struct Shift {
     index: usize,
@@ -26,8 +28,8 @@
     least_tokens: f64,
 }
 
-/// The next step that gives the engine of a tight layer more room, if one is
-/// worth it.
+/// The next order that gives the holder of a layer with little cache more of it, if one
+/// is worthwhile.
 pub(super) fn shift(
     draft: &Draft<'_>,
     group: &[usize],
@@ -53,8 +55,8 @@
     shifts.max_by(|left, right| left.least_tokens.total_cmp(&right.least_tokens))
 }
 
-/// What the wide engine could keep of its layers: those it gives up are held by
-/// another that has them ready.
+/// Ranges that the engine `wide` could be cut down to, rated by the cache for the
+/// dropped layers on other engines that have them ready.
 fn narrower(
     draft: &Draft<'_>,
     group: &[usize],
@@ -78,7 +80,7 @@
     })
 }
 
-/// How neighbours could be widened by some of the wide engine's layers.
+/// Ranges that other engines could be extended to by some of the layers of `wide`.
 fn taken_over(
     draft: &Draft<'_>,
     group: &[usize],
@@ -102,7 +104,7 @@
     })
 }
 
-/// Each way to give up some layers at one end: what is kept, and what isn't.
+/// Each split of a range in two: the part that is kept, and the part that is dropped.
 fn kept_parts(own: LayerRange) -> impl Iterator<Item = (LayerRange, LayerRange)> {
     let cuts = own.start + 1..own.end;
     cuts.flat_map(move |cut| {
@@ -118,8 +120,8 @@
     })
 }
 
-/// A neighbour's range with layers next to it, or overlapping it, if it begins
-/// or ends outside of them.
+/// Union of a neighbour's range and further layers. `None` if they neither touch nor
+/// overlap, or if one contains the other.
 fn joined(held: LayerRange, more: LayerRange) -> Option<LayerRange> {
     let touches = held.start <= more.end && more.start <= held.end;
     let is_outside = held.start < more.start || more.end < held.end;
--- a/crates/rookferry_core/src/pipeline/layout/census.rs
+++ b/crates/rookferry_core/src/pipeline/layout/census.rs
@@ -1,7 +1,8 @@
-//! The engines of a service that a layout can be planned with.
+//! Selection of the listed engines that a layout may be planned with.
 //!
-//! Engines come to be listed one by one: at a site's first start, and after a
-//! cut. A plan for those that are listed so far would have to be undone.
+//! Engines are listed one by one at a site's first start and after a network cut.
+//! A plan made for the first of them would have to be undone, so engines are
+//! withheld until no more have arrived for some heartbeats.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,20 +10,19 @@
 use super::Arrivals;
 use super::LayoutEngine;
 
-/// Heartbeats without a new engine to wait for, where none holds a layer,
-/// before the first plan: each engine writes its entry within one of its
-/// start, and a list is a little late. Planned with the few that are listed first, a
-/// site needs many plans and serves by one domain's chain meanwhile.
+/// Heartbeats without a new engine after which the first plan is made, if no engine
+/// holds a layer. Each engine writes its entry within one heartbeat of its start, and
+/// lists arrive slightly late. A site planned from the few engines listed first needs
+/// many plans and meanwhile serves with the chain of one domain.
 const FIRST_QUIET_HEARTBEATS: f64 = 1.2;
-/// Heartbeats after which the first plan is made in any case: engines that go
-/// on being added are no reason to serve nothing.
+/// Heartbeats after the first engine by which the first plan is made in any case, so
+/// that a site to which engines are continually added starts serving.
 const FIRST_PLAN_BY_HEARTBEATS: f64 = 4.0;
-/// Heartbeats without a new engine to wait for in a domain whose engines come
-/// back after a cut: planned with all but one of them, a domain has next to no room
-/// afterwards.
+/// Heartbeats without a new engine after which a domain whose engines return after a cut
+/// is planned with. Planned without one of them, it has hardly any cache afterwards.
 const QUIET_HEARTBEATS: f64 = 0.6;
 
-/// How the engines of a service began to be listed.
+/// Number of engines listed so far, and when the first and the last were added.
 #[derive(Clone, Copy, Debug)]
 struct FirstListed {
     first_at: Instant,
@@ -30,7 +30,7 @@
     engines: usize,
 }
 
-/// The engines of a service, and how they came to be listed.
+/// Tracks how the engines of a service are listed, and which may be planned with.
 #[derive(Clone, Debug)]
 pub struct FleetCensus {
     heartbeat: Duration,
@@ -39,7 +39,8 @@
 }
 
 impl FleetCensus {
-    /// Nothing seen so far. Engines write their entries once a heartbeat.
+    /// Creates an empty inventory. `heartbeat` is the interval at which engines write
+    /// their entries.
     #[must_use]
     pub fn new(heartbeat: Duration) -> Self {
         Self {
@@ -49,12 +50,12 @@
         }
     }
 
-    /// Takes the engines that are listed now; gives those to plan with. None
-    /// while the first begin to be listed, and none of a domain whose engines
-    /// are coming back.
+    /// Takes all engines that are listed now, and returns those to plan with: none
+    /// while the first are still being listed, and none of domains whose engines are
+    /// returning.
     pub fn observe(&mut self, engines: Vec<LayoutEngine>, now: Instant) -> Vec<LayoutEngine> {
         self.arrivals.observe(&engines, now);
-        // All count, also those of domains that are not planned with yet.
+        // Counts engines of returning domains, too.
         if self.is_filling(&engines, now) {
             return Vec::new();
         }
@@ -64,7 +65,7 @@
             .collect()
     }
 
-    /// Whether the engines have just begun to be listed, and hold nothing yet.
+    /// Whether the first engines are still being listed, and none holds a layer.
     fn is_filling(&mut self, engines: &[LayoutEngine], now: Instant) -> bool {
         if engines.is_empty() {
             return false;
--- a/crates/rookferry_core/src/pipeline/layout/draft.rs
+++ b/crates/rookferry_core/src/pipeline/layout/draft.rs
@@ -1,4 +1,4 @@
-//! A layout in the making: what engines hold once the orders so far are done.
+//! Layout under construction: what engines will hold after the orders planned so far.
 
 use std::collections::BTreeSet;
 
@@ -9,20 +9,20 @@
 use super::LayoutEngine;
 use super::NeededPlacement;
 
-/// What a group loses when an engine takes other layers.
+/// What a group loses if an engine is moved to other layers, from least to most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum MoveLoss {
-    /// It holds none.
+    /// The engine holds no layers.
     Nothing,
-    /// A copy that others as fast stand in for.
+    /// Only copies of layers that engines at least as fast hold too.
     Copy,
     /// The fastest copy of some layer.
     Speed,
-    /// Layers that no other holds.
+    /// The only copy of some layer.
     Layers,
 }
 
-/// Engines, what they will hold, and the orders that lead there.
+/// Engines, what they will hold, and the orders for it. Engines are named by index.
 #[derive(Debug)]
 pub(super) struct Draft<'a> {
     pub(super) engines: &'a [LayoutEngine],
@@ -43,12 +43,12 @@
         }
     }
 
-    /// The orders.
+    /// The orders, in the sequence in which they were planned.
     pub(super) fn into_placements(self) -> Vec<NeededPlacement> {
         self.placements
     }
 
-    /// Has an engine hold a range.
+    /// Adds an order for an engine to hold a range.
     pub(super) fn order(&mut self, index: usize, layers: LayerRange, is_missing: bool) {
         self.held[index] = Some(layers);
         self.ordered.insert(index);
@@ -59,46 +59,46 @@
         });
     }
 
-    /// The model's layers.
+    /// The model's number of layers.
     pub(super) const fn layers(&self) -> u16 {
         self.model.layers
     }
 
-    /// What an engine will hold.
+    /// The layers that an engine will hold; `None` if it is empty.
     pub(super) fn held(&self, index: usize) -> Option<LayerRange> {
         self.held[index]
     }
 
-    /// Whether an engine may get an order.
+    /// Whether an engine may get an order: none is in progress or planned yet.
     pub(super) fn is_free(&self, index: usize) -> bool {
         !self.engines[index].is_busy && !self.ordered.contains(&index)
     }
 
-    /// The kind of an engine, if it can be planned with.
+    /// The kind of an engine; `None` if it is unknown or its figures are invalid.
     pub(super) fn kind(&self, index: usize) -> Option<&'a AcceleratorKind> {
         let kind = self.model.kind(&self.engines[index].kind)?;
         self.model.is_usable(kind).then_some(kind)
     }
 
-    /// Time a step takes on a layer of an engine.
+    /// Milliseconds of a step through one layer on an engine.
     pub(super) fn layer_step_ms(&self, index: usize) -> f64 {
         let kind = self.model.kind(&self.engines[index].kind);
         self.model.layer_step_ms(kind)
     }
 
-    /// Tokens that fit on an engine beside a range.
+    /// Cache of an engine that holds a range, in tokens.
     pub(super) fn room_tokens(&self, index: usize, layers: LayerRange) -> f64 {
         let kind = self.kind(index);
         kind.map_or(0.0, |kind| self.model.cache_tokens(kind, layers.len()))
     }
 
-    /// Those of a group that will hold a layer.
+    /// The engines of a group that will hold a layer.
     pub(super) fn holders(&self, group: &[usize], layer: u16) -> impl Iterator<Item = usize> {
         let holds = move |index: &usize| self.held[*index].is_some_and(|own| own.contains(layer));
         group.iter().copied().filter(holds)
     }
 
-    /// The first run of layers that nobody in a group holds.
+    /// The first contiguous layers that no engine of a group will hold.
     pub(super) fn first_gap(&self, group: &[usize]) -> Option<LayerRange> {
         let is_held = |layer: u16| self.holders(group, layer).next().is_some();
         let start = (0..self.model.layers).find(|layer| !is_held(*layer))?;
@@ -110,7 +110,7 @@
         })
     }
 
-    /// What a group loses when an engine takes other layers.
+    /// What a group loses if an engine is moved to other layers.
     pub(super) fn move_loss(&self, group: &[usize], index: usize) -> MoveLoss {
         let Some(own) = self.held[index] else {
             return MoveLoss::Nothing;
--- a/crates/rookferry_core/src/pipeline/layout/engine.rs
+++ b/crates/rookferry_core/src/pipeline/layout/engine.rs
@@ -1,31 +1,31 @@
-//! Engines as the planner sees them, and what it wants of them.
+//! Input and output of the layout planner.
 
 use rookferry_wire::DomainId;
 use rookferry_wire::EngineId;
 use rookferry_wire::LayerRange;
 
-/// An engine as the planner sees it.
+/// An engine that can be planned with.
 #[derive(Clone, Debug)]
 pub struct LayoutEngine {
-    /// Its name.
+    /// The engine's name.
     pub engine: EngineId,
-    /// Its failure domain.
+    /// The engine's failure domain.
     pub domain: DomainId,
-    /// Its accelerator's kind.
+    /// Name of its accelerator kind; one that the model doesn't list gets no layers.
     pub kind: String,
     /// The layers that it holds or is loading; `None` if it is empty.
     pub held: Option<LayerRange>,
-    /// Whether an order is under way, so that it must not get another.
+    /// Whether an order is in progress, so that it must not get another.
     pub is_busy: bool,
 }
 
-/// Layers that an engine should load.
+/// An order for an engine to hold exactly some layers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NeededPlacement {
-    /// The engine.
+    /// The engine's name.
     pub engine: EngineId,
-    /// The layers.
+    /// The layers to hold.
     pub layers: LayerRange,
-    /// Whether the group lacks the layers, or it is one more copy.
+    /// Whether the order fills a gap, rather than adding or moving a copy.
     pub is_missing: bool,
 }
--- a/crates/rookferry_core/src/pipeline/layout/holdings.rs
+++ b/crates/rookferry_core/src/pipeline/layout/holdings.rs
@@ -1,9 +1,9 @@
-//! Who holds each layer, kept up while engines get layers.
+//! Number of holders and total cache of each layer, updated incrementally.
 //!
-//! Load pattern: thousands of engines that start empty. Each gets its layers
-//! by what all others hold by then. Looked up anew for each, a plan takes so long
-//! that the planner's lease runs out and others begin the same plan; so the sums
-//! are kept.
+//! Load pattern: thousands of engines start empty, and the layers of each depend
+//! on what all others hold by then. If the sums were computed anew for each, a
+//! plan would take so long that the planner's lease expires and other instances
+//! start the same plan.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -13,14 +13,14 @@
 
 use super::draft::Draft;
 
-/// Who holds a layer, as one failure domain sees it.
+/// The holders of a layer, from the view of one failure domain.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LayerCopies {
-    /// Holders on the whole site.
+    /// Number of holders on the whole site.
     pub(super) on_site: usize,
-    /// Holders in the domain.
+    /// Number of holders in the domain.
     pub(super) in_domain: usize,
-    /// Time a step takes on the fastest of these.
+    /// Step time of the fastest holder in the domain, in milliseconds.
     fastest_ms: f64,
 }
 
@@ -34,25 +34,25 @@
         self.in_domain += 1;
     }
 
-    /// What a holder with a step time saves on the layer.
+    /// Milliseconds that a new holder in the domain saves per step on the layer.
     pub(super) fn saved_ms(&self, step_ms: f64) -> f64 {
         (self.fastest_ms - step_ms).max(0.0)
     }
 }
 
-/// Holders and room by layer.
+/// Holders and cache by layer.
 #[derive(Clone, Debug)]
 pub(super) struct Holdings<'a> {
-    /// Holders on the whole site, by layer.
+    /// Number of holders on the whole site, by layer.
     on_site: Vec<usize>,
     /// Holders in each domain, by layer.
     domains: BTreeMap<&'a DomainId, Vec<LayerCopies>>,
-    /// Tokens that fit on the group's holders together, by layer.
+    /// Total cache of the group's holders in tokens, by layer.
     room_tokens: Vec<f64>,
 }
 
 impl<'a> Holdings<'a> {
-    /// What the engines of a draft hold, with the room of a group's.
+    /// Sums over what all engines of a draft hold, and over the cache of a group.
     pub(super) fn new(draft: &Draft<'a>, group: &[usize]) -> Self {
         let layers = usize::from(draft.layers());
         let mut holdings = Self {
@@ -73,7 +73,7 @@
         holdings
     }
 
-    /// An empty engine of the group gets layers.
+    /// Adds the layers that an empty engine of the group gets.
     pub(super) fn add(&mut self, draft: &Draft<'a>, index: usize, layers: LayerRange) {
         self.add_copy(draft, index, layers);
         self.add_room(draft, index, layers);
@@ -102,18 +102,18 @@
         }
     }
 
-    /// Tokens that fit on a layer's holders in the group together.
+    /// Total cache of a layer's holders in the group, in tokens.
     pub(super) fn room_tokens(&self, layer: u16) -> f64 {
         self.room_tokens[usize::from(layer)]
     }
 
-    /// The layer with the least room in the group, and its tokens.
+    /// The layer with the least cache in the group, and that cache in tokens.
     pub(super) fn tightest(&self) -> Option<(u16, f64)> {
         let rooms = (0..).zip(self.room_tokens.iter().copied());
         rooms.min_by(|(_, left), (_, right)| left.total_cmp(right))
     }
 
-    /// Who holds each layer, as a domain sees it.
+    /// The holders by layer, from the view of a domain.
     pub(super) fn copies(&self, domain: &DomainId) -> Vec<LayerCopies> {
         let in_domain = self.domains.get(domain);
         let copies = in_domain.cloned();
@@ -125,7 +125,8 @@
     }
 }
 
-/// The places of a range's layers; an engine may report some behind the last.
+/// Vector indexes of a range's layers, clamped: an engine may report layers after the
+/// model's last.
 fn indexes(range: LayerRange, layers: usize) -> Range<usize> {
     let end = usize::from(range.end).min(layers);
     usize::from(range.start).min(end)..end
--- a/crates/rookferry_core/src/pipeline/layout/planner.rs
+++ b/crates/rookferry_core/src/pipeline/layout/planner.rs
@@ -1,4 +1,7 @@
-//! Plans what engines should load, step by step on a draft.
+//! Planner for the layers that engines should load.
+//!
+//! Each step changes a draft of the layout, on which the next step builds. An
+//! engine gets one order per plan at most.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -18,27 +21,27 @@
 use super::retile::retile;
 use super::room::RoomSearch;
 
-/// The part of the room aimed at below which a layer holds its whole group
-/// back, so that a copy from elsewhere is worth a load.
+/// Fraction of a group's target cache below which a layer limits the throughput of the
+/// whole group, so that moving a copy there is worth a load.
 const TIGHT_PART: f64 = 0.5;
 
-/// Plans what engines should load.
+/// Plans which layers engines should load.
 #[derive(Debug)]
 pub struct LayoutPlanner<'a> {
     model: &'a ModelShape,
     longest_pause: Option<Duration>,
 }
 
-/// Engines that hold all layers among themselves.
+/// Engines that together hold all layers.
 #[derive(Debug)]
 struct Group {
     engines: Vec<usize>,
-    /// Requests that each of them should have room for.
+    /// Number of requests that each of them reserves cache for.
     requests: f64,
 }
 
 impl<'a> LayoutPlanner<'a> {
-    /// A planner for a model.
+    /// Creates a planner for a model, without a limit on pauses.
     #[must_use]
     pub const fn new(model: &'a ModelShape) -> Self {
         Self {
@@ -47,14 +50,14 @@
         }
     }
 
-    /// The longest pause between two events of a stream that is in time.
+    /// Sets the longest pause between two events of a stream that meets the objective.
     #[must_use]
     pub const fn with_longest_pause(mut self, pause: Duration) -> Self {
         self.longest_pause = Some(pause);
         self
     }
 
-    /// The placements that are due, given the engines that are live and stay.
+    /// The loads that are needed. `engines` are all that are live and not leaving.
     #[must_use]
     pub fn plan(&self, engines: &[LayoutEngine]) -> Vec<NeededPlacement> {
         let mut draft = Draft::new(engines, self.model);
@@ -64,7 +67,7 @@
             self.add_copies(&mut draft, &mut holdings, &group);
             self.relieve(&mut draft, &holdings, &group);
         }
-        // Those of domains that don't suffice stand in for all others.
+        // Engines of domains that can't hold all layers get copies of any layers.
         let all = (0..engines.len()).collect();
         if let Some(all) = self.group(&draft, all) {
             let mut holdings = Holdings::new(&draft, &all.engines);
@@ -80,14 +83,14 @@
         }
     }
 
-    /// Engines as a group, if they can hold all layers.
+    /// Makes engines a group; `None` if they can't hold all layers.
     fn group(&self, draft: &Draft<'_>, engines: Vec<usize>) -> Option<Group> {
         let kinds = engines.iter().filter_map(|index| draft.kind(*index));
         let requests = self.rooms().best(kinds.collect())?;
         Some(Group { engines, requests })
     }
 
-    /// Domains that suffice by themselves, and all others together.
+    /// The domains that can hold all layers by themselves, and all others together.
     fn groups(&self, draft: &Draft<'_>) -> Vec<Group> {
         let mut by_domain: BTreeMap<&DomainId, Vec<usize>> = BTreeMap::new();
         for (index, engine) in draft.engines.iter().enumerate() {
@@ -112,11 +115,13 @@
         groups
     }
 
+    /// Number of layers that fit on an engine beside the cache of `requests` requests.
     fn share(&self, draft: &Draft<'_>, index: usize, requests: f64) -> u16 {
         let kind = draft.kind(index);
         kind.map_or(0, |kind| self.rooms().share(kind, requests))
     }
 
+    /// Assigns the layers that no engine of a group holds, as far as engines are free.
     fn fill_gaps(&self, draft: &mut Draft<'_>, group: &Group) {
         while let Some(gap) = draft.first_gap(&group.engines) {
             let filled = self.candidate(draft, group).map(|index| {
@@ -147,12 +152,14 @@
         }
     }
 
-    /// The best engine to fill a gap: an empty one before one that others
-    /// stand in for, one that no slower one would stand in for before one that
-    /// would be missed, then the fastest. Moving the fastest engine of a domain
-    /// to another engine's layers only moves the slow part, and its load takes
-    /// the longest. On a site whose slowest kind is a third as fast as the next
-    /// and has more memory, filling by memory took twice the time a token.
+    /// The best engine to fill a gap, if one is free whose layers others hold too.
+    ///
+    /// Prefers an empty engine, then one whose layers are held by others at least as
+    /// fast, then one whose layers only slower ones hold; of these the fastest. Moving
+    /// the fastest engine of a domain to other layers would leave its own layers to
+    /// slower engines, and its load takes the longest. Choosing by memory instead took
+    /// twice the time per token on a site whose slowest kind is a third as fast as the
+    /// next and has more memory.
     fn candidate(&self, draft: &Draft<'_>, group: &Group) -> Option<usize> {
         let free = group.engines.iter().copied();
         let free = free.filter(|index| draft.is_free(*index));
@@ -174,9 +181,9 @@
         best.map(|(index, _, _)| index)
     }
 
-    /// An engine next to a gap, and its range with as much of the gap as fits
-    /// beside room for one request: of these the one that keeps the most room.
-    /// Less room is better than none of the layers.
+    /// An engine next to a gap, and its range extended by as much of the gap as fits
+    /// beside the cache of one request. Of several, the one that keeps the most cache.
+    /// Little cache is better than layers that no engine holds.
     fn widened(
         &self,
         draft: &Draft<'_>,
@@ -210,8 +217,8 @@
         })
     }
 
-    /// A range of a length from where a gap starts; moved back where it would
-    /// end behind the last layer.
+    /// A range of `share` layers from the start of a gap, moved back if it would end
+    /// after the model's last layer.
     fn range_from(&self, gap: LayerRange, share: u16) -> LayerRange {
         let end = (gap.start + share).min(self.model.layers);
         LayerRange {
@@ -220,7 +227,7 @@
         }
     }
 
-    /// Gives empty engines layers, the fastest engine first.
+    /// Assigns layers to empty engines, the fastest engine first.
     fn add_copies<'e>(&self, draft: &mut Draft<'e>, holdings: &mut Holdings<'e>, group: &Group) {
         let engines = group.engines.iter().copied();
         let mut empty: Vec<usize> = engines
@@ -242,15 +249,15 @@
         }
     }
 
-    /// The layer with the least room in a group, if it holds the others back.
+    /// The layer with the least cache in a group, if it limits the group.
     fn tight_layer(&self, holdings: &Holdings<'_>, group: &Group) -> Option<u16> {
         let aim = group.requests * self.model.usual_tokens();
         let (least, tokens) = holdings.tightest()?;
         (tokens < aim * TIGHT_PART).then_some(least)
     }
 
-    /// The range of a length that has a layer in it, and otherwise those on
-    /// which the group has the least room.
+    /// The range of `share` layers that contains the layer `tight` and for the rest
+    /// those for which the group has the least cache.
     fn relieving(&self, holdings: &Holdings<'_>, tight: u16, share: u16) -> LayerRange {
         let scarcity: Vec<f64> = (0..self.model.layers)
             .map(|layer| 1.0 / holdings.room_tokens(layer).max(1.0))
@@ -272,10 +279,10 @@
         }
     }
 
-    /// Moves one copy to where a lost engine's neighbours were widened until
-    /// they had next to no room: a domain that held all layers with room for
-    /// ten requests turned away most of its callers.
-    /// Where none can be spared, the border to a neighbour is moved.
+    /// Moves one copy to the layer that limits the group, or shifts the boundary to a
+    /// neighbour if no copy can be spared. After a loss, the neighbours of the lost
+    /// engine hold more layers and have hardly any cache left: a domain that held all
+    /// layers, with cache for ten requests, refused most of its callers.
     fn relieve(&self, draft: &mut Draft<'_>, holdings: &Holdings<'_>, group: &Group) {
         let Some(tight) = self.tight_layer(holdings, group) else {
             return;
@@ -287,7 +294,7 @@
         }
     }
 
-    /// A copy that can be spared elsewhere, and its range around a layer.
+    /// The fastest engine whose copy can be spared, and its new range around `tight`.
     fn moved_copy(
         &self,
         draft: &Draft<'_>,
@@ -301,7 +308,7 @@
             let loss = draft.move_loss(&group.engines, *index);
             draft.is_free(*index) && !holds_tight && loss == MoveLoss::Copy
         });
-        // Not one whose own layers would be as tight without it.
+        // Excludes copies whose own layers would have little cache left without them.
         let spared = copies.filter(|index| {
             let Some(own) = draft.held(*index) else {
                 return false;
@@ -321,9 +328,9 @@
         (share > 0).then(|| (index, self.relieving(holdings, tight, share)))
     }
 
-    /// The range of a length that an empty engine should hold: where it saves
-    /// its domain the most time a step, and of those equal in that, where
-    /// layers are held least, first in its domain, then on the whole site.
+    /// The range of `share` layers that an empty engine should hold: the one that saves
+    /// its domain the most time per step; of equal ones, that with the fewest copies,
+    /// in its domain first, then on the whole site.
     fn copy(
         &self,
         draft: &Draft<'_>,
--- a/crates/rookferry_core/src/pipeline/layout/retile.rs
+++ b/crates/rookferry_core/src/pipeline/layout/retile.rs
@@ -1,18 +1,18 @@
-//! Shifts ranges of a domain whose engines hold some layers twice and others
-//! not at all.
+//! Closes gaps in a domain by shifting ranges that overlap.
 //!
-//! Engines that come and go one by one leave overlaps: no engine may be moved
-//! for what only it holds, none is empty, and still the domain lacks a few
-//! layers, so that all its streams cross the link to others. Shifting some
-//! ranges closes the gap.
+//! Engines that are added and lost one by one leave overlapping ranges. Then it
+//! can happen that no engine is empty and each is the only holder of some layer,
+//! while the domain lacks a few layers, so that all its streams cross the link to
+//! other domains. Shifting some ranges closes the gap.
 
 use rookferry_wire::LayerRange;
 
 use super::draft::Draft;
 
-/// Moves that close the gaps of engines of one domain, as few as are found;
-/// `share` tells how many layers an engine may hold. `None` if none do, or the
-/// engines are of several domains, whose order says nothing about crossings.
+/// The fewest moves found that close the gaps of one domain, as engine and new range.
+/// `share` returns the number of layers that an engine may hold. `None` if no moves
+/// close them, or if the engines are of several domains, where the order of engines
+/// doesn't show which paths cross domains.
 pub(super) fn retile(
     draft: &Draft<'_>,
     group: &[usize],
@@ -31,8 +31,8 @@
     tilings.find_map(|tiles| tiles)
 }
 
-/// Engines that hold layers from the first on without a gap, each the one that
-/// reaches furthest.
+/// Engines whose ranges cover the layers from the first up to the first gap; at each
+/// layer the engine whose range ends last.
 fn longest_chain(draft: &Draft<'_>, group: &[usize]) -> Vec<usize> {
     let mut chain: Vec<usize> = Vec::new();
     let mut next = 0;
@@ -48,8 +48,8 @@
     }
 }
 
-/// Moves of the engines that aren't kept, in the order of what they hold, so
-/// that they go on from the last that is kept.
+/// Moves with which the engines that aren't in `kept`, in the order of their layers,
+/// cover the layers after those of `kept`. `None` if they can't cover all.
 fn tiles_behind(
     draft: &Draft<'_>,
     group: &[usize],
--- a/crates/rookferry_core/src/pipeline/layout/room.rs
+++ b/crates/rookferry_core/src/pipeline/layout/room.rs
@@ -1,4 +1,7 @@
-//! How much room the engines of a group should keep for requests.
+//! Choice of the number of requests that engines reserve cache for.
+//!
+//! Tries increasing numbers of requests on the fastest chain that a group's
+//! engines can form with them, and compares the forecasts.
 
 use std::time::Duration;
 
@@ -8,20 +11,20 @@
 use super::super::ModelShape;
 use super::super::forecast;
 
-/// Ratio between two numbers of requests that room is tried for. Room in
-/// between changes no kind's number of layers by more than one.
+/// Ratio between two successive numbers of requests that are tried. Numbers in between
+/// change the layers of a kind by one at most.
 const ROOM_STEP: f64 = 1.1;
-/// The part of the highest rate that counts as as good. The last parts of it
-/// take the most room, and so the most and shortest stages, whose streams last
-/// longer and meet more lost engines.
+/// Fraction of the highest rate that counts as equally good. The last few percent need
+/// the most cache and so the most and shortest stages, whose streams last longer and
+/// are hit by more lost engines.
 const AS_GOOD: f64 = 0.85;
-/// The longest pause of a stream, in mean rounds of its chain.
+/// Longest pause of a stream, in mean traversals of its chain.
 const PAUSE_ROUNDS: f64 = 3.0;
-/// Time from one stage to the next in one failure domain: its delay, and a
-/// token's activations over the engines' own links.
+/// Transfer time from one stage to the next within a failure domain: the network delay,
+/// and a token's activations over the engines' own links.
 const HANDOVER_MS: f64 = 0.2;
 
-/// What a group does with room for a number of requests on each engine.
+/// A number of requests per engine, and how the group performs with it.
 #[derive(Clone, Copy, Debug)]
 struct RoomTry {
     requests: f64,
@@ -30,7 +33,7 @@
     bears_a_loss: bool,
 }
 
-/// Seeks the room with which engines of some kinds, as a chain, do best.
+/// Finds the number of requests with which a chain of engines performs best.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RoomSearch<'a> {
     pub(super) model: &'a ModelShape,
@@ -38,11 +41,13 @@
 }
 
 impl RoomSearch<'_> {
-    /// The number of requests whose room carries the most; none if the kinds
-    /// can't hold all layers even for one. Where it can be had, the engines
-    /// beside the chain can stand in for its largest stage: a domain without
-    /// that stays incomplete until a lost engine is back, and has its requests
-    /// crowd the others.
+    /// The smallest number of requests with a rate close to the best, see [`AS_GOOD`];
+    /// `None` if the kinds can't hold all layers even with cache for one.
+    ///
+    /// Prefers numbers that meet the pause objective, and among these the ones that
+    /// leave spare engines for the largest stage of the chain. A domain without spares
+    /// stays incomplete until a lost engine is back, and its requests overload the
+    /// other domains.
     pub(super) fn best(&self, mut kinds: Vec<&AcceleratorKind>) -> Option<f64> {
         let most = self.model.max_requests.max(1.0);
         let tries = std::iter::successors(Some(1.0), |requests| Some(requests * ROOM_STEP));
@@ -69,28 +74,29 @@
         as_good.map(|room| room.requests)
     }
 
-    /// Layers that a kind takes beside the cache for a number of requests.
+    /// Number of layers that fit on a kind beside the cache of `requests` requests.
     pub(super) fn share(&self, kind: &AcceleratorKind, requests: f64) -> u16 {
         let tokens = requests * self.model.usual_tokens();
         self.model.layers_beside(kind, tokens)
     }
 
-    /// Time a layer takes on a kind, its part of the handover included; none
-    /// if the kind has no room for a layer.
+    /// Milliseconds per layer of a pass on a kind, including its part of the transfer to
+    /// the next stage; `None` if no layer fits.
     pub(super) fn layer_cost_ms(&self, kind: &AcceleratorKind, requests: f64) -> Option<f64> {
         let layers = self.share(kind, requests);
         let pass_ms = self.model.layer_step_ms(Some(kind)) * self.model.steps_per_pass;
         (layers > 0).then(|| pass_ms + HANDOVER_MS / f64::from(layers))
     }
 
+    /// Whether the pauses of a forecast meet the objective, if there is one.
     fn keeps_pauses(&self, found: &ChainForecast) -> bool {
         let pause_ms = found.round_ms * PAUSE_ROUNDS;
         self.longest_pause
             .is_none_or(|longest| pause_ms <= longest.as_secs_f64() * 1_000.0)
     }
 
-    /// Whether the kinds beside a chain, which are behind it in order, have
-    /// room for its largest stage.
+    /// Whether the engines outside a chain, which follow it in `kinds`, can hold its
+    /// largest stage.
     fn bears_a_loss(
         &self,
         kinds: &[&AcceleratorKind],
@@ -105,8 +111,8 @@
         spare >= largest.unwrap_or(0)
     }
 
-    /// The fastest chain over engines of some kinds, each with room for a
-    /// number of requests. Sorts the kinds by their speed.
+    /// The fastest chain over engines of some kinds, each with cache for `requests`
+    /// requests; `None` if they can't hold all layers. Sorts the kinds by speed.
     fn chain<'k>(
         &self,
         kinds: &mut [&'k AcceleratorKind],
@@ -131,7 +137,7 @@
     }
 }
 
-/// Those that something holds for, or all if it holds for none.
+/// The tries that satisfy a condition, or all if none does.
 fn preferring(tries: Vec<RoomTry>, holds: impl Fn(&RoomTry) -> bool) -> Vec<RoomTry> {
     if !tries.iter().any(&holds) {
         return tries;
--- a/crates/rookferry_core/src/pipeline/mod.rs
+++ b/crates/rookferry_core/src/pipeline/mod.rs
@@ -1,11 +1,15 @@
-//! Pipelines that engines forward themselves, along a path named by the router.
+//! Pipeline-parallel models whose engines forward activations to each other.
 //!
-//! An engine holds a range of layers. A [`PipelinePath`] names the engines
-//! that a request passes and the part of the layers that each runs; it can
-//! only be made if the parts cover every layer once and in order.
-//! [`PathFinder`] chooses paths and replaces the lost parts of paths in use.
-//! [`LayoutPlanner`] decides which engine holds which layers, by what
-//! [`forecast`] expects of a chain of engines.
+//! An engine holds a range of layers. A [`PipelinePath`] lists the engines that
+//! a request passes through and the layers that each runs; it can be
+//! constructed only if the stages cover every layer once and in order. The
+//! router sends the path with the request, and the engines follow it.
+//!
+//! - [`PathFinder`] chooses the path of a request and replaces lost stages of a
+//!   path in use.
+//! - [`LayoutPlanner`] decides which engine loads which layers. It rates chains
+//!   of engines by [`forecast`].
+//! - [`FleetCensus`] decides which of the listed engines a plan may use yet.
 
 mod cover;
 mod engine;
--- a/crates/rookferry_core/src/pipeline/model.rs
+++ b/crates/rookferry_core/src/pipeline/model.rs
@@ -1,76 +1,79 @@
-//! Published figures of a model and of the accelerators that run it.
+//! Published performance figures of a model and of the accelerators that run it.
+//!
+//! They are part of the serving configuration. Path search and layout planning
+//! derive cache capacities and step times from them.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Bytes in the megabyte that memory figures are published in.
+/// Bytes per megabyte; memory figures are published in decimal megabytes.
 const BYTES_PER_MB: f64 = 1_000_000.0;
-/// Bits in a millisecond of a megabit a second.
+/// Bits per millisecond that one megabit per second carries.
 const BITS_PER_MS_AND_MBPS: f64 = 1_000.0;
-/// Tokens in the million that reading is published by.
+/// Token pairs per million; the quadratic prefill cost is published per million.
 const TOKENS_PER_M: f64 = 1_000_000.0;
-/// Part of a layer that a quotient may lack by rounding alone.
+/// Tolerance for rounding errors in a quotient that counts layers.
 const ROUNDING_LAYERS: f64 = 1e-9;
 
 /// A kind of accelerator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceleratorKind {
-    /// Its name.
+    /// Name, as engines report it.
     pub name: String,
-    /// Memory for layers and requests.
+    /// Memory for layers and request caches, in megabytes.
     pub memory_mb: f64,
-    /// How many times as long as the model's base figure a step takes.
+    /// Step time relative to the model's base figure.
     pub step_factor: f64,
-    /// The same for reading prompts.
+    /// Prefill time (reading the prompt) relative to the model's base figure.
     pub read_factor: f64,
 }
 
-/// What a model needs.
+/// Size and performance figures of a model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ModelShape {
     /// Number of layers.
     pub layers: u16,
-    /// Memory of one layer.
+    /// Memory of one layer, in megabytes.
     pub layer_mb: f64,
     /// Cache memory of one token over all layers, in bytes.
     pub cache_bytes_per_token: f64,
-    /// Base time of a step through all layers.
+    /// Base time of a step through all layers, in milliseconds.
     pub step_ms: f64,
-    /// What each request that writes adds to a step.
+    /// Milliseconds that each decoding request adds to a step.
     pub step_ms_per_request: f64,
-    /// What each 1,000 tokens of such a request's context add to a step.
+    /// Milliseconds that each 1,000 context tokens of a decoding request add to a step.
     pub step_ms_per_context_k: f64,
-    /// Requests that an engine runs at once at the most.
+    /// Maximum number of requests that an engine runs concurrently.
     pub max_requests: f64,
-    /// Steps that an engine plays in one pass; each stream gets as many tokens.
+    /// Steps that an engine runs in one pass; each stream gets as many tokens.
     pub steps_per_pass: f64,
-    /// Prompt tokens read in a millisecond, before the kind's factor.
+    /// Prompt tokens read per millisecond, before the kind's factor.
     pub read_tokens_per_ms: f64,
-    /// What a million pairs of a prompt's token and one before it add to
-    /// reading.
+    /// Milliseconds that a million pairs of a prompt token and an earlier one add
+    /// to prefill.
     pub read_ms_per_m_pairs: f64,
-    /// Mean tokens of a prompt.
+    /// Mean prompt length, in tokens.
     pub usual_prompt_tokens: f64,
-    /// Mean tokens of an answer.
+    /// Mean answer length, in tokens.
     pub usual_answer_tokens: f64,
-    /// What a token's activations take between two stages, in bytes; 0 if it
+    /// Size of one token's activations between two stages, in bytes; 0 if it
     /// isn't published.
     pub activation_bytes: f64,
-    /// What the link carries that all failure domains share, in megabits a
+    /// Capacity of the link that all failure domains share, in megabits per
     /// second; 0 if it isn't published.
     pub link_mbps: f64,
-    /// The kinds that run it.
+    /// The accelerator kinds that run the model.
     pub kinds: Vec<AcceleratorKind>,
 }
 
 impl ModelShape {
-    /// The kind of a name.
+    /// The accelerator kind with a name; `None` if the model lists none.
     #[must_use]
     pub fn kind(&self, name: &str) -> Option<&AcceleratorKind> {
         self.kinds.iter().find(|kind| kind.name == name)
     }
 
-    /// Tokens that fit beside `held` layers on a kind.
+    /// Cache capacity of a kind that holds `held` layers, in tokens; 0 without layers.
     #[must_use]
     pub fn cache_tokens(&self, kind: &AcceleratorKind, held: u16) -> f64 {
         if held == 0 {
@@ -82,14 +85,14 @@
         (left_mb * BYTES_PER_MB / token_bytes).max(0.0)
     }
 
-    /// Mean tokens of a request, prompt and answer.
+    /// Mean tokens of a request, prompt and answer together.
     #[must_use]
     pub const fn usual_tokens(&self) -> f64 {
         self.usual_prompt_tokens + self.usual_answer_tokens
     }
 
-    /// The most layers that fit on a kind beside a number of cached tokens;
-    /// 0 where figures are missing or absurd.
+    /// Maximum number of layers that fit on a kind beside the cache of some tokens;
+    /// 0 if a figure is missing or out of range.
     #[must_use]
     pub fn layers_beside(&self, kind: &AcceleratorKind, tokens: f64) -> u16 {
         let cache_mb_per_layer =
@@ -101,8 +104,8 @@
         whole_layers(kind.memory_mb / mb_per_layer + ROUNDING_LAYERS).min(self.layers)
     }
 
-    /// Time of one step through one layer on a kind; the slowest known kind
-    /// stands in for one that isn't known.
+    /// Milliseconds of one step through one layer on a kind; those of the slowest
+    /// listed kind if it is `None`.
     #[must_use]
     pub fn layer_step_ms(&self, kind: Option<&AcceleratorKind>) -> f64 {
         let slowest = || {
@@ -113,7 +116,7 @@
         self.step_ms * factor / f64::from(self.layers.max(1))
     }
 
-    /// Time to read a prompt through one layer on a kind.
+    /// Milliseconds of prefill of a prompt through one layer on a kind.
     #[must_use]
     pub fn layer_read_ms(&self, kind: &AcceleratorKind, prompt_tokens: f64) -> f64 {
         let pairs_m = prompt_tokens * prompt_tokens / 2.0 / TOKENS_PER_M;
@@ -122,8 +125,8 @@
         read_ms * kind.read_factor / f64::from(self.layers.max(1))
     }
 
-    /// How long the activations of some tokens fill the link between failure
-    /// domains; 0 where its figures aren't published.
+    /// Milliseconds for which the activations of some tokens occupy the link between
+    /// failure domains; 0 if its figures aren't published.
     #[must_use]
     pub fn crossing_ms(&self, tokens: f64) -> f64 {
         let bits_per_ms = self.link_mbps * BITS_PER_MS_AND_MBPS;
@@ -133,7 +136,8 @@
         tokens * self.activation_bytes * 8.0 / bits_per_ms
     }
 
-    /// Whether a kind's published figures can be reckoned with.
+    /// Whether planning can use a kind: the figures it depends on are positive and
+    /// finite, and at least one layer fits in memory.
     #[must_use]
     pub fn is_usable(&self, kind: &AcceleratorKind) -> bool {
         let figures = [
--- a/crates/rookferry_core/src/pipeline/path.rs
+++ b/crates/rookferry_core/src/pipeline/path.rs
@@ -1,4 +1,8 @@
-//! A path over engines that runs every layer once and in order.
+//! Validated sequence of stages that runs every layer once and in order.
+//!
+//! A [`PipelinePath`] can't be constructed from stages that skip, repeat or
+//! reorder a layer, so a path that is sent to engines always runs the whole
+//! model.
 
 use std::net::SocketAddr;
 
@@ -8,85 +12,85 @@
 
 use crate::serving::ServerKey;
 
-/// Most stages of a path, as engines accept them.
+/// Maximum number of stages in a path that engines accept.
 pub const MAX_STAGES: usize = 32;
 
-/// A part of a path.
+/// One engine of a path, and the layers that it runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PathStage {
-    /// The engine.
+    /// The engine's name.
     pub engine: EngineId,
-    /// The start of it that is meant.
+    /// The engine's process (incarnation) and its address.
     pub server: ServerKey,
-    /// The layers it runs.
+    /// The layers that it runs for the request.
     pub layers: LayerRange,
 }
 
 impl PathStage {
-    /// Where the engine listens.
+    /// The address that the engine listens on.
     #[must_use]
     pub const fn addr(&self) -> SocketAddr {
         self.server.addr
     }
 }
 
-/// Why stages are no path.
+/// Reasons why stages don't form a valid path.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum PathFault {
-    /// There is no stage.
-    #[snafu(display("the path has no stage"))]
+    /// There are no stages.
+    #[snafu(display("the path has no stages"))]
     Empty,
-    /// There are too many.
-    #[snafu(display("the path has {stages} stages, and engines accept {MAX_STAGES}"))]
+    /// There are more than [`MAX_STAGES`] stages.
+    #[snafu(display("the path has {stages} stages, but engines accept at most {MAX_STAGES}"))]
     TooLong {
-        /// How many there are.
+        /// Number of stages.
         stages: usize,
     },
-    /// A stage runs no layer.
-    #[snafu(display("stage {stage} runs no layer"))]
+    /// A stage's layer range is empty.
+    #[snafu(display("the layer range of stage {stage} is empty"))]
     NoLayer {
         /// Index of the stage.
         stage: usize,
     },
-    /// A stage doesn't go on where the one before it ended.
-    #[snafu(display("stage {stage} starts at layer {found}, and layer {expected} is next"))]
+    /// A stage doesn't start where the previous one ends.
+    #[snafu(display("stage {stage} starts at layer {found}, expected layer {expected}"))]
     NotNext {
         /// Index of the stage.
         stage: usize,
-        /// The layer that is due.
+        /// The layer that the stage has to start at.
         expected: u16,
-        /// The layer that it starts at.
+        /// The layer that the stage starts at.
         found: u16,
     },
-    /// The last stage ends before or behind the last layer.
-    #[snafu(display("the path ends at layer {found} of {layers}"))]
+    /// The last stage doesn't end at the model's last layer.
+    #[snafu(display("the path ends at layer {found}, but the model has {layers} layers"))]
     Unfinished {
-        /// Where it ends.
+        /// End of the last stage's range, exclusive.
         found: u16,
-        /// The model's layers.
+        /// The model's number of layers.
         layers: u16,
     },
-    /// An engine is named twice.
-    #[snafu(display("engine {engine} is named twice"))]
+    /// Two stages have the same address.
+    #[snafu(display("the address of engine {engine} appears in two stages"))]
     Repeated {
-        /// The engine.
+        /// The engine of the second of them.
         engine: EngineId,
     },
 }
 
-/// Stages that cover a model's layers exactly.
+/// Stages that cover a model's layers once and in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PipelinePath {
     stages: Vec<PathStage>,
 }
 
 impl PipelinePath {
-    /// Checks stages against the model's number of layers.
+    /// Creates a path from stages that cover a model of `layers` layers.
     ///
     /// # Errors
     ///
-    /// If a layer would be skipped, repeated or run out of order, or engines
-    /// wouldn't accept the path.
+    /// Returns an error if the stages skip, repeat or reorder a layer, or if engines
+    /// don't accept the path: no stages, too many, or an address that comes twice.
     pub fn new(stages: Vec<PathStage>, layers: u16) -> Result<Self, PathFault> {
         if stages.is_empty() {
             return Err(PathFault::Empty);
@@ -127,19 +131,19 @@
         Ok(Self { stages })
     }
 
-    /// The stages in order; there is at least one.
+    /// The stages in order, at least one.
     #[must_use]
     pub fn stages(&self) -> &[PathStage] {
         &self.stages
     }
 
-    /// The stage that takes the request and answers it.
+    /// The stage that receives the request and sends the answer.
     #[must_use]
     pub fn first(&self) -> &PathStage {
         &self.stages[0]
     }
 
-    /// Whether an address is among the stages.
+    /// Whether a stage has an address.
     #[must_use]
     pub fn visits(&self, addr: SocketAddr) -> bool {
         self.stages.iter().any(|stage| stage.addr() == addr)
--- a/crates/rookferry_core/src/pipeline/start_choice.rs
+++ b/crates/rookferry_core/src/pipeline/start_choice.rs
@@ -1,28 +1,31 @@
-//! Which start is meant where several are listed at one address.
+//! Choice of one incarnation per address where several are listed.
 //!
-//! A former start may be listed beside the one that took its address, and engines take
-//! no path that names an address twice. A search that keeps one way to each position
-//! can so be led past the only path: its way there has used the address by the start
-//! that isn't needed. Then it goes on with one start an address, in all combinations.
+//! A previous incarnation may still be listed beside the one that took over its
+//! address, and engines accept no path that has an address twice. A search that
+//! keeps one path per node can therefore miss the only valid path: the path it
+//! keeps may already use the address by the other incarnation. It is then
+//! repeated with one incarnation per address, over all combinations.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use super::PipelineEngine;
 
-/// Most combinations that are searched: all of them for six addresses with two starts.
+/// Maximum number of combinations searched: all of them for six addresses with two
+/// incarnations each.
 const MAX_COMBINATIONS: usize = 64;
 
-/// The addresses with several starts, and the start that is meant at each.
+/// Addresses with several incarnations, and the one to use of each.
 #[derive(Clone, Debug)]
 pub(super) struct StartChoice {
-    /// By address: the places of its starts in the list, the longest range first.
+    /// Indexes of the incarnations in the list by address, the longest range first.
     starts: BTreeMap<SocketAddr, Vec<usize>>,
+    /// Number of the combination; a mixed-radix number with a digit per address.
     combination: usize,
 }
 
 impl StartChoice {
-    /// The first choice among some engines; `None` if each address has one start.
+    /// The first combination; `None` if each address has one incarnation.
     pub(super) fn first(engines: &[&PipelineEngine]) -> Option<Self> {
         let mut starts: BTreeMap<SocketAddr, Vec<usize>> = BTreeMap::new();
         for (place, engine) in engines.iter().enumerate() {
@@ -38,7 +41,7 @@
         })
     }
 
-    /// The next choice, until all have been taken or there are too many.
+    /// The next combination; `None` after the last or [`MAX_COMBINATIONS`].
     pub(super) fn next(mut self) -> Option<Self> {
         self.combination += 1;
         let combinations = self.starts.values().map(Vec::len);
@@ -46,7 +49,7 @@
         (self.combination < combinations.min(MAX_COMBINATIONS)).then_some(self)
     }
 
-    /// Whether the engine at a place in the list may be used by this choice.
+    /// Whether this combination uses the engine with an index and address.
     pub(super) fn admits(&self, place: usize, addr: SocketAddr) -> bool {
         let mut left = self.combination;
         for (known, places) in &self.starts {
