--- a/crates/rookferry_core/src/lib.rs
+++ b/crates/rookferry_core/src/lib.rs
@@ -143,7 +143,7 @@
 pub use pipeline::Arrivals;
 pub use pipeline::ChainForecast;
 pub use pipeline::ChainStage;
-pub use pipeline::FleetCensus;
+pub use pipeline::FleetInventory;
 pub use pipeline::FullestStage;
 pub use pipeline::LayoutEngine;
 pub use pipeline::LayoutPlanner;
--- a/crates/rookferry_core/src/pipeline/layout/census.rs
+++ b/crates/rookferry_core/src/pipeline/layout/census.rs
@@ -32,13 +32,13 @@
 
 /// Tracks how the engines of a service are listed, and which may be planned with.
 #[derive(Clone, Debug)]
-pub struct FleetCensus {
+pub struct FleetInventory {
     heartbeat: Duration,
     arrivals: Arrivals,
     listed: Option<FirstListed>,
 }
 
-impl FleetCensus {
+impl FleetInventory {
     /// Creates an empty inventory. `heartbeat` is the interval at which engines write
     /// their entries.
     #[must_use]
--- a/crates/rookferry_core/src/pipeline/layout/mod.rs
+++ b/crates/rookferry_core/src/pipeline/layout/mod.rs
@@ -36,7 +36,7 @@
 mod room;
 
 pub use arrivals::Arrivals;
-pub use census::FleetCensus;
+pub use census::FleetInventory;
 pub use engine::LayoutEngine;
 pub use engine::NeededPlacement;
 pub use planner::LayoutPlanner;
--- a/crates/rookferry_core/src/pipeline/mod.rs
+++ b/crates/rookferry_core/src/pipeline/mod.rs
@@ -9,7 +9,7 @@
 //!   path in use.
 //! - [`LayoutPlanner`] decides which engine loads which layers. It rates chains
 //!   of engines by [`forecast`].
-//! - [`FleetCensus`] decides which of the listed engines a plan may use yet.
+//! - [`FleetInventory`] decides which of the listed engines a plan may use yet.
 
 mod cover;
 mod engine;
@@ -28,7 +28,7 @@
 pub use forecast::ChainStage;
 pub use forecast::forecast;
 pub use layout::Arrivals;
-pub use layout::FleetCensus;
+pub use layout::FleetInventory;
 pub use layout::LayoutEngine;
 pub use layout::LayoutPlanner;
 pub use layout::NeededPlacement;
--- a/crates/rookferry_core/tests/census.rs
+++ b/crates/rookferry_core/tests/census.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use rookferry_core::FleetCensus;
+use rookferry_core::FleetInventory;
 use rookferry_core::LayoutEngine;
 use rookferry_wire::LayerRange;
 use rstest::rstest;
@@ -42,7 +42,7 @@
 /// Looks until the first plan; tells when it is made, and with how many.
 fn first_plan(listings: &[Listing], until: Duration) -> Option<(Duration, usize)> {
     let start = Instant::now();
-    let mut census = FleetCensus::new(HEARTBEAT);
+    let mut census = FleetInventory::new(HEARTBEAT);
     let mut at = Duration::ZERO;
     while at <= until {
         let listed = listings.iter().filter(|listing| listing.at <= at);
--- a/crates/rookferry_relay/src/placement/census.rs
+++ b/crates/rookferry_relay/src/placement/census.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use rookferry_core::FleetCensus;
+use rookferry_core::FleetInventory;
 use rookferry_core::LayoutEngine;
 use rookferry_core::ServingService;
 use rookferry_net::clock;
@@ -26,7 +26,7 @@
 pub(super) struct Census {
     relay: Arc<Relay>,
     /// The engines seen so far, by service.
-    fleets: BTreeMap<ServiceId, FleetCensus>,
+    fleets: BTreeMap<ServiceId, FleetInventory>,
 }
 
 impl Census {
@@ -48,7 +48,7 @@
         let engines = self.layout(service, table, orders);
         let heartbeat = Duration::from_millis(self.relay.settings.bounds.heartbeat_ms);
         let fleet = self.fleets.entry(service.name.clone());
-        let fleet = fleet.or_insert_with(|| FleetCensus::new(heartbeat));
+        let fleet = fleet.or_insert_with(|| FleetInventory::new(heartbeat));
         fleet.observe(engines, clock::now())
     }
 
