--- a/crates/rookferry_core/src/lib.rs
+++ b/crates/rookferry_core/src/lib.rs
@@ -151,7 +151,7 @@
 pub use pipeline::ModelShape;
 pub use pipeline::NeededPlacement;
 pub use pipeline::NoPath;
-pub use pipeline::PathFault;
+pub use pipeline::PathError;
 pub use pipeline::PathFinder;
 pub use pipeline::PathStage;
 pub use pipeline::PipelineEngine;
--- a/crates/rookferry_core/src/pipeline/finder.rs
+++ b/crates/rookferry_core/src/pipeline/finder.rs
@@ -11,7 +11,7 @@
 use rookferry_wire::LayerRange;
 use snafu::Snafu;
 
-use super::PathFault;
+use super::PathError;
 use super::PathStage;
 use super::PipelineEngine;
 use super::PipelinePath;
@@ -76,7 +76,7 @@
     #[snafu(display("the search result is not a valid path: {fault}"))]
     Unusable {
         /// Why the result is invalid.
-        fault: PathFault,
+        fault: PathError,
     },
 }
 
--- a/crates/rookferry_core/src/pipeline/mod.rs
+++ b/crates/rookferry_core/src/pipeline/mod.rs
@@ -35,6 +35,6 @@
 pub use model::AcceleratorKind;
 pub use model::ModelShape;
 pub use path::MAX_STAGES;
-pub use path::PathFault;
+pub use path::PathError;
 pub use path::PathStage;
 pub use path::PipelinePath;
--- a/crates/rookferry_core/src/pipeline/path.rs
+++ b/crates/rookferry_core/src/pipeline/path.rs
@@ -36,7 +36,7 @@
 
 /// Reasons why stages don't form a valid path.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum PathFault {
+pub enum PathError {
     /// There are no stages.
     #[snafu(display("the path has no stages"))]
     Empty,
@@ -91,23 +91,23 @@
     ///
     /// Returns an error if the stages skip, repeat or reorder a layer, or if engines
     /// don't accept the path: no stages, too many, or an address that comes twice.
-    pub fn new(stages: Vec<PathStage>, layers: u16) -> Result<Self, PathFault> {
+    pub fn new(stages: Vec<PathStage>, layers: u16) -> Result<Self, PathError> {
         if stages.is_empty() {
-            return Err(PathFault::Empty);
+            return Err(PathError::Empty);
         }
         if stages.len() > MAX_STAGES {
-            return Err(PathFault::TooLong {
+            return Err(PathError::TooLong {
                 stages: stages.len(),
             });
         }
         let mut expected = 0;
         for (stage, part) in stages.iter().enumerate() {
             if part.layers.is_empty() {
-                return Err(PathFault::NoLayer { stage });
+                return Err(PathError::NoLayer { stage });
             }
             if part.layers.start != expected {
                 let found = part.layers.start;
-                return Err(PathFault::NotNext {
+                return Err(PathError::NotNext {
                     stage,
                     expected,
                     found,
@@ -118,12 +118,12 @@
                 .any(|other| other.addr() == part.addr());
             if is_repeated {
                 let engine = part.engine.clone();
-                return Err(PathFault::Repeated { engine });
+                return Err(PathError::Repeated { engine });
             }
             expected = part.layers.end;
         }
         if expected != layers {
-            return Err(PathFault::Unfinished {
+            return Err(PathError::Unfinished {
                 found: expected,
                 layers,
             });
--- a/crates/rookferry_core/tests/pipeline_paths.rs
+++ b/crates/rookferry_core/tests/pipeline_paths.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::Strategy;
 use proptest::proptest;
 use rookferry_core::NoPath;
-use rookferry_core::PathFault;
+use rookferry_core::PathError;
 use rookferry_core::PathFinder;
 use rookferry_core::PathStage;
 use rookferry_core::PipelineEngine;
@@ -50,17 +50,17 @@
 }
 
 #[rstest]
-#[case::empty(vec![], PathFault::Empty)]
-#[case::gap(vec![stage(0, 0, 10), stage(1, 11, 20)], PathFault::NotNext { stage: 1, expected: 10, found: 11 })]
-#[case::overlap(vec![stage(0, 0, 10), stage(1, 9, 20)], PathFault::NotNext { stage: 1, expected: 10, found: 9 })]
-#[case::swapped(vec![stage(0, 10, 20), stage(1, 0, 10)], PathFault::NotNext { stage: 0, expected: 0, found: 10 })]
-#[case::short(vec![stage(0, 0, 19)], PathFault::Unfinished { found: 19, layers: 20 })]
-#[case::long(vec![stage(0, 0, 21)], PathFault::Unfinished { found: 21, layers: 20 })]
-#[case::no_layer(vec![stage(0, 0, 0), stage(1, 0, 20)], PathFault::NoLayer { stage: 0 })]
-#[case::repeated(vec![stage(0, 0, 5), stage(1, 5, 10), stage(0, 10, 20)], PathFault::Repeated { engine: "e0".into() })]
+#[case::empty(vec![], PathError::Empty)]
+#[case::gap(vec![stage(0, 0, 10), stage(1, 11, 20)], PathError::NotNext { stage: 1, expected: 10, found: 11 })]
+#[case::overlap(vec![stage(0, 0, 10), stage(1, 9, 20)], PathError::NotNext { stage: 1, expected: 10, found: 9 })]
+#[case::swapped(vec![stage(0, 10, 20), stage(1, 0, 10)], PathError::NotNext { stage: 0, expected: 0, found: 10 })]
+#[case::short(vec![stage(0, 0, 19)], PathError::Unfinished { found: 19, layers: 20 })]
+#[case::long(vec![stage(0, 0, 21)], PathError::Unfinished { found: 21, layers: 20 })]
+#[case::no_layer(vec![stage(0, 0, 0), stage(1, 0, 20)], PathError::NoLayer { stage: 0 })]
+#[case::repeated(vec![stage(0, 0, 5), stage(1, 5, 10), stage(0, 10, 20)], PathError::Repeated { engine: "e0".into() })]
 fn a_path_that_is_not_exact_cannot_be_made(
     #[case] stages: Vec<PathStage>,
-    #[case] fault: PathFault,
+    #[case] fault: PathError,
 ) {
     assert_eq!(PipelinePath::new(stages, LAYERS), Err(fault));
 }
@@ -75,7 +75,7 @@
     assert!(PipelinePath::new(stages(32), 32).is_ok());
     assert_eq!(
         PipelinePath::new(stages(33), 33),
-        Err(PathFault::TooLong { stages: 33 })
+        Err(PathError::TooLong { stages: 33 })
     );
 }
 
