--- a/crates/rookferry_core/src/pipeline/finder.rs
+++ b/crates/rookferry_core/src/pipeline/finder.rs
@@ -67,7 +67,7 @@
 
 /// Reasons why a search yields no path.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum NoPath {
+pub enum PathSearchError {
     /// No usable engine holds some layer.
     #[snafu(display("no engines cover the layers"))]
     Uncovered,
@@ -106,14 +106,14 @@
     ///
     /// Returns an error if the engines don't cover the layers, or only with more
     /// stages than engines accept.
-    pub fn find(&self, home: &DomainId, tokens: f64) -> Result<PipelinePath, NoPath> {
+    pub fn find(&self, home: &DomainId, tokens: f64) -> Result<PipelinePath, PathSearchError> {
         let whole = LayerRange {
             start: 0,
             end: self.layers,
         };
         let stages = self.cover(whole, home, tokens, &[]);
-        let stages = stages.ok_or(NoPath::Uncovered)?;
-        PipelinePath::new(stages, self.layers).map_err(|fault| NoPath::Unusable { fault })
+        let stages = stages.ok_or(PathSearchError::Uncovered)?;
+        PipelinePath::new(stages, self.layers).map_err(|fault| PathSearchError::Unusable { fault })
     }
 
     /// Cost of a path's stages, by which paths are compared: the expected
--- a/crates/rookferry_core/src/pipeline/mod.rs
+++ b/crates/rookferry_core/src/pipeline/mod.rs
@@ -22,8 +22,8 @@
 
 pub use engine::PipelineEngine;
 pub use finder::FullestStage;
-pub use finder::NoPath;
 pub use finder::PathFinder;
+pub use finder::PathSearchError;
 pub use forecast::ChainForecast;
 pub use forecast::ChainStage;
 pub use forecast::forecast;
--- a/crates/rookferry_core/tests/pipeline_paths.rs
+++ b/crates/rookferry_core/tests/pipeline_paths.rs
@@ -6,9 +6,9 @@
 use proptest::collection::vec;
 use proptest::prelude::Strategy;
 use proptest::proptest;
-use rookferry_core::NoPath;
 use rookferry_core::PathError;
 use rookferry_core::PathFinder;
+use rookferry_core::PathSearchError;
 use rookferry_core::PathStage;
 use rookferry_core::PipelineEngine;
 use rookferry_core::PipelinePath;
@@ -229,7 +229,7 @@
             assert_held(path, &engines);
         }
         if !is_covered(&engines) {
-            assert_eq!(path, Err(NoPath::Uncovered));
+            assert_eq!(path, Err(PathSearchError::Uncovered));
         }
     }
 
@@ -250,7 +250,7 @@
         let home: DomainId = "a".into();
         let path = PathFinder::new(LAYERS, &listed).find(&home, TOKENS);
         if let Err(no_path) = &path {
-            assert_eq!(no_path, &NoPath::Uncovered);
+            assert_eq!(no_path, &PathSearchError::Uncovered);
             assert!(!is_covered(&engines), "{engines:?}");
         }
     }
@@ -337,7 +337,7 @@
         });
         let found = finder.find(&home, TOKENS);
         let Some(cheapest) = cheapest else {
-            assert_eq!(found, Err(NoPath::Uncovered));
+            assert_eq!(found, Err(PathSearchError::Uncovered));
             return Ok(());
         };
         let best_ms = cost_ms(&cheapest);
--- a/crates/rookferry_relay/src/opener/mod.rs
+++ b/crates/rookferry_relay/src/opener/mod.rs
@@ -12,8 +12,8 @@
 use http::HeaderValue;
 use rookferry_core::BackendServer;
 use rookferry_core::ModelShape;
-use rookferry_core::NoPath;
 use rookferry_core::PathFinder;
+use rookferry_core::PathSearchError;
 use rookferry_core::PipelinePath;
 use rookferry_core::RunProgress;
 use rookferry_core::ServerKey;
@@ -264,8 +264,8 @@
     }
 
     /// A way that was found and is no path tells of a fault of the search.
-    fn note_no_path(&self, no_path: &NoPath) {
-        let NoPath::Unusable { fault } = no_path else {
+    fn note_no_path(&self, no_path: &PathSearchError) {
+        let PathSearchError::Unusable { fault } = no_path else {
             return;
         };
         if let Some(log) = self.target.relay.events.line(Weight::Notable) {
