--- a/crates/rookferry_core/src/pipeline/finder.rs
+++ b/crates/rookferry_core/src/pipeline/finder.rs
@@ -73,10 +73,10 @@
     Uncovered,
     /// The result of the search isn't a valid path: a bug in the search, unless it
     /// has more stages than engines accept.
-    #[snafu(display("the search result is not a valid path: {fault}"))]
+    #[snafu(display("the search result is not a valid path: {error}"))]
     Unusable {
         /// Why the result is invalid.
-        fault: PathError,
+        error: PathError,
     },
 }
 
@@ -113,7 +113,7 @@
         };
         let stages = self.cover(whole, home, tokens, &[]);
         let stages = stages.ok_or(PathSearchError::Uncovered)?;
-        PipelinePath::new(stages, self.layers).map_err(|fault| PathSearchError::Unusable { fault })
+        PipelinePath::new(stages, self.layers).map_err(|error| PathSearchError::Unusable { error })
     }
 
     /// Cost of a path's stages, by which paths are compared: the expected
--- a/crates/rookferry_relay/src/opener/mod.rs
+++ b/crates/rookferry_relay/src/opener/mod.rs
@@ -265,12 +265,12 @@
 
     /// A way that was found and is no path tells of a fault of the search.
     fn note_no_path(&self, no_path: &PathSearchError) {
-        let PathSearchError::Unusable { fault } = no_path else {
+        let PathSearchError::Unusable { error } = no_path else {
             return;
         };
         if let Some(log) = self.target.relay.events.line(Weight::Notable) {
             warn!(log, "stream: the way found is no path"; "event" => "path_unusable",
-                "request" => &self.target.request.attempt, "cause" => %fault);
+                "request" => &self.target.request.attempt, "cause" => %error);
         }
     }
 
