--- a/crates/rookferry_core/src/pipeline/path.rs
+++ b/crates/rookferry_core/src/pipeline/path.rs
@@ -54,7 +54,7 @@
     },
     /// A stage doesn't start where the previous one ends.
     #[snafu(display("stage {stage} starts at layer {found}, expected layer {expected}"))]
-    NotNext {
+    NotContiguous {
         /// Index of the stage.
         stage: usize,
         /// The layer that the stage has to start at.
@@ -107,7 +107,7 @@
             }
             if part.layers.start != expected {
                 let found = part.layers.start;
-                return Err(PathError::NotNext {
+                return Err(PathError::NotContiguous {
                     stage,
                     expected,
                     found,
