--- a/crates/rookferry_core/src/pipeline/path.rs
+++ b/crates/rookferry_core/src/pipeline/path.rs
@@ -64,7 +64,7 @@
     },
     /// The last stage doesn't end at the model's last layer.
     #[snafu(display("the path ends at layer {found}, but the model has {layers} layers"))]
-    Unfinished {
+    WrongEnd {
         /// End of the last stage's range, exclusive.
         found: u16,
         /// The model's number of layers.
@@ -123,7 +123,7 @@
             expected = part.layers.end;
         }
         if expected != layers {
-            return Err(PathError::Unfinished {
+            return Err(PathError::WrongEnd {
                 found: expected,
                 layers,
             });
