--- a/crates/rookferry_core/src/pipeline/path.rs
+++ b/crates/rookferry_core/src/pipeline/path.rs
@@ -48,7 +48,7 @@
     },
     /// A stage's layer range is empty.
     #[snafu(display("the layer range of stage {stage} is empty"))]
-    NoLayer {
+    EmptyStage {
         /// Index of the stage.
         stage: usize,
     },
@@ -103,7 +103,7 @@
         let mut expected = 0;
         for (stage, part) in stages.iter().enumerate() {
             if part.layers.is_empty() {
-                return Err(PathError::NoLayer { stage });
+                return Err(PathError::EmptyStage { stage });
             }
             if part.layers.start != expected {
                 let found = part.layers.start;
