--- a/crates/rookferry_core/src/pipeline/path.rs
+++ b/crates/rookferry_core/src/pipeline/path.rs
@@ -72,7 +72,7 @@
     },
     /// Two stages have the same address.
     #[snafu(display("the address of engine {engine} appears in two stages"))]
-    Repeated {
+    DuplicateAddress {
         /// The engine of the second of them.
         engine: EngineId,
     },
@@ -118,7 +118,7 @@
                 .any(|other| other.addr() == part.addr());
             if is_repeated {
                 let engine = part.engine.clone();
-                return Err(PathError::Repeated { engine });
+                return Err(PathError::DuplicateAddress { engine });
             }
             expected = part.layers.end;
         }
--- a/crates/rookferry_core/tests/pipeline_paths.rs
+++ b/crates/rookferry_core/tests/pipeline_paths.rs
@@ -57,7 +57,7 @@
 #[case::short(vec![stage(0, 0, 19)], PathError::WrongEnd { found: 19, layers: 20 })]
 #[case::long(vec![stage(0, 0, 21)], PathError::WrongEnd { found: 21, layers: 20 })]
 #[case::no_layer(vec![stage(0, 0, 0), stage(1, 0, 20)], PathError::EmptyStage { stage: 0 })]
-#[case::repeated(vec![stage(0, 0, 5), stage(1, 5, 10), stage(0, 10, 20)], PathError::Repeated { engine: "e0".into() })]
+#[case::repeated(vec![stage(0, 0, 5), stage(1, 5, 10), stage(0, 10, 20)], PathError::DuplicateAddress { engine: "e0".into() })]
 fn a_path_that_is_not_exact_cannot_be_made(
     #[case] stages: Vec<PathStage>,
     #[case] fault: PathError,
