--- a/crates/rookferry_core/src/pipeline/path.rs
+++ b/crates/rookferry_core/src/pipeline/path.rs
@@ -42,7 +42,7 @@
     Empty,
     /// There are more than [`MAX_STAGES`] stages.
     #[snafu(display("the path has {stages} stages, but engines accept at most {MAX_STAGES}"))]
-    TooLong {
+    TooManyStages {
         /// Number of stages.
         stages: usize,
     },
@@ -96,7 +96,7 @@
             return Err(PathError::Empty);
         }
         if stages.len() > MAX_STAGES {
-            return Err(PathError::TooLong {
+            return Err(PathError::TooManyStages {
                 stages: stages.len(),
             });
         }
--- a/crates/rookferry_core/tests/pipeline_paths.rs
+++ b/crates/rookferry_core/tests/pipeline_paths.rs
@@ -75,7 +75,7 @@
     assert!(PipelinePath::new(stages(32), 32).is_ok());
     assert_eq!(
         PipelinePath::new(stages(33), 33),
-        Err(PathError::TooLong { stages: 33 })
+        Err(PathError::TooManyStages { stages: 33 })
     );
 }
 
