--- a/crates/rookferry_core/src/lib.rs
+++ b/crates/rookferry_core/src/lib.rs
@@ -140,7 +140,7 @@
 pub use peers::ServerLoad;
 pub use peers::Targets;
 pub use pipeline::AcceleratorKind;
-pub use pipeline::Arrivals;
+pub use pipeline::ArrivalTracker;
 pub use pipeline::ChainForecast;
 pub use pipeline::ChainStage;
 pub use pipeline::FleetInventory;
--- a/crates/rookferry_core/src/pipeline/layout/arrivals.rs
+++ b/crates/rookferry_core/src/pipeline/layout/arrivals.rs
@@ -27,12 +27,12 @@
 
 /// Times at which the engines of each domain were first listed.
 #[derive(Clone, Debug)]
-pub struct Arrivals {
+pub struct ArrivalTracker {
     window: Duration,
     domains: BTreeMap<DomainId, Seen>,
 }
 
-impl Arrivals {
+impl ArrivalTracker {
     /// Creates a tracker without engines. Engines that arrive within `window` of each
     /// other count as returning together.
     #[must_use]
--- a/crates/rookferry_core/src/pipeline/layout/census.rs
+++ b/crates/rookferry_core/src/pipeline/layout/census.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::Arrivals;
+use super::ArrivalTracker;
 use super::LayoutEngine;
 
 /// Heartbeats without a new engine after which the first plan is made, if no engine
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub struct FleetInventory {
     heartbeat: Duration,
-    arrivals: Arrivals,
+    arrivals: ArrivalTracker,
     listed: Option<FirstListed>,
 }
 
@@ -45,7 +45,7 @@
     pub fn new(heartbeat: Duration) -> Self {
         Self {
             heartbeat,
-            arrivals: Arrivals::new(heartbeat.mul_f64(QUIET_HEARTBEATS)),
+            arrivals: ArrivalTracker::new(heartbeat.mul_f64(QUIET_HEARTBEATS)),
             listed: None,
         }
     }
--- a/crates/rookferry_core/src/pipeline/layout/mod.rs
+++ b/crates/rookferry_core/src/pipeline/layout/mod.rs
@@ -35,7 +35,7 @@
 mod retile;
 mod room;
 
-pub use arrivals::Arrivals;
+pub use arrivals::ArrivalTracker;
 pub use census::FleetInventory;
 pub use engine::LayoutEngine;
 pub use engine::NeededPlacement;
--- a/crates/rookferry_core/src/pipeline/mod.rs
+++ b/crates/rookferry_core/src/pipeline/mod.rs
@@ -27,7 +27,7 @@
 pub use forecast::ChainForecast;
 pub use forecast::ChainStage;
 pub use forecast::forecast;
-pub use layout::Arrivals;
+pub use layout::ArrivalTracker;
 pub use layout::FleetInventory;
 pub use layout::LayoutEngine;
 pub use layout::LayoutPlanner;
--- a/crates/rookferry_core/tests/layout.rs
+++ b/crates/rookferry_core/tests/layout.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::any;
 use proptest::proptest;
 use rookferry_core::AcceleratorKind;
-use rookferry_core::Arrivals;
+use rookferry_core::ArrivalTracker;
 use rookferry_core::LayoutEngine;
 use rookferry_core::LayoutPlanner;
 use rookferry_core::ModelShape;
@@ -444,7 +444,7 @@
         .filter(|engine| &*engine.domain != "a")
         .cloned()
         .collect();
-    let mut arrivals = Arrivals::new(window);
+    let mut arrivals = ArrivalTracker::new(window);
     let mut now = Instant::now();
     arrivals.observe(&all, now);
     assert!(
@@ -469,7 +469,7 @@
 
 #[test]
 fn an_engine_that_comes_alone_is_not_waited_for() {
-    let mut arrivals = Arrivals::new(Duration::from_millis(700));
+    let mut arrivals = ArrivalTracker::new(Duration::from_millis(700));
     let all = site();
     let now = Instant::now();
     arrivals.observe(&all[1..], now);
