--- a/crates/rookferry_core/examples/path_time.rs
+++ b/crates/rookferry_core/examples/path_time.rs
@@ -45,7 +45,7 @@
             layer_step_ms,
             cache_tokens: 30_000.0,
             used_tokens: rng.random_range(0.0..20_000.0),
-            is_closed: false,
+            is_refusing: false,
         }
     });
     engines.collect()
--- a/crates/rookferry_core/src/pipeline/engine.rs
+++ b/crates/rookferry_core/src/pipeline/engine.rs
@@ -26,7 +26,7 @@
     /// Tokens of the requests in flight on it, as far as known.
     pub used_tokens: f64,
     /// Whether it is expected to refuse new work, as it lately did despite free cache.
-    pub is_closed: bool,
+    pub is_refusing: bool,
 }
 
 impl PipelineEngine {
--- a/crates/rookferry_core/src/pipeline/finder.rs
+++ b/crates/rookferry_core/src/pipeline/finder.rs
@@ -255,7 +255,7 @@
     };
     let fill = fill(engine);
     let crowding = ((fill - CROWDED) / (1.0 - CROWDED)).max(0.0);
-    let closed_ms = if engine.is_closed { CLOSED_MS } else { 0.0 };
+    let closed_ms = if engine.is_refusing { CLOSED_MS } else { 0.0 };
     EngineCost {
         entry_ms: STAGE_MS + closed_ms + room_ms + crowding * crowding * FULL_MS,
         layer_ms: engine.layer_step_ms * (1.0 + LOAD_WEIGHT * fill),
--- a/crates/rookferry_core/tests/closed.rs
+++ b/crates/rookferry_core/tests/closed.rs
@@ -41,7 +41,7 @@
         layer_step_ms: 0.2,
         cache_tokens: ROOM_TOKENS,
         used_tokens: 30_000.0,
-        is_closed: false,
+        is_refusing: false,
     };
     (0..12).map(engine).collect()
 }
@@ -84,7 +84,7 @@
         let place = rng.random_range(0..INSTANCES);
         let instance = &mut closed[place];
         for engine in &mut engines {
-            engine.is_closed = instance.is_closed(engine.server, now);
+            engine.is_refusing = instance.is_closed(engine.server, now);
         }
         let finder = PathFinder::new(80, &engines);
         let path = finder
@@ -175,7 +175,7 @@
 fn where_nothing_else_holds_the_layers_a_closed_engine_is_still_tried() {
     let mut engines = engines();
     for engine in &mut engines {
-        engine.is_closed = engine.addr().port() % 4 == 1;
+        engine.is_refusing = engine.addr().port() % 4 == 1;
     }
     let finder = PathFinder::new(80, &engines);
     assert!(finder.find(&"domain".into(), STREAM_TOKENS).is_ok());
--- a/crates/rookferry_core/tests/pipeline_paths.rs
+++ b/crates/rookferry_core/tests/pipeline_paths.rs
@@ -45,7 +45,7 @@
         layer_step_ms: 0.2,
         cache_tokens: 10_000.0,
         used_tokens: 0.0,
-        is_closed: false,
+        is_refusing: false,
     }
 }
 
--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -131,7 +131,7 @@
             .filter(|server| filter.takes(server, at));
         let engines = usable.filter_map(|server| {
             let mut engine = self.pipeline_engine(server, model, health, now)?;
-            engine.is_closed =
+            engine.is_refusing =
                 closed.is_closed(server.key, now) || self.is_doubted(&doubted, server.key, now);
             if health.is_full(server.key, now) {
                 engine.used_tokens = engine.cache_tokens;
@@ -220,7 +220,7 @@
             layer_step_ms: model.layer_step_ms(kind) * self.beliefs.signs.slowdown(server.key, now),
             cache_tokens: health.room_tokens(server.key, published_tokens(server, model), now),
             used_tokens: self.load_of(server.key).tokens,
-            is_closed: false,
+            is_refusing: false,
         })
     }
 
