--- a/crates/rookferry_core/src/pipeline/layout/draft.rs
+++ b/crates/rookferry_core/src/pipeline/layout/draft.rs
@@ -49,13 +49,13 @@
     }
 
     /// Adds an order for an engine to hold a range.
-    pub(super) fn order(&mut self, index: usize, layers: LayerRange, is_missing: bool) {
+    pub(super) fn order(&mut self, index: usize, layers: LayerRange, fills_gap: bool) {
         self.held[index] = Some(layers);
         self.ordered.insert(index);
         self.placements.push(NeededPlacement {
             engine: self.engines[index].engine.clone(),
             layers,
-            is_missing,
+            fills_gap,
         });
     }
 
--- a/crates/rookferry_core/src/pipeline/layout/engine.rs
+++ b/crates/rookferry_core/src/pipeline/layout/engine.rs
@@ -27,5 +27,5 @@
     /// The layers to hold.
     pub layers: LayerRange,
     /// Whether the order fills a gap, rather than adding or moving a copy.
-    pub is_missing: bool,
+    pub fills_gap: bool,
 }
--- a/crates/rookferry_core/tests/layout.rs
+++ b/crates/rookferry_core/tests/layout.rs
@@ -229,7 +229,7 @@
     let engines = fleet(&[("a", 1, 4, 10)]);
     let orders = LayoutPlanner::new(&model).plan(&engines);
     let (needed, copies): (Vec<_>, Vec<_>) =
-        orders.iter().partition(|placement| placement.is_missing);
+        orders.iter().partition(|placement| placement.fills_gap);
     assert!(
         needed
             .iter()
--- a/crates/rookferry_relay/src/placement/mod.rs
+++ b/crates/rookferry_relay/src/placement/mod.rs
@@ -133,7 +133,7 @@
             info!(log, "placement: layers are needed"; "event" => "placement_planned",
                 "service" => &*service.name, "engines" => engines.len(),
                 "orders" => needed.len(),
-                "missing" => needed.iter().filter(|placement| placement.is_missing).count());
+                "missing" => needed.iter().filter(|placement| placement.fills_gap).count());
         }
         let keeper = &self.keeper;
         let may_order = || keeper.scope() != Scope::Nothing;
--- a/crates/rookferry_relay/src/placement/orders.rs
+++ b/crates/rookferry_relay/src/placement/orders.rs
@@ -86,7 +86,7 @@
         mut needed: Vec<NeededPlacement>,
         may_order: impl Fn() -> bool,
     ) -> bool {
-        needed.sort_by_key(|placement| !placement.is_missing);
+        needed.sort_by_key(|placement| !placement.fills_gap);
         let count = needed.len();
         let orders =
             for_a_round(needed).map(|placement| self.order(service, table, placement, &may_order));
@@ -189,7 +189,7 @@
             info!(log, "placement: an engine is ordered"; "event" => "order_sent",
                 "engine" => &*placement.engine, "addr" => %server.addr(), "order" => "place",
                 "layers" => format!("{}-{}", placement.layers.start, placement.layers.end),
-                "missing" => placement.is_missing, "sequence" => report.sequence,
+                "missing" => placement.fills_gap, "sequence" => report.sequence,
                 "outcome" => &outcome);
         }
         match answer {
