--- a/crates/rookferry_core/src/pipeline/layout/draft.rs
+++ b/crates/rookferry_core/src/pipeline/layout/draft.rs
@@ -77,7 +77,7 @@
     /// The kind of an engine; `None` if it is unknown or its figures are invalid.
     pub(super) fn kind(&self, index: usize) -> Option<&'a AcceleratorKind> {
         let kind = self.model.kind(&self.engines[index].kind)?;
-        self.model.is_usable(kind).then_some(kind)
+        self.model.has_valid_figures(kind).then_some(kind)
     }
 
     /// Milliseconds of a step through one layer on an engine.
--- a/crates/rookferry_core/src/pipeline/model.rs
+++ b/crates/rookferry_core/src/pipeline/model.rs
@@ -139,7 +139,7 @@
     /// Whether planning can use a kind: the figures it depends on are positive and
     /// finite, and at least one layer fits in memory.
     #[must_use]
-    pub fn is_usable(&self, kind: &AcceleratorKind) -> bool {
+    pub fn has_valid_figures(&self, kind: &AcceleratorKind) -> bool {
         let figures = [
             kind.memory_mb,
             kind.step_factor,
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -235,7 +235,7 @@
                 continue;
             };
             let kinds = model.kinds.iter();
-            for kind in kinds.filter(|kind| !model.is_usable(kind)) {
+            for kind in kinds.filter(|kind| !model.has_valid_figures(kind)) {
                 if let Some(log) = self.events.line(Weight::Notable) {
                     warn!(log, "config: an accelerator's figures can't be reckoned with";
                         "event" => "figures_unusable", "service" => &*service.name,
