--- a/crates/rookferry_core/src/pipeline/model.rs
+++ b/crates/rookferry_core/src/pipeline/model.rs
@@ -128,7 +128,7 @@
     /// Milliseconds for which the activations of some tokens occupy the link between
     /// failure domains; 0 if its figures aren't published.
     #[must_use]
-    pub fn crossing_ms(&self, tokens: f64) -> f64 {
+    pub fn link_transfer_ms(&self, tokens: f64) -> f64 {
         let bits_per_ms = self.link_mbps * BITS_PER_MS_AND_MBPS;
         if !is_positive(bits_per_ms) || !is_positive(self.activation_bytes) {
             return 0.0;
--- a/crates/rookferry_relay/src/opener/room.rs
+++ b/crates/rookferry_relay/src/opener/room.rs
@@ -105,7 +105,7 @@
             .as_ref()
             .map_or(0, |table| table.crossings(&path));
         let tokens = self.target.request.tokens();
-        let needed_ms = self.target.model.crossing_ms(tokens) * crossings as f64;
+        let needed_ms = self.target.model.link_transfer_ms(tokens) * crossings as f64;
         if needed_ms <= 0.0 {
             return Room::On(path);
         }
