--- a/crates/rookferry_core/src/pipeline/layout/planner.rs
+++ b/crates/rookferry_core/src/pipeline/layout/planner.rs
@@ -251,7 +251,7 @@
 
     /// The layer with the least cache in a group, if it limits the group.
     fn tight_layer(&self, holdings: &Holdings<'_>, group: &Group) -> Option<u16> {
-        let aim = group.requests * self.model.usual_tokens();
+        let aim = group.requests * self.model.mean_request_tokens();
         let (least, tokens) = holdings.tightest()?;
         (tokens < aim * TIGHT_PART).then_some(least)
     }
--- a/crates/rookferry_core/src/pipeline/layout/room.rs
+++ b/crates/rookferry_core/src/pipeline/layout/room.rs
@@ -76,8 +76,8 @@
 
     /// Number of layers that fit on a kind beside the cache of `requests` requests.
     pub(super) fn share(&self, kind: &AcceleratorKind, requests: f64) -> u16 {
-        let tokens = requests * self.model.usual_tokens();
-        self.model.layers_beside(kind, tokens)
+        let tokens = requests * self.model.mean_request_tokens();
+        self.model.max_layers_beside(kind, tokens)
     }
 
     /// Milliseconds per layer of a pass on a kind, including its part of the transfer to
--- a/crates/rookferry_core/src/pipeline/model.rs
+++ b/crates/rookferry_core/src/pipeline/model.rs
@@ -87,14 +87,14 @@
 
     /// Mean tokens of a request, prompt and answer together.
     #[must_use]
-    pub const fn usual_tokens(&self) -> f64 {
+    pub const fn mean_request_tokens(&self) -> f64 {
         self.usual_prompt_tokens + self.usual_answer_tokens
     }
 
     /// Maximum number of layers that fit on a kind beside the cache of some tokens;
     /// 0 if a figure is missing or out of range.
     #[must_use]
-    pub fn layers_beside(&self, kind: &AcceleratorKind, tokens: f64) -> u16 {
+    pub fn max_layers_beside(&self, kind: &AcceleratorKind, tokens: f64) -> u16 {
         let cache_mb_per_layer =
             tokens * self.cache_bytes_per_token / f64::from(self.layers.max(1)) / BYTES_PER_MB;
         let mb_per_layer = self.layer_mb + cache_mb_per_layer;
