--- a/crates/rookferry_core/src/pipeline/finder.rs
+++ b/crates/rookferry_core/src/pipeline/finder.rs
@@ -15,11 +15,11 @@
 use super::PathStage;
 use super::PipelineEngine;
 use super::PipelinePath;
-use super::cover::Cover;
-use super::cover::CrossingCost;
-use super::cover::EngineCost;
-use super::cover::Part;
-use super::start_choice::StartChoice;
+use super::incarnation_choice::StartChoice;
+use super::path_search::Cover;
+use super::path_search::CrossingCost;
+use super::path_search::EngineCost;
+use super::path_search::Part;
 
 /// Time that one more stage adds per token: the transfer, and the wait for the
 /// engine's current pass. Half a pass of a mid-sized stage at the published figures.
--- a/crates/rookferry_core/src/pipeline/layout/mod.rs
+++ b/crates/rookferry_core/src/pipeline/layout/mod.rs
@@ -27,16 +27,16 @@
 
 mod arrivals;
 mod balance;
-mod census;
+mod capacity;
 mod draft;
 mod engine;
 mod holdings;
+mod inventory;
 mod planner;
 mod retile;
-mod room;
 
 pub use arrivals::ArrivalTracker;
-pub use census::FleetInventory;
 pub use engine::LayoutEngine;
 pub use engine::NeededPlacement;
+pub use inventory::FleetInventory;
 pub use planner::LayoutPlanner;
--- a/crates/rookferry_core/src/pipeline/layout/planner.rs
+++ b/crates/rookferry_core/src/pipeline/layout/planner.rs
@@ -14,12 +14,12 @@
 use super::LayoutEngine;
 use super::NeededPlacement;
 use super::balance;
+use super::capacity::RoomSearch;
 use super::draft::Draft;
 use super::draft::MoveLoss;
 use super::holdings::Holdings;
 use super::holdings::LayerCopies;
 use super::retile::retile;
-use super::room::RoomSearch;
 
 /// Fraction of a group's target cache below which a layer limits the throughput of the
 /// whole group, so that moving a copy there is worth a load.
--- a/crates/rookferry_core/src/pipeline/mod.rs
+++ b/crates/rookferry_core/src/pipeline/mod.rs
@@ -11,14 +11,14 @@
 //!   of engines by [`forecast`].
 //! - [`FleetInventory`] decides which of the listed engines a plan may use yet.
 
-mod cover;
 mod engine;
 mod finder;
 mod forecast;
+mod incarnation_choice;
 mod layout;
 mod model;
 mod path;
-mod start_choice;
+mod path_search;
 
 pub use engine::PipelineEngine;
 pub use finder::FullestStage;
