--- a/crates/rookferry_core/examples/quarantine_size.rs
+++ b/crates/rookferry_core/examples/quarantine_size.rs
@@ -16,9 +16,9 @@
 /// Number of requests; more than the quarantine retains.
 const REQUESTS: u32 = 20_000;
 /// Server crashes per request.
-const ENDS: u16 = 5;
+const CRASHES: u16 = 5;
 /// Maximum number of requests in one heartbeat.
-const TOLD: usize = 24;
+const REQUESTS_PER_HEARTBEAT: usize = 24;
 /// Size of the request body that signatures are computed over.
 const BODY_BYTES: usize = 4_096;
 
@@ -46,37 +46,40 @@
     let start = Instant::now();
     let mut quarantine = Quarantine::new();
     for request in 0..REQUESTS {
-        for end in 0..ENDS {
-            let end = RunEnd {
-                server: server(end),
+        for crash in 0..CRASHES {
+            let crash = RunEnd {
+                server: server(crash),
                 run: 0,
                 progress: RunProgress::Answering,
                 joined_at: start,
                 alive_at: start,
                 at: start,
             };
-            quarantine.note_end(signature(request, b""), end, start);
+            quarantine.note_end(signature(request, b""), crash, start);
         }
     }
-    let noted_us = start.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS * u32::from(ENDS));
-    let kept = quarantine.len();
-    println!("retained {kept} requests, {} kB", resident_kb() - before_kb);
-    println!("{noted_us:.2} us to record a crash");
+    let record_us = start.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS * u32::from(CRASHES));
+    let retained = quarantine.len();
+    println!(
+        "retained {retained} requests, {} kB",
+        resident_kb() - before_kb
+    );
+    println!("{record_us:.2} us to record a crash");
 
-    let round = Instant::now();
-    let told = quarantine.next_told(TOLD, start);
-    let round_us = round.elapsed().as_secs_f64() * 1e6;
-    let ends: usize = told.iter().map(|seen| seen.ends.len()).sum();
+    let selection_start = Instant::now();
+    let observations = quarantine.next_told(REQUESTS_PER_HEARTBEAT, start);
+    let selection_us = selection_start.elapsed().as_secs_f64() * 1e6;
+    let crashes: usize = observations.iter().map(|request| request.ends.len()).sum();
     println!(
-        "{} requests with {ends} crashes in a heartbeat, selected in {round_us:.0} us",
-        told.len()
+        "{} requests with {crashes} crashes in a heartbeat, selected in {selection_us:.0} us",
+        observations.len()
     );
 
     let body = vec![7; BODY_BYTES];
-    let signing = Instant::now();
+    let signing_start = Instant::now();
     for request in 0..REQUESTS {
         std::hint::black_box(signature(request, &body));
     }
-    let signed_us = signing.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS);
-    println!("{signed_us:.2} us to compute a signature over {BODY_BYTES} bytes");
+    let signing_us = signing_start.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS);
+    println!("{signing_us:.2} us to compute a signature over {BODY_BYTES} bytes");
 }
--- a/crates/rookferry_core/src/pipeline/finder.rs
+++ b/crates/rookferry_core/src/pipeline/finder.rs
@@ -15,48 +15,49 @@
 use super::PathStage;
 use super::PipelineEngine;
 use super::PipelinePath;
-use super::incarnation_choice::StartChoice;
-use super::path_search::Cover;
+use super::incarnation_choice::IncarnationChoice;
 use super::path_search::CrossingCost;
 use super::path_search::EngineCost;
-use super::path_search::Part;
+use super::path_search::PathSearch;
+use super::path_search::Segment;
 
 /// Time that one more stage adds per token: the transfer, and the wait for the
 /// engine's current pass. Half a pass of a mid-sized stage at the published figures.
-const STAGE_MS: f64 = 0.7;
+const STAGE_OVERHEAD_MS: f64 = 0.7;
 /// Penalty for a path that goes from one failure domain to another between two layers.
 /// A few dozen prompts per second saturate the link that all domains share, and then
 /// every stream that crosses it stalls. So the penalty leaves crossings to domains
 /// that lack layers; other requests wait for full engines or run wholly in another
 /// domain.
-const CROSSING_MS: f64 = 1_000.0;
+const CROSSING_PENALTY_MS: f64 = 1_000.0;
 /// Penalty for a first stage outside the caller's failure domain. Only the request and
 /// single tokens cross the link then, not activations.
-const ENTRY_CROSSING_MS: f64 = 8.0;
+const ENTRY_CROSSING_PENALTY_MS: f64 = 8.0;
 /// Both crossing penalties, as the search takes them.
-const CROSSING: CrossingCost = CrossingCost {
-    first_ms: ENTRY_CROSSING_MS,
-    later_ms: CROSSING_MS,
+const CROSSING_COST: CrossingCost = CrossingCost {
+    first_ms: ENTRY_CROSSING_PENALTY_MS,
+    later_ms: CROSSING_PENALTY_MS,
 };
 /// Increase of the expected step time at a full cache, as a fraction. Spreads requests
 /// over engines that hold the same layers.
 const LOAD_WEIGHT: f64 = 1.0;
 /// Fraction of the cache in use above which an engine gets a penalty that grows up to
-/// [`FULL_MS`]. Above it, newer requests are delayed for lack of free cache.
-const CROWDED: f64 = 0.6;
+/// [`FULL_CACHE_PENALTY_MS`]. Above it, newer requests are delayed for lack of free
+/// cache.
+const CROWDED_FILL: f64 = 0.6;
 /// Penalty for an engine with a full cache; less than a crossing.
-const FULL_MS: f64 = 20.0;
+const FULL_CACHE_PENALTY_MS: f64 = 20.0;
 /// Additional penalty for an engine without enough free cache for the request, so
 /// that it is used only if no other engine holds the layers.
-const NO_ROOM_MS: f64 = 60.0;
+const NO_FREE_CACHE_PENALTY_MS: f64 = 60.0;
 /// Additional penalty for exceeding the cache by its whole capacity, in proportion: a
 /// request waits there until the excess has completed. Distributes the excess over
 /// engines that are all full.
-const OVERFULL_MS: f64 = 800.0;
+const OVERFILL_PENALTY_MS: f64 = 800.0;
 
 /// Penalty for an engine that is expected to refuse new work: more than any path
 /// around it costs, since the try would be refused.
-const CLOSED_MS: f64 = 4_000.0;
+const REFUSING_PENALTY_MS: f64 = 4_000.0;
 
 /// Finds and repairs paths over a set of engines.
 #[derive(Debug)]
@@ -107,11 +108,11 @@
     /// Returns an error if the engines don't cover the layers, or only with more
     /// stages than engines accept.
     pub fn find(&self, home: &DomainId, tokens: f64) -> Result<PipelinePath, PathSearchError> {
-        let whole = LayerRange {
+        let all_layers = LayerRange {
             start: 0,
             end: self.layers,
         };
-        let stages = self.cover(whole, home, tokens, &[]);
+        let stages = self.cheapest_stages(all_layers, home, tokens, &[]);
         let stages = stages.ok_or(PathSearchError::Uncovered)?;
         PipelinePath::new(stages, self.layers).map_err(|error| PathSearchError::Unusable { error })
     }
@@ -129,10 +130,10 @@
             let engine = engine
                 .copied()
                 .find(|engine| engine.server == stage.server)?;
-            let EngineCost { entry_ms, layer_ms } = cost(engine, tokens);
+            let EngineCost { entry_ms, layer_ms } = engine_cost(engine, tokens);
             cost_ms += entry_ms + f64::from(stage.layers.len()) * layer_ms;
             if engine.domain != *domain {
-                cost_ms += CROSSING.before(stage.layers.start);
+                cost_ms += CROSSING_COST.before(stage.layers.start);
             }
             domain = &engine.domain;
         }
@@ -150,8 +151,8 @@
                 .engines
                 .iter()
                 .find(|engine| engine.server == stage.server)?;
-            let part = f64::from(stage.layers.len()) / f64::from(engine.held.len().max(1));
-            let overfill = engine.overfill(tokens * part);
+            let run_fraction = f64::from(stage.layers.len()) / f64::from(engine.held.len().max(1));
+            let overfill = engine.overfill(tokens * run_fraction);
             Some(FullestStage { engine, overfill })
         });
         filled.max_by(|left, right| left.overfill.total_cmp(&right.overfill))
@@ -171,22 +172,22 @@
         if is_lost(path.first()) {
             return None;
         }
-        let kept: Vec<&PathStage> = path
+        let remaining: Vec<&PathStage> = path
             .stages()
             .iter()
             .filter(|stage| !is_lost(stage))
             .collect();
-        let mut taken: Vec<SocketAddr> = kept.iter().map(|stage| stage.addr()).collect();
+        let mut used_addrs: Vec<SocketAddr> = remaining.iter().map(|stage| stage.addr()).collect();
         let mut stages = Vec::with_capacity(path.stages().len());
         let mut next = 0;
-        for stage in kept {
+        for stage in remaining {
             if next < stage.layers.start {
                 let gap = LayerRange {
                     start: next,
                     end: stage.layers.start,
                 };
-                let filled = self.cover(gap, home, tokens, &taken)?;
-                taken.extend(filled.iter().map(PathStage::addr));
+                let filled = self.cheapest_stages(gap, home, tokens, &used_addrs)?;
+                used_addrs.extend(filled.iter().map(PathStage::addr));
                 stages.extend(filled);
             }
             next = stage.layers.end;
@@ -197,73 +198,80 @@
                 start: next,
                 end: self.layers,
             };
-            stages.extend(self.cover(gap, home, tokens, &taken)?);
+            stages.extend(self.cheapest_stages(gap, home, tokens, &used_addrs)?);
         }
         PipelinePath::new(stages, self.layers).ok()
     }
 
     /// The cheapest stages that cover a range exactly and use none of the addresses in
-    /// `without`.
-    fn cover(
+    /// `excluded`.
+    fn cheapest_stages(
         &self,
         range: LayerRange,
         home: &DomainId,
         tokens: f64,
-        without: &[SocketAddr],
+        excluded: &[SocketAddr],
     ) -> Option<Vec<PathStage>> {
-        let search = |choice: Option<&StartChoice>| {
-            let is_usable = |place: usize, engine: &PipelineEngine| {
+        let search = |choice: Option<&IncarnationChoice>| {
+            let is_usable = |index: usize, engine: &PipelineEngine| {
                 let addr = engine.addr();
-                !without.contains(&addr) && choice.is_none_or(|choice| choice.admits(place, addr))
+                !excluded.contains(&addr) && choice.is_none_or(|choice| choice.allows(index, addr))
             };
-            let cost = |engine: &PipelineEngine| cost(engine, tokens);
-            Cover::new(&self.engines, range, home, CROSSING, is_usable, cost).cheapest()
+            let cost = |engine: &PipelineEngine| engine_cost(engine, tokens);
+            PathSearch::new(&self.engines, range, home, CROSSING_COST, is_usable, cost).cheapest()
         };
-        let parts = search(None).or_else(|| {
-            let first = StartChoice::first(&self.engines);
+        let segments = search(None).or_else(|| {
+            let first = IncarnationChoice::first(&self.engines);
             let mut choices = std::iter::successors(first, |choice| choice.clone().next());
             choices.find_map(|choice| search(Some(&choice)))
         })?;
-        Some(self.stages(range.start, &parts))
+        Some(self.stages(range.start, &segments))
     }
 
-    fn stages(&self, start: u16, parts: &[Part]) -> Vec<PathStage> {
+    fn stages(&self, start: u16, segments: &[Segment]) -> Vec<PathStage> {
         let mut next = start;
-        let mut stages = Vec::with_capacity(parts.len());
-        for part in parts {
-            let engine = self.engines[part.engine];
+        let mut stages = Vec::with_capacity(segments.len());
+        for segment in segments {
+            let engine = self.engines[segment.engine];
             let layers = LayerRange {
                 start: next,
-                end: part.end,
+                end: segment.end,
             };
             stages.push(PathStage {
                 engine: engine.engine.clone(),
                 server: engine.server,
                 layers,
             });
-            next = part.end;
+            next = segment.end;
         }
         stages
     }
 }
 
 /// Cost of using an engine for a request of `tokens` tokens.
-fn cost(engine: &PipelineEngine, tokens: f64) -> EngineCost {
-    let room_ms = match engine.overfill(tokens) {
-        over if over > 0.0 => NO_ROOM_MS + over * OVERFULL_MS,
+fn engine_cost(engine: &PipelineEngine, tokens: f64) -> EngineCost {
+    let overfill_ms = match engine.overfill(tokens) {
+        over if over > 0.0 => NO_FREE_CACHE_PENALTY_MS + over * OVERFILL_PENALTY_MS,
         _ => 0.0,
     };
-    let fill = fill(engine);
-    let crowding = ((fill - CROWDED) / (1.0 - CROWDED)).max(0.0);
-    let closed_ms = if engine.is_refusing { CLOSED_MS } else { 0.0 };
+    let cache_fill = cache_fill(engine);
+    let crowding = ((cache_fill - CROWDED_FILL) / (1.0 - CROWDED_FILL)).max(0.0);
+    let refusing_ms = if engine.is_refusing {
+        REFUSING_PENALTY_MS
+    } else {
+        0.0
+    };
     EngineCost {
-        entry_ms: STAGE_MS + closed_ms + room_ms + crowding * crowding * FULL_MS,
-        layer_ms: engine.layer_step_ms * (1.0 + LOAD_WEIGHT * fill),
+        entry_ms: STAGE_OVERHEAD_MS
+            + refusing_ms
+            + overfill_ms
+            + crowding * crowding * FULL_CACHE_PENALTY_MS,
+        layer_ms: engine.layer_step_ms * (1.0 + LOAD_WEIGHT * cache_fill),
     }
 }
 
 /// Fraction of the cache in use, 1 at most.
-fn fill(engine: &PipelineEngine) -> f64 {
+fn cache_fill(engine: &PipelineEngine) -> f64 {
     if engine.cache_tokens <= 0.0 {
         return 1.0;
     }
--- a/crates/rookferry_core/src/pipeline/forecast.rs
+++ b/crates/rookferry_core/src/pipeline/forecast.rs
@@ -14,12 +14,12 @@
 
 /// Mean wait at a stage for the engine's current pass, in passes. Requests arrive at
 /// a busy engine at any point of a pass, so half of one remains on average.
-const WAIT_PASSES: f64 = 0.5;
+const MEAN_WAIT_PASSES: f64 = 0.5;
 /// Maximum fraction of an engine's time assumed for prefill; a chain with more has no
 /// steady state.
-const MAX_READ_SHARE: f64 = 0.95;
+const MAX_PREFILL_FRACTION: f64 = 0.95;
 /// Iterations of the fixed point; each halves the error.
-const ROUNDS: usize = 12;
+const ITERATIONS: usize = 12;
 
 /// One engine of a chain: its kind and its number of layers.
 #[derive(Clone, Copy, Debug)]
@@ -55,38 +55,39 @@
     let context_k = (model.usual_prompt_tokens + model.usual_answer_tokens / 2.0) / 1_000.0;
     let per_request_ms = model.step_ms_per_request + model.step_ms_per_context_k * context_k;
     let passes = (model.usual_answer_tokens / model.steps_per_pass).max(1.0);
-    let read_ms = |stage: &ChainStage<'_>| {
+    let prefill_ms = |stage: &ChainStage<'_>| {
         model.layer_read_ms(stage.kind, model.usual_prompt_tokens) * f64::from(stage.layers)
     };
-    let alone_ms = |stage: &ChainStage<'_>, writers: f64| {
+    let decode_ms = |stage: &ChainStage<'_>, decoding: f64| {
         let step_factor = model.layer_step_ms(Some(stage.kind)) / model.step_ms;
-        let step_ms = model.step_ms + writers * per_request_ms;
+        let step_ms = model.step_ms + decoding * per_request_ms;
         f64::from(stage.layers) * step_factor * step_ms * model.steps_per_pass
     };
-    let mut found = ChainForecast {
-        round_ms: stages.iter().map(|stage| alone_ms(stage, 0.0)).sum(),
+    let mut estimate = ChainForecast {
+        round_ms: stages.iter().map(|stage| decode_ms(stage, 0.0)).sum(),
         first_event_ms: 0.0,
         request_ms: 0.0,
         requests_per_s: 0.0,
     };
-    for _ in 0..ROUNDS {
+    for _ in 0..ITERATIONS {
         let mut round_ms = 0.0;
-        let mut reading_ms = 0.0;
+        let mut total_prefill_ms = 0.0;
         for stage in stages {
-            let reads = (found.requests_per_s * read_ms(stage) / 1_000.0).min(MAX_READ_SHARE);
+            let prefill_fraction =
+                (estimate.requests_per_s * prefill_ms(stage) / 1_000.0).min(MAX_PREFILL_FRACTION);
             // A pass batches the decoding requests that arrived during the previous pass.
-            let share = alone_ms(stage, 0.0) / found.round_ms.max(f64::MIN_POSITIVE);
-            let writers = (requests * share).max(1.0);
-            let pass_ms = alone_ms(stage, writers) / (1.0 - reads);
-            round_ms += pass_ms * (1.0 + WAIT_PASSES) + handover_ms;
-            reading_ms += read_ms(stage) / (1.0 - reads);
+            let pass_fraction = decode_ms(stage, 0.0) / estimate.round_ms.max(f64::MIN_POSITIVE);
+            let decoding = (requests * pass_fraction).max(1.0);
+            let pass_ms = decode_ms(stage, decoding) / (1.0 - prefill_fraction);
+            round_ms += pass_ms * (1.0 + MEAN_WAIT_PASSES) + handover_ms;
+            total_prefill_ms += prefill_ms(stage) / (1.0 - prefill_fraction);
         }
-        found.round_ms = round_ms;
-        found.first_event_ms = reading_ms + round_ms;
-        found.request_ms = found.first_event_ms + (passes - 1.0) * round_ms;
+        estimate.round_ms = round_ms;
+        estimate.first_event_ms = total_prefill_ms + round_ms;
+        estimate.request_ms = estimate.first_event_ms + (passes - 1.0) * round_ms;
         // Damped by half, as too high a rate makes the next estimate too low.
-        let requests_per_s = requests / found.request_ms * 1_000.0;
-        found.requests_per_s = f64::midpoint(found.requests_per_s, requests_per_s);
+        let requests_per_s = requests / estimate.request_ms * 1_000.0;
+        estimate.requests_per_s = f64::midpoint(estimate.requests_per_s, requests_per_s);
     }
-    found
+    estimate
 }
--- a/crates/rookferry_core/src/pipeline/incarnation_choice.rs
+++ b/crates/rookferry_core/src/pipeline/incarnation_choice.rs
@@ -17,26 +17,26 @@
 
 /// Addresses with several incarnations, and the one to use of each.
 #[derive(Clone, Debug)]
-pub(super) struct StartChoice {
+pub(super) struct IncarnationChoice {
     /// Indexes of the incarnations in the list by address, the longest range first.
-    starts: BTreeMap<SocketAddr, Vec<usize>>,
+    incarnations: BTreeMap<SocketAddr, Vec<usize>>,
     /// Number of the combination; a mixed-radix number with a digit per address.
     combination: usize,
 }
 
-impl StartChoice {
+impl IncarnationChoice {
     /// The first combination; `None` if each address has one incarnation.
     pub(super) fn first(engines: &[&PipelineEngine]) -> Option<Self> {
-        let mut starts: BTreeMap<SocketAddr, Vec<usize>> = BTreeMap::new();
-        for (place, engine) in engines.iter().enumerate() {
-            starts.entry(engine.addr()).or_default().push(place);
+        let mut incarnations: BTreeMap<SocketAddr, Vec<usize>> = BTreeMap::new();
+        for (index, engine) in engines.iter().enumerate() {
+            incarnations.entry(engine.addr()).or_default().push(index);
         }
-        starts.retain(|_, places| places.len() > 1);
-        for places in starts.values_mut() {
-            places.sort_by_key(|place| std::cmp::Reverse(engines[*place].held.len()));
+        incarnations.retain(|_, indexes| indexes.len() > 1);
+        for indexes in incarnations.values_mut() {
+            indexes.sort_by_key(|index| std::cmp::Reverse(engines[*index].held.len()));
         }
-        (!starts.is_empty()).then_some(Self {
-            starts,
+        (!incarnations.is_empty()).then_some(Self {
+            incarnations,
             combination: 0,
         })
     }
@@ -44,19 +44,19 @@
     /// The next combination; `None` after the last or [`MAX_COMBINATIONS`].
     pub(super) fn next(mut self) -> Option<Self> {
         self.combination += 1;
-        let combinations = self.starts.values().map(Vec::len);
+        let combinations = self.incarnations.values().map(Vec::len);
         let combinations = combinations.fold(1, usize::saturating_mul);
         (self.combination < combinations.min(MAX_COMBINATIONS)).then_some(self)
     }
 
     /// Whether this combination uses the engine with an index and address.
-    pub(super) fn admits(&self, place: usize, addr: SocketAddr) -> bool {
-        let mut left = self.combination;
-        for (known, places) in &self.starts {
+    pub(super) fn allows(&self, index: usize, addr: SocketAddr) -> bool {
+        let mut remainder = self.combination;
+        for (known, indexes) in &self.incarnations {
             if *known == addr {
-                return places[left % places.len()] == place;
+                return indexes[remainder % indexes.len()] == index;
             }
-            left /= places.len();
+            remainder /= indexes.len();
         }
         true
     }
--- a/crates/rookferry_core/src/pipeline/layout/arrivals.rs
+++ b/crates/rookferry_core/src/pipeline/layout/arrivals.rs
@@ -16,11 +16,11 @@
 
 /// Number of arrivals within the window from which a domain counts as returning. A
 /// single engine that was added or restarted doesn't delay a plan.
-const SEVERAL: usize = 2;
+const MIN_RETURNING: usize = 2;
 
 /// The engines of one domain at the last call, and when recent ones arrived.
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct DomainArrivals {
     engines: BTreeSet<EngineId>,
     arrived_at: Vec<Instant>,
 }
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct ArrivalTracker {
     window: Duration,
-    domains: BTreeMap<DomainId, Seen>,
+    domains: BTreeMap<DomainId, DomainArrivals>,
 }
 
 impl ArrivalTracker {
@@ -46,26 +46,26 @@
     /// Updates the tracker with all engines that are listed now. Those of the first
     /// non-empty call don't count as arrivals.
     pub fn observe(&mut self, engines: &[LayoutEngine], now: Instant) {
-        let is_first_look = self.domains.is_empty();
+        let is_first_call = self.domains.is_empty();
         let mut listed: BTreeMap<&DomainId, BTreeSet<EngineId>> = BTreeMap::new();
         for engine in engines {
             let ids = listed.entry(&engine.domain).or_default();
             ids.insert(engine.engine.clone());
         }
-        for (domain, seen) in &mut self.domains {
+        for (domain, known) in &mut self.domains {
             if !listed.contains_key(domain) {
-                seen.engines.clear();
+                known.engines.clear();
             }
         }
         for (domain, ids) in listed {
-            let seen = self.domains.entry(domain.clone()).or_default();
-            let arrived = ids.difference(&seen.engines).count();
-            if !is_first_look {
-                seen.arrived_at.extend(std::iter::repeat_n(now, arrived));
+            let known = self.domains.entry(domain.clone()).or_default();
+            let arrived = ids.difference(&known.engines).count();
+            if !is_first_call {
+                known.arrived_at.extend(std::iter::repeat_n(now, arrived));
             }
             let is_recent = |at: &Instant| now.saturating_duration_since(*at) < self.window;
-            seen.arrived_at.retain(is_recent);
-            seen.engines = ids;
+            known.arrived_at.retain(is_recent);
+            known.engines = ids;
         }
     }
 
@@ -73,7 +73,8 @@
     #[must_use]
     pub fn is_returning(&self, domain: &DomainId, now: Instant) -> bool {
         let is_recent = |at: &&Instant| now.saturating_duration_since(**at) < self.window;
-        let seen = self.domains.get(domain);
-        seen.is_some_and(|seen| seen.arrived_at.iter().filter(is_recent).count() >= SEVERAL)
+        let known = self.domains.get(domain);
+        known
+            .is_some_and(|known| known.arrived_at.iter().filter(is_recent).count() >= MIN_RETURNING)
     }
 }
--- a/crates/rookferry_core/src/pipeline/layout/balance.rs
+++ b/crates/rookferry_core/src/pipeline/layout/balance.rs
@@ -16,13 +16,13 @@
 
 /// Minimum growth of the extended engine's cache, as a factor, for which a neighbour
 /// loads layers. The gain has to outweigh the load and the streams moved for it.
-const WORTH_A_LOAD: f64 = 2.0;
+const MIN_GAIN_OF_LOAD: f64 = 2.0;
 /// The same where layers are only dropped.
-const WORTH_A_MOVE: f64 = 1.25;
+const MIN_GAIN_OF_DROP: f64 = 1.25;
 
 /// A new range for an engine, and the least cache that results.
 #[derive(Clone, Copy, Debug)]
-struct Shift {
+struct BoundaryShift {
     index: usize,
     layers: LayerRange,
     least_tokens: f64,
@@ -30,82 +30,82 @@
 
 /// The next order that gives the holder of a layer with little cache more of it, if one
 /// is worthwhile.
-pub(super) fn shift(
+pub(super) fn shift_boundary(
     draft: &Draft<'_>,
     group: &[usize],
-    tight_layer: u16,
+    bottleneck_layer: u16,
 ) -> Option<(usize, LayerRange)> {
-    let wide = draft.holders(group, tight_layer).next()?;
-    let own = draft.held(wide)?;
-    if !draft.is_free(wide) {
+    let extended = draft.holders(group, bottleneck_layer).next()?;
+    let own = draft.held(extended)?;
+    if !draft.is_free(extended) {
         return None;
     }
-    let before_tokens = draft.room_tokens(wide, own);
-    let given_up = best(narrower(draft, group, wide, own));
-    let given_up = given_up.filter(|shift| shift.least_tokens > before_tokens * WORTH_A_MOVE);
-    let taken = || {
-        let taken = best(taken_over(draft, group, wide, own));
-        taken.filter(|shift| shift.least_tokens > before_tokens * WORTH_A_LOAD)
+    let before_tokens = draft.cache_tokens(extended, own);
+    let dropped = best(reductions(draft, group, extended, own));
+    let dropped = dropped.filter(|shift| shift.least_tokens > before_tokens * MIN_GAIN_OF_DROP);
+    let extension = || {
+        let extension = best(extensions(draft, group, extended, own));
+        extension.filter(|shift| shift.least_tokens > before_tokens * MIN_GAIN_OF_LOAD)
     };
-    let shift = given_up.or_else(taken)?;
+    let shift = dropped.or_else(extension)?;
     Some((shift.index, shift.layers))
 }
 
-fn best(shifts: impl Iterator<Item = Shift>) -> Option<Shift> {
+fn best(shifts: impl Iterator<Item = BoundaryShift>) -> Option<BoundaryShift> {
     shifts.max_by(|left, right| left.least_tokens.total_cmp(&right.least_tokens))
 }
 
-/// Ranges that the engine `wide` could be cut down to, rated by the cache for the
+/// Ranges that the engine `extended` could be cut down to, rated by the cache for the
 /// dropped layers on other engines that have them ready.
-fn narrower(
+fn reductions(
     draft: &Draft<'_>,
     group: &[usize],
-    wide: usize,
+    extended: usize,
     own: LayerRange,
-) -> impl Iterator<Item = Shift> {
-    kept_parts(own).filter_map(move |(kept, given_up)| {
-        let others = (given_up.start..given_up.end).map(|layer| {
+) -> impl Iterator<Item = BoundaryShift> {
+    splits(own).filter_map(move |(kept, dropped)| {
+        let others = (dropped.start..dropped.end).map(|layer| {
             let holders = draft.holders(group, layer);
-            let ready = holders.filter(|other| *other != wide && draft.is_free(*other));
-            let rooms =
-                ready.filter_map(|other| Some(draft.room_tokens(other, draft.held(other)?)));
-            rooms.sum::<f64>()
+            let ready = holders.filter(|other| *other != extended && draft.is_free(*other));
+            let tokens =
+                ready.filter_map(|other| Some(draft.cache_tokens(other, draft.held(other)?)));
+            tokens.sum::<f64>()
         });
         let others_tokens = others.min_by(f64::total_cmp)?;
-        Some(Shift {
-            index: wide,
+        Some(BoundaryShift {
+            index: extended,
             layers: kept,
-            least_tokens: others_tokens.min(draft.room_tokens(wide, kept)),
+            least_tokens: others_tokens.min(draft.cache_tokens(extended, kept)),
         })
     })
 }
 
-/// Ranges that other engines could be extended to by some of the layers of `wide`.
-fn taken_over(
+/// Ranges that other engines could be extended to by some of the layers of `extended`.
+fn extensions(
     draft: &Draft<'_>,
     group: &[usize],
-    wide: usize,
+    extended: usize,
     own: LayerRange,
-) -> impl Iterator<Item = Shift> {
+) -> impl Iterator<Item = BoundaryShift> {
     let neighbours = group.iter().copied();
-    let neighbours = neighbours.filter(move |index| *index != wide && draft.is_free(*index));
+    let neighbours = neighbours.filter(move |index| *index != extended && draft.is_free(*index));
     neighbours.flat_map(move |index| {
         let held = draft.held(index);
-        kept_parts(own).filter_map(move |(kept, given_up)| {
-            let layers = joined(held?, given_up)?;
-            Some(Shift {
+        splits(own).filter_map(move |(kept, dropped)| {
+            let layers = merged(held?, dropped)?;
+            Some(BoundaryShift {
                 index,
                 layers,
                 least_tokens: draft
-                    .room_tokens(index, layers)
-                    .min(draft.room_tokens(wide, kept)),
+                    .cache_tokens(index, layers)
+                    .min(draft.cache_tokens(extended, kept)),
             })
         })
     })
 }
 
 /// Each split of a range in two: the part that is kept, and the part that is dropped.
-fn kept_parts(own: LayerRange) -> impl Iterator<Item = (LayerRange, LayerRange)> {
+fn splits(own: LayerRange) -> impl Iterator<Item = (LayerRange, LayerRange)> {
     let cuts = own.start + 1..own.end;
     cuts.flat_map(move |cut| {
         let front = LayerRange {
@@ -122,12 +122,12 @@
 
 /// Union of a neighbour's range and further layers. `None` if they neither touch nor
 /// overlap, or if one contains the other.
-fn joined(held: LayerRange, more: LayerRange) -> Option<LayerRange> {
+fn merged(held: LayerRange, more: LayerRange) -> Option<LayerRange> {
     let touches = held.start <= more.end && more.start <= held.end;
     let is_outside = held.start < more.start || more.end < held.end;
-    let joined = LayerRange {
+    let merged = LayerRange {
         start: held.start.min(more.start),
         end: held.end.max(more.end),
     };
-    (touches && is_outside && joined != held).then_some(joined)
+    (touches && is_outside && merged != held).then_some(merged)
 }
--- a/crates/rookferry_core/src/pipeline/layout/capacity.rs
+++ b/crates/rookferry_core/src/pipeline/layout/capacity.rs
@@ -13,69 +13,69 @@
 
 /// Ratio between two successive numbers of requests that are tried. Numbers in between
 /// change the layers of a kind by one at most.
-const ROOM_STEP: f64 = 1.1;
-/// Fraction of the highest rate that counts as equally good. The last few percent need
+const REQUESTS_RATIO: f64 = 1.1;
+/// Fraction of the highest rate that counts as equally good. The rest of the rate needs
 /// the most cache and so the most and shortest stages, whose streams last longer and
 /// are hit by more lost engines.
-const AS_GOOD: f64 = 0.85;
+const GOOD_RATE_FRACTION: f64 = 0.85;
 /// Longest pause of a stream, in mean traversals of its chain.
-const PAUSE_ROUNDS: f64 = 3.0;
+const LONGEST_PAUSE_ROUNDS: f64 = 3.0;
 /// Transfer time from one stage to the next within a failure domain: the network delay,
 /// and a token's activations over the engines' own links.
 const HANDOVER_MS: f64 = 0.2;
 
 /// A number of requests per engine, and how the group performs with it.
 #[derive(Clone, Copy, Debug)]
-struct RoomTry {
+struct CapacityOption {
     requests: f64,
     requests_per_s: f64,
-    keeps_pauses: bool,
-    bears_a_loss: bool,
+    meets_pause_objective: bool,
+    tolerates_loss: bool,
 }
 
 /// Finds the number of requests with which a chain of engines performs best.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct RoomSearch<'a> {
+pub(super) struct CapacitySearch<'a> {
     pub(super) model: &'a ModelShape,
     pub(super) longest_pause: Option<Duration>,
 }
 
-impl RoomSearch<'_> {
-    /// The smallest number of requests with a rate close to the best, see [`AS_GOOD`];
-    /// `None` if the kinds can't hold all layers even with cache for one.
+impl CapacitySearch<'_> {
+    /// The smallest number of requests whose rate reaches [`GOOD_RATE_FRACTION`] of the
+    /// best; `None` if the kinds can't hold all layers even with cache for one.
     ///
     /// Prefers numbers that meet the pause objective, and among these the ones that
     /// leave spare engines for the largest stage of the chain. A domain without spares
     /// stays incomplete until a lost engine is back, and its requests overload the
     /// other domains.
-    pub(super) fn best(&self, mut kinds: Vec<&AcceleratorKind>) -> Option<f64> {
+    pub(super) fn best_requests(&self, mut kinds: Vec<&AcceleratorKind>) -> Option<f64> {
         let most = self.model.max_requests.max(1.0);
-        let tries = std::iter::successors(Some(1.0), |requests| Some(requests * ROOM_STEP));
-        let tries: Vec<RoomTry> = tries
+        let options = std::iter::successors(Some(1.0), |requests| Some(requests * REQUESTS_RATIO));
+        let options: Vec<CapacityOption> = options
             .take_while(|requests| *requests <= most)
             .map_while(|requests| {
                 let chain = self.chain(&mut kinds, requests)?;
-                let found = forecast(self.model, &chain, requests, HANDOVER_MS);
-                Some(RoomTry {
+                let estimate = forecast(self.model, &chain, requests, HANDOVER_MS);
+                Some(CapacityOption {
                     requests,
-                    requests_per_s: found.requests_per_s,
-                    keeps_pauses: self.keeps_pauses(&found),
-                    bears_a_loss: self.bears_a_loss(&kinds, &chain, requests),
+                    requests_per_s: estimate.requests_per_s,
+                    meets_pause_objective: self.meets_pause_objective(&estimate),
+                    tolerates_loss: self.tolerates_loss(&kinds, &chain, requests),
                 })
             })
             .collect();
-        let tries = preferring(tries, |room| room.keeps_pauses);
-        let tries = preferring(tries, |room| room.bears_a_loss);
-        let rates = tries.iter().map(|room| room.requests_per_s);
-        let best = rates.fold(0.0, f64::max);
-        let as_good = tries
+        let options = prefer(options, |option| option.meets_pause_objective);
+        let options = prefer(options, |option| option.tolerates_loss);
+        let rates = options.iter().map(|option| option.requests_per_s);
+        let best_rate = rates.fold(0.0, f64::max);
+        let good_enough = options
             .iter()
-            .find(|room| room.requests_per_s >= best * AS_GOOD);
-        as_good.map(|room| room.requests)
+            .find(|option| option.requests_per_s >= best_rate * GOOD_RATE_FRACTION);
+        good_enough.map(|option| option.requests)
     }
 
     /// Number of layers that fit on a kind beside the cache of `requests` requests.
-    pub(super) fn share(&self, kind: &AcceleratorKind, requests: f64) -> u16 {
+    pub(super) fn layer_count(&self, kind: &AcceleratorKind, requests: f64) -> u16 {
         let tokens = requests * self.model.mean_request_tokens();
         self.model.max_layers_beside(kind, tokens)
     }
@@ -83,29 +83,29 @@
     /// Milliseconds per layer of a pass on a kind, including its part of the transfer to
     /// the next stage; `None` if no layer fits.
     pub(super) fn layer_cost_ms(&self, kind: &AcceleratorKind, requests: f64) -> Option<f64> {
-        let layers = self.share(kind, requests);
+        let layers = self.layer_count(kind, requests);
         let pass_ms = self.model.layer_step_ms(Some(kind)) * self.model.steps_per_pass;
         (layers > 0).then(|| pass_ms + HANDOVER_MS / f64::from(layers))
     }
 
     /// Whether the pauses of a forecast meet the objective, if there is one.
-    fn keeps_pauses(&self, found: &ChainForecast) -> bool {
-        let pause_ms = found.round_ms * PAUSE_ROUNDS;
+    fn meets_pause_objective(&self, estimate: &ChainForecast) -> bool {
+        let pause_ms = estimate.round_ms * LONGEST_PAUSE_ROUNDS;
         self.longest_pause
             .is_none_or(|longest| pause_ms <= longest.as_secs_f64() * 1_000.0)
     }
 
     /// Whether the engines outside a chain, which follow it in `kinds`, can hold its
     /// largest stage.
-    fn bears_a_loss(
+    fn tolerates_loss(
         &self,
         kinds: &[&AcceleratorKind],
         chain: &[ChainStage<'_>],
         requests: f64,
     ) -> bool {
-        let beside = kinds[chain.len()..].iter();
-        let spare: u32 = beside
-            .map(|kind| u32::from(self.share(kind, requests)))
+        let spare_kinds = kinds[chain.len()..].iter();
+        let spare: u32 = spare_kinds
+            .map(|kind| u32::from(self.layer_count(kind, requests)))
             .sum();
         let largest = chain.iter().map(|stage| u32::from(stage.layers)).max();
         spare >= largest.unwrap_or(0)
@@ -126,7 +126,7 @@
         let mut missing = self.model.layers;
         let mut stages = Vec::new();
         for kind in kinds.iter().copied() {
-            let layers = self.share(kind, requests).min(missing);
+            let layers = self.layer_count(kind, requests).min(missing);
             if layers == 0 {
                 break;
             }
@@ -137,10 +137,16 @@
     }
 }
 
-/// The tries that satisfy a condition, or all if none does.
-fn preferring(tries: Vec<RoomTry>, holds: impl Fn(&RoomTry) -> bool) -> Vec<RoomTry> {
-    if !tries.iter().any(&holds) {
-        return tries;
+/// The options that satisfy a condition, or all if none does.
+fn prefer(
+    options: Vec<CapacityOption>,
+    satisfies: impl Fn(&CapacityOption) -> bool,
+) -> Vec<CapacityOption> {
+    if !options.iter().any(&satisfies) {
+        return options;
     }
-    tries.into_iter().filter(|room| holds(room)).collect()
+    options
+        .into_iter()
+        .filter(|option| satisfies(option))
+        .collect()
 }
--- a/crates/rookferry_core/src/pipeline/layout/draft.rs
+++ b/crates/rookferry_core/src/pipeline/layout/draft.rs
@@ -49,7 +49,7 @@
     }
 
     /// Adds an order for an engine to hold a range.
-    pub(super) fn order(&mut self, index: usize, layers: LayerRange, fills_gap: bool) {
+    pub(super) fn add_order(&mut self, index: usize, layers: LayerRange, fills_gap: bool) {
         self.held[index] = Some(layers);
         self.ordered.insert(index);
         self.placements.push(NeededPlacement {
@@ -87,7 +87,7 @@
     }
 
     /// Cache of an engine that holds a range, in tokens.
-    pub(super) fn room_tokens(&self, index: usize, layers: LayerRange) -> f64 {
+    pub(super) fn cache_tokens(&self, index: usize, layers: LayerRange) -> f64 {
         let kind = self.kind(index);
         kind.map_or(0.0, |kind| self.model.cache_tokens(kind, layers.len()))
     }
@@ -102,8 +102,8 @@
     pub(super) fn first_gap(&self, group: &[usize]) -> Option<LayerRange> {
         let is_held = |layer: u16| self.holders(group, layer).next().is_some();
         let start = (0..self.model.layers).find(|layer| !is_held(*layer))?;
-        let mut behind = start..self.model.layers;
-        let end = behind.find(|layer| is_held(*layer));
+        let mut later = start..self.model.layers;
+        let end = later.find(|layer| is_held(*layer));
         Some(LayerRange {
             start,
             end: end.unwrap_or(self.model.layers),
--- a/crates/rookferry_core/src/pipeline/layout/holdings.rs
+++ b/crates/rookferry_core/src/pipeline/layout/holdings.rs
@@ -48,7 +48,7 @@
     /// Holders in each domain, by layer.
     domains: BTreeMap<&'a DomainId, Vec<LayerCopies>>,
     /// Total cache of the group's holders in tokens, by layer.
-    room_tokens: Vec<f64>,
+    cache_tokens: Vec<f64>,
 }
 
 impl<'a> Holdings<'a> {
@@ -58,7 +58,7 @@
         let mut holdings = Self {
             on_site: vec![0; layers],
             domains: BTreeMap::new(),
-            room_tokens: vec![0.0; layers],
+            cache_tokens: vec![0.0; layers],
         };
         for index in 0..draft.engines.len() {
             if let Some(held) = draft.held(index) {
@@ -67,7 +67,7 @@
         }
         for index in group.iter().copied() {
             if let Some(held) = draft.held(index) {
-                holdings.add_room(draft, index, held);
+                holdings.add_cache(draft, index, held);
             }
         }
         holdings
@@ -76,7 +76,7 @@
     /// Adds the layers that an empty engine of the group gets.
     pub(super) fn add(&mut self, draft: &Draft<'a>, index: usize, layers: LayerRange) {
         self.add_copy(draft, index, layers);
-        self.add_room(draft, index, layers);
+        self.add_cache(draft, index, layers);
     }
 
     fn add_copy(&mut self, draft: &Draft<'a>, index: usize, layers: LayerRange) {
@@ -85,7 +85,7 @@
         let in_domain = self.domains.entry(domain);
         let in_domain =
             in_domain.or_insert_with(|| vec![LayerCopies::default(); self.on_site.len()]);
-        let held = indexes(layers, self.on_site.len());
+        let held = layer_indexes(layers, self.on_site.len());
         for copies in &mut in_domain[held.clone()] {
             copies.add_in_domain(step_ms);
         }
@@ -94,23 +94,23 @@
         }
     }
 
-    fn add_room(&mut self, draft: &Draft<'a>, index: usize, layers: LayerRange) {
-        let tokens = draft.room_tokens(index, layers);
-        let held = indexes(layers, self.room_tokens.len());
-        for room_tokens in &mut self.room_tokens[held] {
-            *room_tokens += tokens;
+    fn add_cache(&mut self, draft: &Draft<'a>, index: usize, layers: LayerRange) {
+        let tokens = draft.cache_tokens(index, layers);
+        let held = layer_indexes(layers, self.cache_tokens.len());
+        for cache_tokens in &mut self.cache_tokens[held] {
+            *cache_tokens += tokens;
         }
     }
 
     /// Total cache of a layer's holders in the group, in tokens.
-    pub(super) fn room_tokens(&self, layer: u16) -> f64 {
-        self.room_tokens[usize::from(layer)]
+    pub(super) fn cache_tokens(&self, layer: u16) -> f64 {
+        self.cache_tokens[usize::from(layer)]
     }
 
     /// The layer with the least cache in the group, and that cache in tokens.
-    pub(super) fn tightest(&self) -> Option<(u16, f64)> {
-        let rooms = (0..).zip(self.room_tokens.iter().copied());
-        rooms.min_by(|(_, left), (_, right)| left.total_cmp(right))
+    pub(super) fn least_cached_layer(&self) -> Option<(u16, f64)> {
+        let by_layer = (0..).zip(self.cache_tokens.iter().copied());
+        by_layer.min_by(|(_, left), (_, right)| left.total_cmp(right))
     }
 
     /// The holders by layer, from the view of a domain.
@@ -127,7 +127,7 @@
 
 /// Vector indexes of a range's layers, clamped: an engine may report layers after the
 /// model's last.
-fn indexes(range: LayerRange, layers: usize) -> Range<usize> {
+fn layer_indexes(range: LayerRange, layers: usize) -> Range<usize> {
     let end = usize::from(range.end).min(layers);
     usize::from(range.start).min(end)..end
 }
--- a/crates/rookferry_core/src/pipeline/layout/inventory.rs
+++ b/crates/rookferry_core/src/pipeline/layout/inventory.rs
@@ -81,8 +81,8 @@
         }
         let heartbeats = |count| self.heartbeat.mul_f64(count);
         let since = |at| now.saturating_duration_since(at);
-        let is_early = since(listed.last_at) < heartbeats(FIRST_QUIET_HEARTBEATS)
+        let is_waiting = since(listed.last_at) < heartbeats(FIRST_QUIET_HEARTBEATS)
             && since(listed.first_at) < heartbeats(FIRST_PLAN_BY_HEARTBEATS);
-        is_early && engines.iter().all(|engine| engine.held.is_none())
+        is_waiting && engines.iter().all(|engine| engine.held.is_none())
     }
 }
--- a/crates/rookferry_core/src/pipeline/layout/planner.rs
+++ b/crates/rookferry_core/src/pipeline/layout/planner.rs
@@ -14,7 +14,7 @@
 use super::LayoutEngine;
 use super::NeededPlacement;
 use super::balance;
-use super::capacity::RoomSearch;
+use super::capacity::CapacitySearch;
 use super::draft::Draft;
 use super::draft::MoveLoss;
 use super::holdings::Holdings;
@@ -23,7 +23,7 @@
 
 /// Fraction of a group's target cache below which a layer limits the throughput of the
 /// whole group, so that moving a copy there is worth a load.
-const TIGHT_PART: f64 = 0.5;
+const BOTTLENECK_FRACTION: f64 = 0.5;
 
 /// Plans which layers engines should load.
 #[derive(Debug)]
@@ -65,9 +65,10 @@
             self.fill_gaps(&mut draft, &group);
             let mut holdings = Holdings::new(&draft, &group.engines);
             self.add_copies(&mut draft, &mut holdings, &group);
-            self.relieve(&mut draft, &holdings, &group);
+            self.relieve_bottleneck(&mut draft, &holdings, &group);
         }
-        // Engines of domains that can't hold all layers get copies of any layers.
+        // Engines that are still empty, such as those of domains that can't hold all
+        // layers, get copies for the whole site.
         let all = (0..engines.len()).collect();
         if let Some(all) = self.group(&draft, all) {
             let mut holdings = Holdings::new(&draft, &all.engines);
@@ -76,8 +77,8 @@
         draft.into_placements()
     }
 
-    const fn rooms(&self) -> RoomSearch<'a> {
-        RoomSearch {
+    const fn capacity_search(&self) -> CapacitySearch<'a> {
+        CapacitySearch {
             model: self.model,
             longest_pause: self.longest_pause,
         }
@@ -86,7 +87,7 @@
     /// Makes engines a group; `None` if they can't hold all layers.
     fn group(&self, draft: &Draft<'_>, engines: Vec<usize>) -> Option<Group> {
         let kinds = engines.iter().filter_map(|index| draft.kind(*index));
-        let requests = self.rooms().best(kinds.collect())?;
+        let requests = self.capacity_search().best_requests(kinds.collect())?;
         Some(Group { engines, requests })
     }
 
@@ -116,39 +117,39 @@
     }
 
     /// Number of layers that fit on an engine beside the cache of `requests` requests.
-    fn share(&self, draft: &Draft<'_>, index: usize, requests: f64) -> u16 {
+    fn layer_count(&self, draft: &Draft<'_>, index: usize, requests: f64) -> u16 {
         let kind = draft.kind(index);
-        kind.map_or(0, |kind| self.rooms().share(kind, requests))
+        kind.map_or(0, |kind| self.capacity_search().layer_count(kind, requests))
     }
 
     /// Assigns the layers that no engine of a group holds, as far as engines are free.
     fn fill_gaps(&self, draft: &mut Draft<'_>, group: &Group) {
         while let Some(gap) = draft.first_gap(&group.engines) {
-            let filled = self.candidate(draft, group).map(|index| {
-                let share = self.share(draft, index, group.requests);
-                (index, self.range_from(gap, share))
+            let filled = self.gap_filler(draft, group).map(|index| {
+                let layer_count = self.layer_count(draft, index, group.requests);
+                (index, self.range_from(gap, layer_count))
             });
             let filled = filled.or_else(|| {
-                let widened = self.widened(draft, group, gap);
-                widened.filter(|(_, layers)| layers.covers(gap))
+                let extension = self.extension(draft, group, gap);
+                extension.filter(|(_, layers)| layers.covers(gap))
             });
             if let Some((index, layers)) = filled {
-                draft.order(index, layers, true);
+                draft.add_order(index, layers, true);
                 continue;
             }
             let tiles = retile(draft, &group.engines, |index| {
-                self.share(draft, index, group.requests)
+                self.layer_count(draft, index, group.requests)
             });
             if let Some(tiles) = tiles {
                 for (index, layers) in tiles {
-                    draft.order(index, layers, true);
+                    draft.add_order(index, layers, true);
                 }
                 return;
             }
-            let Some((index, layers)) = self.widened(draft, group, gap) else {
+            let Some((index, layers)) = self.extension(draft, group, gap) else {
                 return;
             };
-            draft.order(index, layers, true);
+            draft.add_order(index, layers, true);
         }
     }
 
@@ -160,13 +161,13 @@
     /// slower engines, and its load takes the longest. Choosing by memory instead took
     /// twice the time per token on a site whose slowest kind is a third as fast as the
     /// next and has more memory.
-    fn candidate(&self, draft: &Draft<'_>, group: &Group) -> Option<usize> {
+    fn gap_filler(&self, draft: &Draft<'_>, group: &Group) -> Option<usize> {
         let free = group.engines.iter().copied();
         let free = free.filter(|index| draft.is_free(*index));
         let ranked = free.filter_map(|index| {
             let loss = draft.move_loss(&group.engines, index);
             let cost_ms = self
-                .rooms()
+                .capacity_search()
                 .layer_cost_ms(draft.kind(index)?, group.requests)?;
             (loss < MoveLoss::Layers).then_some((index, loss, cost_ms))
         });
@@ -184,7 +185,7 @@
     /// An engine next to a gap, and its range extended by as much of the gap as fits
     /// beside the cache of one request. Of several, the one that keeps the most cache.
     /// Little cache is better than layers that no engine holds.
-    fn widened(
+    fn extension(
         &self,
         draft: &Draft<'_>,
         group: &Group,
@@ -192,9 +193,9 @@
     ) -> Option<(usize, LayerRange)> {
         let free = group.engines.iter().copied();
         let free = free.filter(|index| draft.is_free(*index));
-        let wider = free.filter_map(|index| {
+        let extensions = free.filter_map(|index| {
             let own = draft.held(index)?;
-            let most = self.share(draft, index, 1.0);
+            let most = self.layer_count(draft, index, 1.0);
             let more = most.saturating_sub(own.len()).min(gap.len());
             let range = match own {
                 _ if more == 0 => return None,
@@ -210,19 +211,19 @@
             };
             Some((index, range))
         });
-        wider.max_by(|(left, left_range), (right, right_range)| {
-            let left_tokens = draft.room_tokens(*left, *left_range);
-            let right_tokens = draft.room_tokens(*right, *right_range);
+        extensions.max_by(|(left, left_range), (right, right_range)| {
+            let left_tokens = draft.cache_tokens(*left, *left_range);
+            let right_tokens = draft.cache_tokens(*right, *right_range);
             left_tokens.total_cmp(&right_tokens)
         })
     }
 
-    /// A range of `share` layers from the start of a gap, moved back if it would end
-    /// after the model's last layer.
-    fn range_from(&self, gap: LayerRange, share: u16) -> LayerRange {
-        let end = (gap.start + share).min(self.model.layers);
+    /// A range of `layer_count` layers from the start of a gap, moved back if it would
+    /// end after the model's last layer.
+    fn range_from(&self, gap: LayerRange, layer_count: u16) -> LayerRange {
+        let end = (gap.start + layer_count).min(self.model.layers);
         LayerRange {
-            start: end.saturating_sub(share),
+            start: end.saturating_sub(layer_count),
             end,
         }
     }
@@ -232,50 +233,59 @@
         let engines = group.engines.iter().copied();
         let mut empty: Vec<usize> = engines
             .filter(|index| draft.held(*index).is_none() && draft.is_free(*index))
-            .filter(|index| self.share(draft, *index, group.requests) > 0)
+            .filter(|index| self.layer_count(draft, *index, group.requests) > 0)
             .collect();
         empty.sort_by(|left, right| {
             let [left_ms, right_ms] = [left, right].map(|index| draft.layer_step_ms(*index));
             left_ms.total_cmp(&right_ms)
         });
         for index in empty {
-            let share = self.share(draft, index, group.requests);
-            let layers = match self.tight_layer(holdings, group) {
-                Some(tight) => self.relieving(holdings, tight, share),
-                None => self.copy(draft, holdings, index, share),
+            let layer_count = self.layer_count(draft, index, group.requests);
+            let layers = match self.bottleneck_layer(holdings, group) {
+                Some(bottleneck) => self.relief_range(holdings, bottleneck, layer_count),
+                None => self.copy_range(draft, holdings, index, layer_count),
             };
             holdings.add(draft, index, layers);
-            draft.order(index, layers, false);
+            draft.add_order(index, layers, false);
         }
     }
 
     /// The layer with the least cache in a group, if it limits the group.
-    fn tight_layer(&self, holdings: &Holdings<'_>, group: &Group) -> Option<u16> {
-        let aim = group.requests * self.model.mean_request_tokens();
-        let (least, tokens) = holdings.tightest()?;
-        (tokens < aim * TIGHT_PART).then_some(least)
+    fn bottleneck_layer(&self, holdings: &Holdings<'_>, group: &Group) -> Option<u16> {
+        let target_tokens = group.requests * self.model.mean_request_tokens();
+        let (least, tokens) = holdings.least_cached_layer()?;
+        (tokens < target_tokens * BOTTLENECK_FRACTION).then_some(least)
     }
 
-    /// The range of `share` layers that contains the layer `tight` and for the rest
-    /// those for which the group has the least cache.
-    fn relieving(&self, holdings: &Holdings<'_>, tight: u16, share: u16) -> LayerRange {
+    /// The range of `layer_count` layers that contains the layer `bottleneck` and
+    /// otherwise the layers for which the group has the least cache.
+    fn relief_range(
+        &self,
+        holdings: &Holdings<'_>,
+        bottleneck: u16,
+        layer_count: u16,
+    ) -> LayerRange {
         let scarcity: Vec<f64> = (0..self.model.layers)
-            .map(|layer| 1.0 / holdings.room_tokens(layer).max(1.0))
+            .map(|layer| 1.0 / holdings.cache_tokens(layer).max(1.0))
             .collect();
         let sum = |start: u16| -> f64 {
-            let range = usize::from(start)..usize::from(start + share);
+            let range = usize::from(start)..usize::from(start + layer_count);
             scarcity[range].iter().sum()
         };
-        let last = self.model.layers.saturating_sub(share).min(tight);
-        let starts = (tight + 1).saturating_sub(share).min(last)..=last;
+        let last = self
+            .model
+            .layers
+            .saturating_sub(layer_count)
+            .min(bottleneck);
+        let starts = (bottleneck + 1).saturating_sub(layer_count).min(last)..=last;
         let best = starts.max_by(|left, right| {
-            let by_room = sum(*left).total_cmp(&sum(*right));
-            by_room.then(Reverse(left).cmp(&Reverse(right)))
+            let by_cache = sum(*left).total_cmp(&sum(*right));
+            by_cache.then(Reverse(left).cmp(&Reverse(right)))
         });
         let start = best.unwrap_or(0);
         LayerRange {
             start,
-            end: start + share,
+            end: start + layer_count,
         }
     }
 
@@ -283,39 +293,44 @@
     /// neighbour if no copy can be spared. After a loss, the neighbours of the lost
     /// engine hold more layers and have hardly any cache left: a domain that held all
     /// layers, with cache for ten requests, refused most of its callers.
-    fn relieve(&self, draft: &mut Draft<'_>, holdings: &Holdings<'_>, group: &Group) {
-        let Some(tight) = self.tight_layer(holdings, group) else {
+    fn relieve_bottleneck(&self, draft: &mut Draft<'_>, holdings: &Holdings<'_>, group: &Group) {
+        let Some(bottleneck) = self.bottleneck_layer(holdings, group) else {
             return;
         };
-        if let Some((index, layers)) = self.moved_copy(draft, holdings, group, tight) {
-            draft.order(index, layers, false);
-        } else if let Some((index, layers)) = balance::shift(draft, &group.engines, tight) {
-            draft.order(index, layers, false);
+        if let Some((index, layers)) = self.movable_copy(draft, holdings, group, bottleneck) {
+            draft.add_order(index, layers, false);
+        } else if let Some((index, layers)) =
+            balance::shift_boundary(draft, &group.engines, bottleneck)
+        {
+            draft.add_order(index, layers, false);
         }
     }
 
-    /// The fastest engine whose copy can be spared, and its new range around `tight`.
-    fn moved_copy(
+    /// The fastest engine whose copy can be spared, and its new range around the layer
+    /// `bottleneck`.
+    fn movable_copy(
         &self,
         draft: &Draft<'_>,
         holdings: &Holdings<'_>,
         group: &Group,
-        tight: u16,
+        bottleneck: u16,
     ) -> Option<(usize, LayerRange)> {
-        let before_tokens = holdings.room_tokens(tight);
+        let before_tokens = holdings.cache_tokens(bottleneck);
         let copies = group.engines.iter().copied().filter(|index| {
-            let holds_tight = draft.held(*index).is_some_and(|own| own.contains(tight));
+            let holds_bottleneck = draft
+                .held(*index)
+                .is_some_and(|own| own.contains(bottleneck));
             let loss = draft.move_loss(&group.engines, *index);
-            draft.is_free(*index) && !holds_tight && loss == MoveLoss::Copy
+            draft.is_free(*index) && !holds_bottleneck && loss == MoveLoss::Copy
         });
         // Excludes copies whose own layers would have little cache left without them.
         let spared = copies.filter(|index| {
             let Some(own) = draft.held(*index) else {
                 return false;
             };
-            let own_tokens = draft.room_tokens(*index, own);
+            let own_tokens = draft.cache_tokens(*index, own);
             (own.start..own.end).all(|layer| {
-                let left_tokens = holdings.room_tokens(layer) - own_tokens;
+                let left_tokens = holdings.cache_tokens(layer) - own_tokens;
                 left_tokens > before_tokens * 2.0
             })
         });
@@ -324,24 +339,24 @@
             left_ms.total_cmp(&right_ms).then(left.cmp(right))
         });
         let index = best?;
-        let share = self.share(draft, index, group.requests);
-        (share > 0).then(|| (index, self.relieving(holdings, tight, share)))
+        let layer_count = self.layer_count(draft, index, group.requests);
+        (layer_count > 0).then(|| (index, self.relief_range(holdings, bottleneck, layer_count)))
     }
 
-    /// The range of `share` layers that an empty engine should hold: the one that saves
-    /// its domain the most time per step; of equal ones, that with the fewest copies,
-    /// in its domain first, then on the whole site.
-    fn copy(
+    /// The range of `layer_count` layers that an empty engine should hold: the one that
+    /// saves its domain the most time per step; of equal ones, that with the fewest
+    /// copies, in its domain first, then on the whole site.
+    fn copy_range(
         &self,
         draft: &Draft<'_>,
         holdings: &Holdings<'_>,
-        own: usize,
-        share: u16,
+        index: usize,
+        layer_count: u16,
     ) -> LayerRange {
-        let own_ms = draft.layer_step_ms(own);
+        let own_ms = draft.layer_step_ms(index);
         let engines = draft.engines.len();
-        let copies: Vec<LayerCopies> = holdings.copies(&draft.engines[own].domain);
-        let range = |start: u16| &copies[usize::from(start)..usize::from(start + share)];
+        let copies: Vec<LayerCopies> = holdings.copies(&draft.engines[index].domain);
+        let range = |start: u16| &copies[usize::from(start)..usize::from(start + layer_count)];
         let saved_ms = |start: u16| -> f64 {
             let saved = range(start).iter().map(|copies| copies.saved_ms(own_ms));
             saved.sum()
@@ -351,7 +366,7 @@
             let weighted = weighted.map(|copies| copies.in_domain * engines + copies.on_site);
             weighted.sum()
         };
-        let starts = 0..=self.model.layers.saturating_sub(share);
+        let starts = 0..=self.model.layers.saturating_sub(layer_count);
         let best = starts.min_by(|left, right| {
             let by_time = saved_ms(*right).total_cmp(&saved_ms(*left));
             by_time.then_with(|| held(*left).cmp(&held(*right)))
@@ -359,7 +374,7 @@
         let start = best.unwrap_or(0);
         LayerRange {
             start,
-            end: start + share,
+            end: start + layer_count,
         }
     }
 }
--- a/crates/rookferry_core/src/pipeline/layout/retile.rs
+++ b/crates/rookferry_core/src/pipeline/layout/retile.rs
@@ -10,13 +10,13 @@
 use super::draft::Draft;
 
 /// The fewest moves found that close the gaps of one domain, as engine and new range.
-/// `share` returns the number of layers that an engine may hold. `None` if no moves
-/// close them, or if the engines are of several domains, where the order of engines
-/// doesn't show which paths cross domains.
+/// `layer_count` returns the number of layers that an engine may hold. `None` if no
+/// moves close them, or if the engines are of several domains, where the order of
+/// engines doesn't show which paths cross domains.
 pub(super) fn retile(
     draft: &Draft<'_>,
     group: &[usize],
-    share: impl Fn(usize) -> u16,
+    layer_count: impl Fn(usize) -> u16,
 ) -> Option<Vec<(usize, LayerRange)>> {
     let domain = &draft.engines[*group.first()?].domain;
     if group
@@ -25,9 +25,10 @@
     {
         return None;
     }
-    let kept = longest_chain(draft, group);
-    let counts = (0..=kept.len()).rev();
-    let mut tilings = counts.map(|count| tiles_behind(draft, group, &kept[..count], &share));
+    let unmoved = longest_chain(draft, group);
+    let counts = (0..=unmoved.len()).rev();
+    let mut tilings =
+        counts.map(|count| tiles_after(draft, group, &unmoved[..count], &layer_count));
     tilings.find_map(|tiles| tiles)
 }
 
@@ -48,21 +49,21 @@
     }
 }
 
-/// Moves with which the engines that aren't in `kept`, in the order of their layers,
-/// cover the layers after those of `kept`. `None` if they can't cover all.
-fn tiles_behind(
+/// Moves with which the engines that aren't in `unmoved`, in the order of their layers,
+/// cover the layers after those of `unmoved`. `None` if they can't cover all.
+fn tiles_after(
     draft: &Draft<'_>,
     group: &[usize],
-    kept: &[usize],
-    share: &impl Fn(usize) -> u16,
+    unmoved: &[usize],
+    layer_count: &impl Fn(usize) -> u16,
 ) -> Option<Vec<(usize, LayerRange)>> {
     let layers = draft.layers();
-    let last = kept.last().and_then(|index| draft.held(*index));
+    let last = unmoved.last().and_then(|index| draft.held(*index));
     let mut next = last.map_or(0, |held| held.end);
     let mut others: Vec<usize> = group
         .iter()
         .copied()
-        .filter(|index| !kept.contains(index))
+        .filter(|index| !unmoved.contains(index))
         .collect();
     others.sort_by_key(|index| draft.held(*index).map_or(layers, |held| held.start));
     let mut moves = Vec::new();
@@ -74,7 +75,7 @@
             next = held.end;
             continue;
         }
-        let length = share(index).min(layers - next);
+        let length = layer_count(index).min(layers - next);
         if length == 0 || !draft.is_free(index) {
             continue;
         }
--- a/crates/rookferry_core/src/pipeline/model.rs
+++ b/crates/rookferry_core/src/pipeline/model.rs
@@ -9,11 +9,11 @@
 /// Bytes per megabyte; memory figures are published in decimal megabytes.
 const BYTES_PER_MB: f64 = 1_000_000.0;
 /// Bits per millisecond that one megabit per second carries.
-const BITS_PER_MS_AND_MBPS: f64 = 1_000.0;
+const BITS_PER_MS_PER_MBPS: f64 = 1_000.0;
 /// Token pairs per million; the quadratic prefill cost is published per million.
-const TOKENS_PER_M: f64 = 1_000_000.0;
+const PAIRS_PER_M: f64 = 1_000_000.0;
 /// Tolerance for rounding errors in a quotient that counts layers.
-const ROUNDING_LAYERS: f64 = 1e-9;
+const ROUNDING_TOLERANCE_LAYERS: f64 = 1e-9;
 
 /// A kind of accelerator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -101,7 +101,7 @@
         if !is_positive(mb_per_layer) || !is_positive(kind.memory_mb) {
             return 0;
         }
-        whole_layers(kind.memory_mb / mb_per_layer + ROUNDING_LAYERS).min(self.layers)
+        floor_layers(kind.memory_mb / mb_per_layer + ROUNDING_TOLERANCE_LAYERS).min(self.layers)
     }
 
     /// Milliseconds of one step through one layer on a kind; those of the slowest
@@ -119,7 +119,7 @@
     /// Milliseconds of prefill of a prompt through one layer on a kind.
     #[must_use]
     pub fn layer_read_ms(&self, kind: &AcceleratorKind, prompt_tokens: f64) -> f64 {
-        let pairs_m = prompt_tokens * prompt_tokens / 2.0 / TOKENS_PER_M;
+        let pairs_m = prompt_tokens * prompt_tokens / 2.0 / PAIRS_PER_M;
         let linear_ms = prompt_tokens / self.read_tokens_per_ms;
         let read_ms = linear_ms + pairs_m * self.read_ms_per_m_pairs;
         read_ms * kind.read_factor / f64::from(self.layers.max(1))
@@ -129,7 +129,7 @@
     /// failure domains; 0 if its figures aren't published.
     #[must_use]
     pub fn link_transfer_ms(&self, tokens: f64) -> f64 {
-        let bits_per_ms = self.link_mbps * BITS_PER_MS_AND_MBPS;
+        let bits_per_ms = self.link_mbps * BITS_PER_MS_PER_MBPS;
         if !is_positive(bits_per_ms) || !is_positive(self.activation_bytes) {
             return 0.0;
         }
@@ -161,6 +161,6 @@
     clippy::cast_sign_loss,
     reason = "a cast of a float saturates, and layers aren't below 0"
 )]
-const fn whole_layers(layers: f64) -> u16 {
+const fn floor_layers(layers: f64) -> u16 {
     layers as u16
 }
--- a/crates/rookferry_core/src/pipeline/path.rs
+++ b/crates/rookferry_core/src/pipeline/path.rs
@@ -101,26 +101,26 @@
             });
         }
         let mut expected = 0;
-        for (stage, part) in stages.iter().enumerate() {
-            if part.layers.is_empty() {
+        for (stage, path_stage) in stages.iter().enumerate() {
+            if path_stage.layers.is_empty() {
                 return Err(PathError::EmptyStage { stage });
             }
-            if part.layers.start != expected {
-                let found = part.layers.start;
+            if path_stage.layers.start != expected {
+                let found = path_stage.layers.start;
                 return Err(PathError::NotContiguous {
                     stage,
                     expected,
                     found,
                 });
             }
-            let is_repeated = stages[..stage]
+            let is_duplicate = stages[..stage]
                 .iter()
-                .any(|other| other.addr() == part.addr());
-            if is_repeated {
-                let engine = part.engine.clone();
+                .any(|other| other.addr() == path_stage.addr());
+            if is_duplicate {
+                let engine = path_stage.engine.clone();
                 return Err(PathError::DuplicateAddress { engine });
             }
-            expected = part.layers.end;
+            expected = path_stage.layers.end;
         }
         if expected != layers {
             return Err(PathError::WrongEnd {
--- a/crates/rookferry_core/src/pipeline/path_search.rs
+++ b/crates/rookferry_core/src/pipeline/path_search.rs
@@ -7,8 +7,8 @@
 //! order of the layers, and each keeps its cheapest path only.
 //!
 //! A path may use an address only once, so the search skips edges whose address the
-//! path to their node already uses. It may therefore miss a path whose start is a
-//! more expensive one to that node.
+//! path to their node already uses. It can therefore miss a path that reaches some
+//! node by other engines than the cheapest ones.
 //!
 //! Load pattern: every try of every request runs a search over all engines of
 //! the site, on an eighth of a core. To bound its time, only the cheapest few
@@ -24,7 +24,7 @@
 /// Number of engines of a domain that are kept for each pair of boundaries: the
 /// cheapest, and two alternatives for paths that already use it. Only a path that
 /// returns three times to an engine that it left could need more.
-const KEPT: usize = 3;
+const MAX_PARALLEL_EDGES: usize = 3;
 
 /// What an engine adds to the cost of a path, in milliseconds.
 #[derive(Clone, Copy, Debug)]
@@ -58,14 +58,14 @@
 /// One stage of a search result: the engine's index in the list, and the end of its
 /// layers, exclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Part {
+pub(super) struct Segment {
     pub(super) engine: usize,
     pub(super) end: u16,
 }
 
 /// A usable engine, with the index of its domain.
 #[derive(Clone, Copy, Debug)]
-struct Candidate {
+struct Holder {
     engine: usize,
     domain: usize,
     cost: EngineCost,
@@ -73,37 +73,37 @@
 
 /// The cheapest path found so far from the start to a node.
 #[derive(Clone, Copy, Debug)]
-struct Reached {
+struct BestPath {
     cost_ms: f64,
     /// Last edge of the path; `None` for the start.
-    last: Option<Link>,
+    last_edge: Option<Edge>,
 }
 
 /// An engine, and the node that its edge starts from.
 #[derive(Clone, Copy, Debug)]
-struct Link {
+struct Edge {
     engine: usize,
     from: usize,
 }
 
 /// Cost of an edge without the domain change, and its engine's index.
-type Step = (f64, usize);
+type CandidateEdge = (f64, usize);
 
 /// State of one search.
-pub(super) struct Cover<'a> {
+pub(super) struct PathSearch<'a> {
     engines: &'a [&'a PipelineEngine],
     /// Layer boundaries of the graph in order, from the start of the range to its end.
-    cuts: Vec<u16>,
+    boundaries: Vec<u16>,
     /// Failure domains, sorted.
     domains: Vec<&'a DomainId>,
     /// By boundary: the engines that hold the layer after it.
-    holders: Vec<Vec<Candidate>>,
+    holders: Vec<Vec<Holder>>,
     /// By node, see `node`.
-    reached: Vec<Option<Reached>>,
+    best_paths: Vec<Option<BestPath>>,
     crossing: CrossingCost,
 }
 
-impl<'a> Cover<'a> {
+impl<'a> PathSearch<'a> {
     /// Creates a search that starts in the domain `home` and uses the engines for
     /// which `is_usable`, called with an index and its engine, returns true.
     pub(super) fn new(
@@ -117,79 +117,87 @@
         let usable: Vec<usize> = (0..engines.len())
             .filter(|index| is_usable(*index, engines[*index]))
             .collect();
-        let cuts = cuts(engines, range, &usable);
+        let boundaries = boundaries(engines, range, &usable);
         let mut domains = BTreeSet::from([home]);
         domains.extend(usable.iter().map(|index| &engines[*index].domain));
-        let mut cover = Self {
+        let mut search = Self {
             engines,
-            holders: vec![Vec::new(); cuts.len()],
-            reached: vec![None; cuts.len() * domains.len()],
-            cuts,
+            holders: vec![Vec::new(); boundaries.len()],
+            best_paths: vec![None; boundaries.len() * domains.len()],
+            boundaries,
             domains: domains.into_iter().collect(),
             crossing,
         };
         for index in usable {
-            cover.add_holder(index, cost(engines[index]));
+            search.add_holder(index, cost(engines[index]));
         }
-        let start = cover.node(0, cover.domain_place(home));
-        cover.reached[start] = Some(Reached {
+        let start = search.node(0, search.domain_index(home));
+        search.best_paths[start] = Some(BestPath {
             cost_ms: 0.0,
-            last: None,
+            last_edge: None,
         });
-        cover
+        search
     }
 
     fn add_holder(&mut self, engine: usize, cost: EngineCost) {
         let PipelineEngine { domain, held, .. } = self.engines[engine];
-        let candidate = Candidate {
+        let holder = Holder {
             engine,
-            domain: self.domain_place(domain),
+            domain: self.domain_index(domain),
             cost,
         };
-        let first = self.cuts.partition_point(|cut| *cut < held.start);
-        let behind = self.cuts.partition_point(|cut| *cut < held.end);
-        for holders in &mut self.holders[first..behind.max(first)] {
-            holders.push(candidate);
+        let first = self
+            .boundaries
+            .partition_point(|boundary| *boundary < held.start);
+        let end = self
+            .boundaries
+            .partition_point(|boundary| *boundary < held.end);
+        for holders in &mut self.holders[first..end.max(first)] {
+            holders.push(holder);
         }
     }
 
     /// The stages of the cheapest path through the range; `None` if there is none.
-    pub(super) fn cheapest(mut self) -> Option<Vec<Part>> {
-        let last = self.cuts.len().saturating_sub(1);
-        for cut in 0..last {
-            self.extend(cut);
+    pub(super) fn cheapest(mut self) -> Option<Vec<Segment>> {
+        let last = self.boundaries.len().saturating_sub(1);
+        for boundary in 0..last {
+            self.relax(boundary);
         }
-        let ends = self.nodes_at(last);
-        let ends = ends.filter_map(|node| Some((node, self.reached[node]?.cost_ms)));
-        let (best, _) = ends.min_by(|(_, left), (_, right)| left.total_cmp(right))?;
-        Some(self.parts(best))
+        let end_nodes = self.nodes_at(last);
+        let end_nodes = end_nodes.filter_map(|node| Some((node, self.best_paths[node]?.cost_ms)));
+        let (best, _) = end_nodes.min_by(|(_, left), (_, right)| left.total_cmp(right))?;
+        Some(self.segments(best))
     }
 
     /// Relaxes the edges from a boundary: those of the engines that hold the next layer.
-    fn extend(&mut self, cut: usize) {
-        if self.nodes_at(cut).all(|node| self.reached[node].is_none()) {
+    fn relax(&mut self, boundary: usize) {
+        if self
+            .nodes_at(boundary)
+            .all(|node| self.best_paths[node].is_none())
+        {
             return;
         }
-        let steps = self.steps(cut);
-        for from in self.nodes_at(cut) {
-            let Some(state) = self.reached[from] else {
+        let candidate_edges = self.candidate_edges(boundary);
+        for from in self.nodes_at(boundary) {
+            let Some(state) = self.best_paths[from] else {
                 continue;
             };
-            for (place, kept) in steps.iter().enumerate() {
-                let to_domain = place % self.domains.len();
-                let to = self.node(cut + 1, 0) + place;
-                let unused = kept.iter().flatten();
-                let step = unused
+            for (offset, parallel_edges) in candidate_edges.iter().enumerate() {
+                let to_domain = offset % self.domains.len();
+                let to = self.node(boundary + 1, 0) + offset;
+                let unused = parallel_edges.iter().flatten();
+                let edge = unused
                     .copied()
                     .find(|(_, engine)| !self.uses(from, *engine));
-                let Some((step_ms, engine)) = step else {
+                let Some((edge_ms, engine)) = edge else {
                     continue;
                 };
-                let crossing_ms = self.crossing_ms(cut, from % self.domains.len(), to_domain);
-                let cost_ms = state.cost_ms + crossing_ms + step_ms;
-                if self.reached[to].is_none_or(|best| cost_ms < best.cost_ms) {
-                    let last = Some(Link { engine, from });
-                    self.reached[to] = Some(Reached { cost_ms, last });
+                let crossing_cost_ms =
+                    self.crossing_cost_ms(boundary, from % self.domains.len(), to_domain);
+                let cost_ms = state.cost_ms + crossing_cost_ms + edge_ms;
+                if self.best_paths[to].is_none_or(|best| cost_ms < best.cost_ms) {
+                    let last_edge = Some(Edge { engine, from });
+                    self.best_paths[to] = Some(BestPath { cost_ms, last_edge });
                 }
             }
         }
@@ -197,91 +205,95 @@
 
     /// The cheapest edges from a boundary to each node after it, by the node's offset
     /// from the first node of the next boundary.
-    fn steps(&self, cut: usize) -> Vec<[Option<Step>; KEPT]> {
-        let position = self.cuts[cut];
-        let later = &self.cuts[cut + 1..];
-        let mut steps = vec![[None; KEPT]; later.len() * self.domains.len()];
-        for candidate in &self.holders[cut] {
-            let end = self.engines[candidate.engine].held.end;
-            let within = later.iter().take_while(|cut| **cut <= end);
-            for (ahead, cut) in within.enumerate() {
-                let layers = f64::from(cut - position);
-                let cost_ms = candidate.cost.entry_ms + layers * candidate.cost.layer_ms;
-                let place = ahead * self.domains.len() + candidate.domain;
-                keep(&mut steps[place], (cost_ms, candidate.engine));
+    fn candidate_edges(&self, boundary: usize) -> Vec<[Option<CandidateEdge>; MAX_PARALLEL_EDGES]> {
+        let position = self.boundaries[boundary];
+        let later = &self.boundaries[boundary + 1..];
+        let mut candidate_edges =
+            vec![[None; MAX_PARALLEL_EDGES]; later.len() * self.domains.len()];
+        for holder in &self.holders[boundary] {
+            let end = self.engines[holder.engine].held.end;
+            let within = later.iter().take_while(|boundary| **boundary <= end);
+            for (ahead, boundary) in within.enumerate() {
+                let layers = f64::from(boundary - position);
+                let cost_ms = holder.cost.entry_ms + layers * holder.cost.layer_ms;
+                let offset = ahead * self.domains.len() + holder.domain;
+                insert_cheapest(&mut candidate_edges[offset], (cost_ms, holder.engine));
             }
         }
-        steps
+        candidate_edges
     }
 
-    fn crossing_ms(&self, cut: usize, from: usize, to: usize) -> f64 {
+    fn crossing_cost_ms(&self, boundary: usize, from: usize, to: usize) -> f64 {
         if from == to {
             return 0.0;
         }
-        self.crossing.before(self.cuts[cut])
+        self.crossing.before(self.boundaries[boundary])
     }
 
     /// Whether the path to a node uses the address of an engine, by this or another
     /// incarnation: engines accept no path that has an address twice.
     fn uses(&self, node: usize, engine: usize) -> bool {
         let addr = self.engines[engine].addr();
-        self.way_back(node)
-            .any(|link| self.engines[link.engine].addr() == addr)
+        self.edges_to(node)
+            .any(|edge| self.engines[edge.engine].addr() == addr)
     }
 
     /// The edges of the path to a node, last one first.
-    fn way_back(&self, node: usize) -> impl Iterator<Item = Link> {
-        let last = |node: usize| self.reached[node].and_then(|reached| reached.last);
-        std::iter::successors(last(node), move |link| last(link.from))
+    fn edges_to(&self, node: usize) -> impl Iterator<Item = Edge> {
+        let last_edge = |node: usize| self.best_paths[node].and_then(|best| best.last_edge);
+        std::iter::successors(last_edge(node), move |edge| last_edge(edge.from))
     }
 
-    fn parts(&self, node: usize) -> Vec<Part> {
+    fn segments(&self, node: usize) -> Vec<Segment> {
         let mut end = node;
-        let parts = self.way_back(node).map(|link| {
-            let ended = std::mem::replace(&mut end, link.from);
-            Part {
-                engine: link.engine,
-                end: self.cuts[ended / self.domains.len()],
+        let segments = self.edges_to(node).map(|edge| {
+            let ended = std::mem::replace(&mut end, edge.from);
+            Segment {
+                engine: edge.engine,
+                end: self.boundaries[ended / self.domains.len()],
             }
         });
-        let mut parts: Vec<Part> = parts.collect();
-        parts.reverse();
-        parts
+        let mut segments: Vec<Segment> = segments.collect();
+        segments.reverse();
+        segments
     }
 
     /// Index of the node of a boundary and a domain.
-    fn node(&self, cut: usize, domain: usize) -> usize {
-        cut * self.domains.len() + domain
+    fn node(&self, boundary: usize, domain: usize) -> usize {
+        boundary * self.domains.len() + domain
     }
 
-    fn nodes_at(&self, cut: usize) -> std::ops::Range<usize> {
-        self.node(cut, 0)..self.node(cut + 1, 0)
+    fn nodes_at(&self, boundary: usize) -> std::ops::Range<usize> {
+        self.node(boundary, 0)..self.node(boundary + 1, 0)
     }
 
-    fn domain_place(&self, domain: &DomainId) -> usize {
+    fn domain_index(&self, domain: &DomainId) -> usize {
         self.domains.partition_point(|known| *known < domain)
     }
 }
 
 /// Boundaries at which the layers of usable engines start or end, clamped to a range.
-fn cuts(engines: &[&PipelineEngine], range: LayerRange, usable: &[usize]) -> Vec<u16> {
-    let mut cuts = vec![range.start, range.end];
+fn boundaries(engines: &[&PipelineEngine], range: LayerRange, usable: &[usize]) -> Vec<u16> {
+    let mut boundaries = vec![range.start, range.end];
     for index in usable {
         let held = engines[*index].held;
-        cuts.push(held.start.clamp(range.start, range.end));
-        cuts.push(held.end.clamp(range.start, range.end));
+        boundaries.push(held.start.clamp(range.start, range.end));
+        boundaries.push(held.end.clamp(range.start, range.end));
     }
-    cuts.sort_unstable();
-    cuts.dedup();
-    cuts
+    boundaries.sort_unstable();
+    boundaries.dedup();
+    boundaries
 }
 
 /// Inserts an edge if it is among the cheapest; of equal ones the earlier stays first.
-fn keep(kept: &mut [Option<Step>; KEPT], step: Step) {
-    let is_cheaper = |known: &Option<Step>| known.is_none_or(|known| step.0 < known.0);
-    let Some(place) = kept.iter().position(is_cheaper) else {
+fn insert_cheapest(
+    parallel_edges: &mut [Option<CandidateEdge>; MAX_PARALLEL_EDGES],
+    edge: CandidateEdge,
+) {
+    let is_cheaper = |known: &Option<CandidateEdge>| known.is_none_or(|known| edge.0 < known.0);
+    let Some(position) = parallel_edges.iter().position(is_cheaper) else {
         return;
     };
-    kept[place..].rotate_right(1);
-    kept[place] = Some(step);
+    parallel_edges[position..].rotate_right(1);
+    parallel_edges[position] = Some(edge);
 }
