--- a/crates/rookferry_core/src/pipeline/layout/planner.rs
+++ b/crates/rookferry_core/src/pipeline/layout/planner.rs
@@ -153,7 +153,8 @@
         }
     }
 
-    /// The best engine to fill a gap, if one is free whose layers others hold too.
+    /// The best engine to fill a gap; `None` if each free one is the only holder of some
+    /// layer.
     ///
     /// Prefers an empty engine, then one whose layers are held by others at least as
     /// fast, then one whose layers only slower ones hold; of these the fastest. Moving
