--- a/crates/rookferry_core/examples/path_time.rs
+++ b/crates/rookferry_core/examples/path_time.rs
@@ -29,7 +29,7 @@
         } else {
             (8, 0.18)
         };
-        let place = u16::try_from(number / DOMAINS).unwrap_or(0) % (LAYERS / length);
+        let range_index = u16::try_from(number / DOMAINS).unwrap_or(0) % (LAYERS / length);
         PipelineEngine {
             engine: format!("engine-{number}").into(),
             server: ServerKey::new(
@@ -39,8 +39,8 @@
             ),
             domain: format!("domain-{}", number % DOMAINS).into(),
             held: LayerRange {
-                start: place * length,
-                end: (place + 1) * length,
+                start: range_index * length,
+                end: (range_index + 1) * length,
             },
             layer_step_ms,
             cache_tokens: 30_000.0,
