--- a/crates/rookferry_core/examples/path_time.rs
+++ b/crates/rookferry_core/examples/path_time.rs
@@ -1,4 +1,4 @@
-//! Times the search for a request's path over a site's engines.
+//! Measures the time of a path search over the engines of a site.
 //!
 //! `cargo run --release -p rookferry_core --example path_time`
 
@@ -17,11 +17,11 @@
 const LAYERS: u16 = 80;
 const DOMAINS: usize = 5;
 const SEARCHES: u32 = 200;
-/// Tokens of a request.
+/// Tokens of the request.
 const TOKENS: f64 = 950.0;
 
-/// Engines of two kinds, as a layout gives them: ranges that line up, each
-/// held by about as many engines.
+/// Engines of two kinds as in a planned layout: aligned ranges, each held by about
+/// the same number of engines.
 fn fleet(count: usize, rng: &mut StdRng) -> Vec<PipelineEngine> {
     let engines = (0..count).map(|number| {
         let (length, layer_step_ms) = if number % 3 == 0 {
@@ -29,7 +29,7 @@
         } else {
             (8, 0.18)
         };
-        let place = u16::try_from(number / DOMAINS).unwrap_or(0) % (LAYERS / length);
+        let range_index = u16::try_from(number / DOMAINS).unwrap_or(0) % (LAYERS / length);
         PipelineEngine {
             engine: format!("engine-{number}").into(),
             server: ServerKey::new(
@@ -39,13 +39,13 @@
             ),
             domain: format!("domain-{}", number % DOMAINS).into(),
             held: LayerRange {
-                start: place * length,
-                end: (place + 1) * length,
+                start: range_index * length,
+                end: (range_index + 1) * length,
             },
             layer_step_ms,
             cache_tokens: 30_000.0,
             used_tokens: rng.random_range(0.0..20_000.0),
-            is_closed: false,
+            is_refusing: false,
         }
     });
     engines.collect()
@@ -65,6 +65,6 @@
     let mut rng = StdRng::seed_from_u64(1);
     for count in [40, 218, 2_900] {
         let engines = fleet(count, &mut rng);
-        println!("{count} engines: {:.1?} a search", search_time(&engines));
+        println!("{count} engines: {:.1?} per search", search_time(&engines));
     }
 }
--- a/crates/rookferry_core/tests/pipeline_paths.rs
+++ b/crates/rookferry_core/tests/pipeline_paths.rs
@@ -6,9 +6,9 @@
 use proptest::collection::vec;
 use proptest::prelude::Strategy;
 use proptest::proptest;
-use rookferry_core::NoPath;
-use rookferry_core::PathFault;
+use rookferry_core::PathError;
 use rookferry_core::PathFinder;
+use rookferry_core::PathSearchError;
 use rookferry_core::PathStage;
 use rookferry_core::PipelineEngine;
 use rookferry_core::PipelinePath;
@@ -45,22 +45,22 @@
         layer_step_ms: 0.2,
         cache_tokens: 10_000.0,
         used_tokens: 0.0,
-        is_closed: false,
+        is_refusing: false,
     }
 }
 
 #[rstest]
-#[case::empty(vec![], PathFault::Empty)]
-#[case::gap(vec![stage(0, 0, 10), stage(1, 11, 20)], PathFault::NotNext { stage: 1, expected: 10, found: 11 })]
-#[case::overlap(vec![stage(0, 0, 10), stage(1, 9, 20)], PathFault::NotNext { stage: 1, expected: 10, found: 9 })]
-#[case::swapped(vec![stage(0, 10, 20), stage(1, 0, 10)], PathFault::NotNext { stage: 0, expected: 0, found: 10 })]
-#[case::short(vec![stage(0, 0, 19)], PathFault::Unfinished { found: 19, layers: 20 })]
-#[case::long(vec![stage(0, 0, 21)], PathFault::Unfinished { found: 21, layers: 20 })]
-#[case::no_layer(vec![stage(0, 0, 0), stage(1, 0, 20)], PathFault::NoLayer { stage: 0 })]
-#[case::repeated(vec![stage(0, 0, 5), stage(1, 5, 10), stage(0, 10, 20)], PathFault::Repeated { engine: "e0".into() })]
+#[case::empty(vec![], PathError::Empty)]
+#[case::gap(vec![stage(0, 0, 10), stage(1, 11, 20)], PathError::NotContiguous { stage: 1, expected: 10, found: 11 })]
+#[case::overlap(vec![stage(0, 0, 10), stage(1, 9, 20)], PathError::NotContiguous { stage: 1, expected: 10, found: 9 })]
+#[case::swapped(vec![stage(0, 10, 20), stage(1, 0, 10)], PathError::NotContiguous { stage: 0, expected: 0, found: 10 })]
+#[case::short(vec![stage(0, 0, 19)], PathError::WrongEnd { found: 19, layers: 20 })]
+#[case::long(vec![stage(0, 0, 21)], PathError::WrongEnd { found: 21, layers: 20 })]
+#[case::no_layer(vec![stage(0, 0, 0), stage(1, 0, 20)], PathError::EmptyStage { stage: 0 })]
+#[case::repeated(vec![stage(0, 0, 5), stage(1, 5, 10), stage(0, 10, 20)], PathError::DuplicateAddress { engine: "e0".into() })]
 fn a_path_that_is_not_exact_cannot_be_made(
     #[case] stages: Vec<PathStage>,
-    #[case] fault: PathFault,
+    #[case] fault: PathError,
 ) {
     assert_eq!(PipelinePath::new(stages, LAYERS), Err(fault));
 }
@@ -75,7 +75,7 @@
     assert!(PipelinePath::new(stages(32), 32).is_ok());
     assert_eq!(
         PipelinePath::new(stages(33), 33),
-        Err(PathFault::TooLong { stages: 33 })
+        Err(PathError::TooManyStages { stages: 33 })
     );
 }
 
@@ -229,7 +229,7 @@
             assert_held(path, &engines);
         }
         if !is_covered(&engines) {
-            assert_eq!(path, Err(NoPath::Uncovered));
+            assert_eq!(path, Err(PathSearchError::Uncovered));
         }
     }
 
@@ -250,7 +250,7 @@
         let home: DomainId = "a".into();
         let path = PathFinder::new(LAYERS, &listed).find(&home, TOKENS);
         if let Err(no_path) = &path {
-            assert_eq!(no_path, &NoPath::Uncovered);
+            assert_eq!(no_path, &PathSearchError::Uncovered);
             assert!(!is_covered(&engines), "{engines:?}");
         }
     }
@@ -337,7 +337,7 @@
         });
         let found = finder.find(&home, TOKENS);
         let Some(cheapest) = cheapest else {
-            assert_eq!(found, Err(NoPath::Uncovered));
+            assert_eq!(found, Err(PathSearchError::Uncovered));
             return Ok(());
         };
         let best_ms = cost_ms(&cheapest);
--- a/crates/rookferry_relay/src/quarantine.rs
+++ b/crates/rookferry_relay/src/quarantine.rs
@@ -244,7 +244,12 @@
     }
 
     /// Merges records from a peer or the store, which `source` names.
-    pub(crate) fn merge_suspects(&self, observations: &[SuspectObservation], source: &str, now: Instant) {
+    pub(crate) fn merge_suspects(
+        &self,
+        observations: &[SuspectObservation],
+        source: &str,
+        now: Instant,
+    ) {
         for seen in observations {
             let change = self
                 .quarantine
--- a/crates/rookferry_relay/src/stream_opener/mod.rs
+++ b/crates/rookferry_relay/src/stream_opener/mod.rs
@@ -16,8 +16,8 @@
 use http::HeaderValue;
 use rookferry_core::BackendServer;
 use rookferry_core::ModelShape;
-use rookferry_core::NoPath;
 use rookferry_core::PathFinder;
+use rookferry_core::PathSearchError;
 use rookferry_core::PipelinePath;
 use rookferry_core::RunProgress;
 use rookferry_core::ServerKey;
@@ -284,13 +284,13 @@
     }
 
     /// Logs a search result that is no valid path, which is a fault of the search.
-    fn log_invalid_path(&self, no_path: &NoPath) {
-        let NoPath::Unusable { fault } = no_path else {
+    fn log_invalid_path(&self, no_path: &PathSearchError) {
+        let PathSearchError::Unusable { error } = no_path else {
             return;
         };
         if let Some(log) = self.target.relay.events.line(Weight::Notable) {
             warn!(log, "stream: the path search returned an invalid path"; "event" => "path_unusable",
-                "request" => &self.target.request.attempt, "cause" => %fault);
+                "request" => &self.target.request.attempt, "cause" => %error);
         }
     }
 
