--- a/crates/rookferry_core/src/peers/capacity.rs
+++ b/crates/rookferry_core/src/peers/capacity.rs
@@ -1,10 +1,10 @@
-//! Which instances carry a failure domain's duties.
+//! Rank order of a failure domain's instances, which decides who carries its duties.
 //!
-//! Load pattern: a domain of hundreds of small machines and a few large ones. What
-//! its heads, its reader of the store and the holder of the lease send grows with the
-//! domain, and fills a small machine's link. So those with the most capacity come
-//! first in line; among equals the address decides. Where all are alike, or the
-//! large ones are gone, the line is by address alone.
+//! Load pattern: a domain of hundreds of small machines and a few large ones. The traffic
+//! of its aggregators, its store reader and the lease's holder grows with the domain, and
+//! saturates a small machine's link. So instances with the highest capacity rank first;
+//! among equals the address decides. Where all have the same capacity, or the large ones
+//! are lost, the order is by address alone.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -12,24 +12,25 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The capacity that counts as one unit: a small machine's.
+/// Cores and link bandwidth that count as one unit of capacity: those of a small machine.
 const UNIT_CORES: f64 = 0.0625;
 const UNIT_LINK_MBPS: f64 = 10.0;
-/// The highest class.
+/// The highest capacity class; class `n` needs `2^n` units.
 const MAX_CLASS: u32 = 15;
 
-/// How much an instance can carry beside its requests, in steps of two: small
-/// differences between machines move no duties.
+/// Capacity class of an instance for duties besides its requests. Each class doubles the
+/// capacity, so that small differences between machines move no duties.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Capacity(u8);
 
 impl Capacity {
-    /// The lowest.
+    /// The lowest class.
     pub(super) const LEAST: Self = Self(0);
 
-    /// The capacity of a machine with a share of cores and a link; the scarcer counts.
+    /// The class of a machine by its cores (or its share of one) and its link in Mbit/s;
+    /// the scarcer of both decides.
     #[must_use]
     pub fn of_machine(cores: f64, link_mbps: f64) -> Self {
         let units = (cores / UNIT_CORES).min(link_mbps / UNIT_LINK_MBPS);
@@ -39,7 +40,7 @@
     }
 }
 
-/// An instance's place in line for its domain's duties; the least comes first.
+/// Sort key of an instance in the rank order of its domain; the lowest ranks first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Standing {
     capacity: Reverse<Capacity>,
--- a/crates/rookferry_core/src/peers/doubt.rs
+++ b/crates/rookferry_core/src/peers/doubt.rs
@@ -1,63 +1,62 @@
-//! Servers that other instances say don't answer.
+//! Servers that peers report as unresponsive.
 //!
-//! Load pattern: a few engines are lost, or an instance with an eighth of a
-//! core takes its own delay for their loss, while hundreds of others listen.
-//! Where each instance asks each such engine itself, the questions slow them so
-//! that they miss more answers and take sound servers for lost. So few ask, and
-//! the others leave a doubted server alone until it shows that it lives.
+//! Load pattern: a few engines are lost, or an instance with an eighth of a core mistakes
+//! its own delay for their loss, and hundreds of peers receive the report. If each peer
+//! probed each such engine, the probes would slow the instances down, so that they miss
+//! more answers and take healthy servers for lost. So only a few instances probe, and the
+//! others exclude a suspected server until there is newer evidence that it is alive.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
 
 use crate::serving::ServerKey;
 
-/// Instances of a failure domain, first in order, that ask a server which
-/// another has trouble with, besides those with work under way there: as many
-/// as a large domain has heads, so that one that ends or stands still isn't
-/// the only one.
+/// First-ranked instances of a failure domain that probe a suspected server, besides
+/// those with requests in flight there. As many as a large domain has aggregators, so that
+/// probing goes on when one of them exits or stalls.
 const ASKING_MEMBERS: usize = 2;
 
-/// What an instance has to do with a server that another doubts.
+/// An instance's relation to a suspected server, which decides whether it probes it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DoubtedUse {
-    /// Whether requests of its own are under way there.
+    /// Whether own requests are in flight at the server.
     pub has_work: bool,
-    /// Whether it plans what engines hold.
+    /// Whether the instance plans which layers engines hold.
     pub plans_layers: bool,
-    /// How many instances of its domain are before it.
+    /// Number of the domain's instances that are ranked before it.
     pub rank: usize,
 }
 
 impl DoubtedUse {
-    /// Whether the instance asks the server for a sign itself.
+    /// Whether the instance probes the server itself.
     #[must_use]
     pub const fn is_asking(self) -> bool {
         self.has_work || self.plans_layers || self.rank < ASKING_MEMBERS
     }
 }
 
-/// The servers that others of the domain have trouble with.
+/// The servers that peers of the own domain report as unresponsive.
 #[derive(Clone, Debug, Default)]
 pub struct DoubtedServers {
-    /// When the last of those that doubt a server began to.
+    /// Time of the latest first report of each server, over the peers that report it.
     since: BTreeMap<ServerKey, Instant>,
 }
 
 impl DoubtedServers {
-    /// A member that doubts a server began to at some time.
+    /// Adds a peer's report that a server is unresponsive since a time.
     pub(super) fn add(&mut self, server: ServerKey, since: Instant) {
         let known = self.since.entry(server).or_insert(since);
         *known = (*known).max(since);
     }
 
-    /// Since when a server is doubted.
+    /// Since when a server is suspected; none if it isn't.
     #[must_use]
     pub fn since(&self, server: ServerKey) -> Option<Instant> {
         self.since.get(&server).copied()
     }
 
-    /// Whether a server is left alone that gave its last sign of life at some
-    /// time: a later one, to any instance, is worth more than the doubt.
+    /// Whether a server is suspected without newer evidence that it is alive. Evidence
+    /// from any instance that is later than the reports overrides them.
     #[must_use]
     pub fn is_left_alone(&self, server: ServerKey, last_sign_at: Option<Instant>) -> bool {
         let since = self.since.get(&server);
--- a/crates/rookferry_core/src/peers/fanout.rs
+++ b/crates/rookferry_core/src/peers/fanout.rs
@@ -1,8 +1,12 @@
-//! To whom an instance writes in a round.
+//! Choice of the peers that get a heartbeat in a round.
 //!
-//! Load pattern: hundreds of instances, each with a few requests under way at
-//! engines that all of its failure domain use. What others have under way must
-//! be known within a few tenths of a second, or all choose the same engines.
+//! Load pattern: hundreds of instances, each with a few requests in flight at engines
+//! that its whole failure domain uses. The others' loads must be known within a few
+//! tenths of a second, or all instances choose the same engines.
+//!
+//! A small domain is a full mesh. In a larger one members send to the aggregators, which
+//! send the domain's sums to all members. The first-ranked instance of each domain, its
+//! representative, sends the domain's loads to the other domains.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -12,76 +16,77 @@
 
 use super::PeerTable;
 
-/// Most other instances in a domain in which each writes to all: their word is
-/// fresher than by a head, and costs a small instance too much where there are more.
+/// Largest number of peers in a domain that is a full mesh. Direct reports are fresher
+/// than an aggregator's, but with more peers they cost a small instance too much.
 pub(super) const MESH_MEMBERS: usize = 24;
-/// Instances that gather the loads of a larger domain; the second stands in
-/// without delay when the first ends.
+/// Aggregators of a larger domain; with two of them the failure of one causes no delay.
 const HEADS: usize = 2;
-/// Rounds between a head's heartbeats to its domain. With two heads each
-/// member hears the sums as often as there are rounds.
+/// Rounds between an aggregator's heartbeats to its domain. With two aggregators each
+/// member gets sums once a round on average.
 const HEAD_ROUNDS: u32 = 2;
-/// Members of its domain, drawn anew each round, that an instance writes to
-/// besides the heads, so that all are heard now and then whoever the heads are.
+/// Random members of the domain that get a heartbeat in a round besides the aggregators,
+/// so that each member is occasionally received by others whichever the aggregators are.
 const DRAWN_NEAR: usize = 1;
-/// The same of one that has just started and hears no heads yet, besides those that
-/// would be by what it was told. Where each wrote to all of its domain until it heard
-/// them, a start of all would cost the square of its size.
+/// The same for an instance that has just started and received nothing from aggregators
+/// yet, besides those that it expects to be aggregators by the advertised members. Sending
+/// to the whole domain until then would make a simultaneous start of all instances cost
+/// the square of their number.
 const NEAR_AT_START: usize = 8;
-/// Rounds between heartbeats to members of other domains.
+/// Rounds between an instance's heartbeats to members of other domains.
 const FAR_ROUNDS: u32 = 4;
-/// The same for the instance that speaks for its domain. What a domain has
-/// under way at another's engines must be known there before they are full.
+/// The same for the representative of a domain. A domain's load at another domain's
+/// engines must be known there before they are full.
 const SPEAKER_ROUNDS: u32 = 2;
-/// Most members of other domains that an instance of a small domain, or one
-/// that looks for its domain's others, writes to in one round.
+/// Most members of other domains that get a heartbeat in one round from an instance of a
+/// small domain, or from one that is joining.
 const FAR_MEMBERS: usize = 8;
-/// The same in a domain with heads, which pass on what one of them hears.
+/// The same in a domain with aggregators, which forward what each of them receives.
 const FAR_MEMBERS_BESIDE_HEADS: usize = 1;
-/// The same for a speaker, in turn: hundreds are told within a second or so.
+/// The same for a representative, in rotation: reaches hundreds of members within about
+/// a second.
 const SPEAKER_FAR_MEMBERS: usize = 64;
 
-/// A round of heartbeats.
+/// One round of heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub struct Round {
-    /// Its number.
+    /// Number of the round; some targets get a heartbeat only in every few rounds.
     pub number: u32,
-    /// Whether news brought it forward, which all are told at once.
+    /// Whether the round is sent early because of a change, which goes to all at once.
     pub has_news: bool,
-    /// Whether the instance is old enough to know whether it is the first.
+    /// Whether the instance has run long enough to know its rank in the domain.
     pub may_speak: bool,
-    /// Whether it has just started and looks for the others of its domain.
+    /// Whether the instance has just started and is discovering the peers of its domain.
     pub is_joining: bool,
 }
 
-/// Whom to write to.
+/// The peer addresses that get a heartbeat in a round.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Targets {
     /// Members of the own domain.
     pub near: Vec<SocketAddr>,
-    /// Members of the own domain that are told its sums as well.
+    /// Members of the own domain that also get the domain's summed loads.
     pub near_with_sums: Vec<SocketAddr>,
     /// Members of other domains.
     pub far: Vec<SocketAddr>,
-    /// Members of other domains that are told the domain's loads as well.
+    /// Members of other domains that also get the own domain's summed loads.
     pub far_with_loads: Vec<SocketAddr>,
 }
 
-/// Decides whom an instance writes to.
+/// Chooses the targets of each round.
 #[derive(Clone, Debug, Default)]
 pub struct Fanout {
-    /// The place among the members of other domains to go on from.
+    /// Index among the members of other domains at which the rotation continues.
     far_from: usize,
 }
 
 impl Fanout {
-    /// Before the first round.
+    /// The state before the first round.
     #[must_use]
     pub const fn new() -> Self {
         Self { far_from: 0 }
     }
 
-    /// Whom to write to in a round.
+    /// Returns the targets of a round.
     pub fn round<R: Rng + ?Sized>(
         &mut self,
         table: &PeerTable,
@@ -114,8 +119,8 @@
         targets
     }
 
-    /// In a domain with heads: the heads, and a few others; a head writes to
-    /// all.
+    /// Adds the local targets in a domain with aggregators: an aggregator sends to all
+    /// members, the others to the aggregators and a few random members.
     fn add_near<R: Rng + ?Sized>(
         targets: &mut Targets,
         near: Vec<SocketAddr>,
@@ -127,7 +132,7 @@
         let before = table.first_before(HEADS, now);
         let is_head = before.len() < HEADS;
         if is_head && !round.may_speak && !round.has_news {
-            // It hasn't heard the heads yet, and isn't one because of that.
+            // It lacks heartbeats of the aggregators only because it has just started.
             targets.near = near.sample(rng, NEAR_AT_START).copied().collect();
             targets.near.extend(table.first_known(HEADS));
             targets.near.sort_unstable();
--- a/crates/rookferry_core/src/peers/load.rs
+++ b/crates/rookferry_core/src/peers/load.rs
@@ -1,4 +1,4 @@
-//! What is under way at a server.
+//! The load of a server: requests and tokens in flight.
 
 use std::ops::AddAssign;
 use std::ops::Sub;
@@ -8,17 +8,17 @@
 
 use crate::serving::ServerKey;
 
-/// What is under way at a server.
+/// Requests and tokens in flight at a server, of one instance or several.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerLoad {
-    /// Requests.
+    /// Requests in flight.
     pub requests: u32,
-    /// Their tokens.
+    /// Tokens of these requests.
     pub tokens: f64,
 }
 
 impl ServerLoad {
-    /// As much again for each of some instances.
+    /// The load of `instances` instances with this load each.
     #[must_use]
     pub fn times(self, instances: usize) -> Self {
         let requests = u32::try_from(instances).unwrap_or(u32::MAX);
@@ -28,7 +28,7 @@
         }
     }
 
-    /// A part of it; requests are rounded up.
+    /// A fraction of the load; requests are rounded up.
     #[must_use]
     pub(super) fn part(self, part: f64) -> Self {
         Self {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// This, or another load where that is less.
+    /// The lower of both loads, separately in requests and in tokens.
     #[must_use]
     pub(super) const fn at_most(self, most: Self) -> Self {
         Self {
@@ -61,7 +61,7 @@
 impl Sub for ServerLoad {
     type Output = Self;
 
-    /// What is left without another part; nothing is below 0.
+    /// The difference, with both figures at least 0.
     fn sub(self, other: Self) -> Self {
         Self {
             requests: self.requests.saturating_sub(other.requests),
@@ -70,23 +70,23 @@
     }
 }
 
-/// What a sender has under way at a server, and what it saw of it.
+/// A heartbeat sender's load at one server, and its latest knowledge of that server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadEntry {
     /// The server.
     pub server: ServerKey,
-    /// Requests under way there.
+    /// Requests in flight there.
     pub requests: u32,
-    /// Their tokens.
+    /// Tokens of these requests.
     pub tokens: u32,
-    /// How long ago the server last gave a sign of life, in milliseconds.
+    /// Time since the server was last known to be alive, in milliseconds.
     pub silent_ms: u64,
-    /// What the server last reported.
+    /// The server's last report of its slowdown, if any.
     pub report: Option<ReportSeen>,
 }
 
 impl LoadEntry {
-    /// The load that it tells of.
+    /// The load alone.
     #[must_use]
     pub fn load(&self) -> ServerLoad {
         ServerLoad {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The same server with another load.
+    /// The same entry with another load.
     #[must_use]
     pub fn with_load(self, load: ServerLoad) -> Self {
         Self {
@@ -109,9 +109,9 @@
 /// A server's report on how slow it is.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportSeen {
-    /// How many times as long as published its steps take.
+    /// Duration of its steps as a multiple of the published duration.
     pub slowdown: f64,
-    /// Its age in milliseconds.
+    /// Age of the report in milliseconds.
     pub age_ms: u64,
 }
 
--- a/crates/rookferry_core/src/peers/message.rs
+++ b/crates/rookferry_core/src/peers/message.rs
@@ -1,4 +1,7 @@
-//! Heartbeats between instances.
+//! Heartbeats between instances: what each reports to the others.
+//!
+//! Encoded by `postcard`, so that the order and types of fields are the wire format.
+//! Ages are sent instead of times, since the instances' clocks aren't synchronised.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,68 +23,67 @@
 use crate::serving::ServerKey;
 use crate::serving::SuspectSeen;
 
-/// A heartbeat; one datagram.
+/// A heartbeat, sent as one datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender's site; others' heartbeats may come where they had an instance.
+    /// The sender's site. Receivers drop heartbeats of other sites, which may still send
+    /// to an address where they had an instance.
     pub site: SiteId,
     /// The sender.
     pub instance: InstanceId,
-    /// Its run.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// Its failure domain.
+    /// The sender's failure domain.
     pub domain: DomainId,
-    /// What the sender can carry of its domain's duties.
+    /// The sender's capacity for the duties of its domain.
     pub capacity: Capacity,
-    /// The sender's steady clock in milliseconds, for the receiver to send
-    /// back.
+    /// The sender's steady clock in milliseconds, which the receiver sends back.
     pub sent_ms: u64,
-    /// What the sender last got from the receiver.
+    /// The receiver's clock as last received by the sender; none before that.
     pub echo: Option<Echo>,
-    /// The configuration that the sender has in force.
+    /// The configuration in force at the sender, if any.
     pub config: Option<ConfigState>,
-    /// The list of servers that the sender has in force.
+    /// The server list in force at the sender.
     pub servers: ListState,
-    /// How long ago the sender knew what the store has, itself or by others of its
-    /// domain, in milliseconds; none if it is in doubt of that.
+    /// Age in milliseconds of the sender's knowledge of the store, read by itself or by
+    /// others of its domain; none while that knowledge is uncertain.
     pub store_age_ms: Option<u64>,
-    /// The holder that the sender heard of, itself or by others.
+    /// The lease's holder as known to the sender, directly or through peers.
     pub holder: Option<HolderSeen>,
-    /// What is under way at servers by the sender's own requests; told in its
-    /// own domain.
+    /// Loads by the sender's own requests; sent within its domain only.
     pub loads: Vec<LoadEntry>,
-    /// What the sender's domain has under way, if it speaks for it.
+    /// Loads of the sender's domain, if it is an aggregator or the representative.
     pub domain_loads: Option<DomainLoads>,
-    /// Servers that don't answer the sender; told in its own domain, in turn where they
-    /// are too many.
+    /// Servers that don't answer the sender; sent within its domain only, in rotation
+    /// where they don't fit.
     pub out: Vec<ServerKey>,
-    /// How many there are in all.
+    /// Number of all servers that don't answer the sender.
     pub out_count: u32,
-    /// Servers that take no new work; told in the sender's own domain.
+    /// Refusing servers, which get no new work; sent within the sender's domain only.
     pub closed: Vec<ClosedSeen>,
-    /// What the sender knows of requests under which servers ended.
+    /// What the sender knows of requests under which servers crashed.
     pub suspects: Vec<SuspectSeen>,
-    /// The last words on servers that named a limit.
+    /// Latest observations of server limits.
     pub limits: Vec<LimitSeen>,
-    /// Servers that leave, as known to the sender.
+    /// Leaving servers, as known to the sender.
     pub departed: Vec<DepartureSeen>,
-    /// Some of the members that the sender knows.
+    /// A part of the members that the sender knows.
     pub members: Vec<MembersOf>,
-    /// How many instances the sender knows, itself included.
+    /// Number of instances that the sender knows, itself included.
     pub instances: u32,
-    /// Whether the sender asks for the members of its domain.
+    /// Whether the sender has just started and asks for the members of its domain.
     pub is_joining: bool,
 }
 
-/// What a failure domain has under way at servers.
+/// Requests and tokens that a failure domain has in flight at servers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DomainLoads {
-    /// How many instances' loads are in it.
+    /// Number of instances whose loads are included.
     pub instances: u32,
-    /// How many of the domain's instances the sender hears before the
-    /// receiver, in line for its duties.
+    /// Number of the domain's instances, live to the sender, that are ranked before the
+    /// receiver; 0 for receivers in other domains.
     pub rank: u32,
-    /// The loads; to a member of the domain without its own.
+    /// The loads; those sent to a member of the domain leave out its own.
     pub loads: Vec<LoadEntry>,
 }
 
@@ -94,44 +96,46 @@
     pub members: Vec<MemberSeen>,
 }
 
-/// A member, and how long ago any instance heard it.
+/// A member, and how long ago any instance received a heartbeat from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberSeen {
-    /// Where it listens for other instances.
+    /// Address for datagrams of peers.
     pub addr: SocketAddr,
-    /// Tenths of a second since it was heard, rounded up: rounded down, a word that
-    /// is passed on within a tenth would never age.
+    /// Tenths of a second since its last heartbeat, rounded up: rounded down, a report
+    /// that is forwarded within a tenth would never age.
     pub age_tenths_s: u16,
-    /// What it can carry of its domain's duties, as it said itself; the least while
-    /// that isn't known.
+    /// Capacity for the duties of its domain, as it reports itself; the lowest while
+    /// unknown.
     pub capacity: Capacity,
 }
 
-/// A holder of the lease for orders to engines.
+/// The known holder of the lease for orders to engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderSeen {
     /// The holder.
     pub instance: InstanceId,
-    /// How long ago it was known to hold the lease, in milliseconds.
+    /// Time since it was known to hold the lease, in milliseconds.
     pub age_ms: u64,
 }
 
-/// A receiver's clock, sent back with the time that it was held.
+/// The receiver's clock, sent back with the time that the sender retained it.
+///
+/// It lets the receiver date what a heartbeat reports on its own clock, without a bound
+/// on the network delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The receiver's own steady clock when it sent, in milliseconds.
+    /// The receiver's steady clock when it sent the value, in milliseconds.
     pub sent_ms: u64,
-    /// Time from the sender's getting it to this message, in milliseconds.
+    /// Time between receiving the value and sending it back, in milliseconds.
     pub held_ms: u64,
 }
 
 impl Echo {
     /// When the sender knew something that was `age_ms` old when it sent this, by the
-    /// receiver's steady clock, which counts from `epoch`; nothing if the figures can't
-    /// be so.
+    /// receiver's steady clock, which counts from `epoch`; none if a figure is out of range.
     ///
-    /// It may be before the epoch: what others know is older than an instance that has
-    /// just started.
+    /// The result may lie before `epoch`: peers' knowledge may be older than an instance
+    /// that has just started.
     #[must_use]
     pub fn known_at(self, age_ms: u64, epoch: Instant, now: Instant) -> Option<Instant> {
         let sent_back_ms = self.sent_ms.checked_add(self.held_ms)?;
@@ -142,20 +146,20 @@
     }
 }
 
-/// The list of servers that a sender has in force.
+/// The server list in force at a sender.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListState {
     /// Its version; the lowest while there is none.
     pub version: ListVersion,
-    /// How long ago it was known to be the newest, in milliseconds, if ever.
+    /// Time since it was known to be the newest, in milliseconds; none if it never was.
     pub age_ms: Option<u64>,
 }
 
-/// The configuration that a sender has in force.
+/// The configuration in force at a sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigState {
     /// Its version.
     pub version: u64,
-    /// How long ago it was known to be the newest, in milliseconds.
+    /// Time since it was known to be the newest, in milliseconds.
     pub age_ms: u64,
 }
--- a/crates/rookferry_core/src/peers/mod.rs
+++ b/crates/rookferry_core/src/peers/mod.rs
@@ -1,20 +1,20 @@
-//! What the instances of a site tell each other, and who writes to whom.
+//! Membership and load exchange between the instances of a site.
 //!
 //! | part | question it answers |
 //! |---|---|
-//! | [`Heartbeat`] | what does one instance tell another? |
-//! | [`PeerTable`] | who is there, and what has each under way? |
-//! | [`Fanout`] | to whom does this instance write in this round? |
-//! | [`DoubtedServers`] | which servers do others have trouble with? |
-//! | [`PeerTable::permit_granters`] | who grants the permits of a server with a limit? |
-//! | [`BodySource`] | who gives a new configuration on to whom? |
+//! | [`Heartbeat`] | what does one instance report to another? |
+//! | [`PeerTable`] | which instances are live, and what does each have in flight? |
+//! | [`Fanout`] | which peers get a heartbeat in this round? |
+//! | [`DoubtedServers`] | which servers do other instances report as unresponsive? |
+//! | [`PeerTable::permit_granters`] | which instance grants the permits of a limited server? |
+//! | [`BodySource`] | which peer gets a new configuration from which? |
 //!
-//! In a small failure domain each instance writes to all others. In a larger
-//! one that would grow with the square of the instances, so two of them, its
-//! heads, gather what each has under way and tell the sums to all. Nobody is
-//! elected: whoever hears fewer than two members before itself acts as a head,
-//! so that two instances that can't hear each other both do, and no safety
-//! rests on who does.
+//! In a small failure domain each instance sends to all others. In a larger one
+//! the traffic would grow with the square of the instances, so two of them, the
+//! aggregators, collect the load of each and send the sums to all. There is no
+//! election: an instance that receives heartbeats from fewer than two members
+//! ranked before it acts as an aggregator. Two instances that can't reach each
+//! other may both act; correctness doesn't depend on which ones do.
 
 mod capacity;
 mod doubt;
--- a/crates/rookferry_core/src/peers/peer.rs
+++ b/crates/rookferry_core/src/peers/peer.rs
@@ -1,4 +1,4 @@
-//! A member, and what it said last.
+//! A peer and its last report, as an entry of the peer table.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,12 +16,12 @@
 use super::capacity::Standing;
 use crate::serving::ServerKey;
 
-/// A peer's word that a server doesn't answer it.
+/// A peer's report that a server doesn't answer it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OutSeen {
-    /// Since when it says so.
+    /// When the peer first listed the server.
     pub(super) since: Instant,
-    /// When it said so last.
+    /// When the peer last listed the server.
     pub(super) told_at: Instant,
 }
 
@@ -30,25 +30,28 @@
     pub(super) domain: Option<DomainId>,
     pub(super) instance: Option<InstanceId>,
     pub(super) incarnation: Incarnation,
-    /// What it can carry of its domain's duties; the least while that isn't known.
+    /// Capacity for the duties of its domain; the lowest while it is unknown.
     pub(super) capacity: Capacity,
+    /// When its last heartbeat was received here.
     pub(super) heard_at: Option<Instant>,
-    /// When it was last heard by any instance, or learnt of.
+    /// When any instance last received a heartbeat from it; at first, when its address
+    /// was added.
     pub(super) seen_at: Instant,
-    /// The peer's clock as last received, and when.
+    /// The peer's clock in milliseconds as last received, and when.
     pub(super) clock: Option<(u64, Instant)>,
-    /// The version of the configuration that the peer has in force.
+    /// Version of the configuration that is in force at the peer.
     pub(super) config_version: Option<u64>,
-    /// When the peer knew what the store has, by its word.
+    /// When the peer's knowledge of the store was last up to date, as it reports.
     pub(super) store_at: Option<Instant>,
     pub(super) loads: Vec<LoadEntry>,
-    /// Servers that don't answer the peer.
+    /// Servers that the peer reports as unresponsive.
     pub(super) out: BTreeMap<ServerKey, OutSeen>,
-    /// What its domain has under way, if it last spoke for it.
+    /// Its domain's loads and when they were received, if it acts as an aggregator.
     pub(super) sums: Option<(DomainLoads, Instant)>,
 }
 
 impl Peer {
+    /// An address that no heartbeat was received from yet.
     pub(super) const fn unheard(now: Instant) -> Self {
         Self {
             domain: None,
@@ -66,12 +69,12 @@
         }
     }
 
-    /// The place in line of the member at an address.
+    /// The peer's sort key in the rank order of its domain.
     pub(super) const fn standing(&self, addr: SocketAddr) -> Standing {
         Standing::new(self.capacity, addr)
     }
 
-    /// The member at an address, as others are told of it.
+    /// The peer as advertised to other instances.
     pub(super) fn seen(&self, addr: SocketAddr, now: Instant) -> MemberSeen {
         let age = now.saturating_duration_since(self.seen_at);
         MemberSeen {
@@ -81,12 +84,13 @@
         }
     }
 
-    /// Whether it was heard within a time.
+    /// Whether a heartbeat was received from it within a time.
     pub(super) fn is_heard(&self, now: Instant, within: Duration) -> bool {
         is_within(self.heard_at, now, within)
     }
 }
 
+/// Whether a time is known and less than `within` ago.
 pub(super) fn is_within(at: Option<Instant>, now: Instant, within: Duration) -> bool {
     at.is_some_and(|at| now.saturating_duration_since(at) < within)
 }
--- a/crates/rookferry_core/src/peers/permits.rs
+++ b/crates/rookferry_core/src/peers/permits.rs
@@ -1,5 +1,8 @@
-//! Which instance grants the permits of a server with a limit, and what part of
-//! the limit is its own.
+//! Choice of the instance that grants the permits of a server with a limit, and the
+//! fraction of the limit that it may grant.
+//!
+//! Decides from the peer table alone: instances with the same view choose the same
+//! granter, by rendezvous hashing over the addresses.
 
 use std::hash::BuildHasher;
 use std::hash::BuildHasherDefault;
@@ -17,23 +20,24 @@
 use super::table::LOAD_KEPT;
 use crate::serving::ServerKey;
 
-/// How long after anybody last heard an instance it counts as there, where not each
-/// hears each. On the largest sites some are told of later; those who ask another
-/// for that are told who grants.
+/// Age up to which an instance that any instance received a heartbeat from counts as
+/// live, where not all instances exchange heartbeats directly. On the largest sites some
+/// reports are older; a permit request to the wrong instance is then redirected.
 const LIVE_KEPT: Duration = Duration::from_secs(5);
-/// How long after its last heartbeat an instance of a small site is heard; two to
-/// other domains fit in.
+/// Age up to which an own received heartbeat counts on a small site; covers two
+/// heartbeats to other domains.
 const HEARD_KEPT: Duration = Duration::from_millis(1_500);
-/// The part of its share that a side grants which may be the smaller one of a site
-/// that is cut apart. With the larger side's whole that is a quarter over the limit
-/// at most.
+/// Fraction of its share that a side of a network partition grants if it may be the
+/// smaller one. Together with the larger side's full limit that exceeds the limit by a
+/// quarter at most.
 const MINORITY_PART: f64 = 0.5;
 
 impl PeerTable {
-    /// The instances that may grant permits for a server of a failure domain, the
-    /// one that does first: those of the domain, or of all where it has none. While
-    /// those of the domain are only silent nobody else does: on the other side of a
-    /// cut they go on granting.
+    /// The instances that may grant permits for a server of a failure domain; the first
+    /// one is the granter. They are the live ones of the domain, or of the whole site
+    /// where no instance of the domain is known. While the domain's instances are only
+    /// silent, no others replace them, since they may still grant on the other side of a
+    /// partition.
     #[must_use]
     pub fn permit_granters(
         &self,
@@ -51,9 +55,9 @@
         granters
     }
 
-    /// The part of a limit that this instance may grant: all where it hears most of
-    /// the instances that may be there, less where others may hear each other and not
-    /// it, and grant as well.
+    /// The fraction of a limit, 0 to 1, that this instance may grant: all of it while it
+    /// is connected to the majority of the known instances, less while the others may form
+    /// another side of a partition that grants as well.
     #[must_use]
     pub fn permit_share(&self, domain: &DomainId, now: Instant) -> f64 {
         let (heard, known) = if *domain == self.home {
@@ -68,8 +72,8 @@
         MINORITY_PART * heard as f64 / known.max(1) as f64
     }
 
-    /// How many instances of the own domain are there, this one included: those that
-    /// it hears, or more by the word of one that hears all.
+    /// Number of live instances of the own domain, this one included: its live peers, or
+    /// the count in an aggregator's sums where that is higher.
     fn heard_at_home(&self, now: Instant) -> usize {
         let heard = self.heard_near(now).count();
         let summed = self.sums(now).map_or(0, |(sums, _)| sums.instances);
@@ -77,32 +81,32 @@
         heard.min(self.near_instances())
     }
 
-    /// Whether this instance hears most of a small site, where each hears each. Of a
-    /// large one it isn't known soon enough who is there.
+    /// Whether this instance receives heartbeats from the majority of a small site, where
+    /// all instances exchange them. On a large site that isn't known soon enough.
     fn hears_most_of_all(&self, now: Instant) -> bool {
         let heard = self.peers.values();
         let heard = heard.filter(|peer| peer.is_heard(now, HEARD_KEPT)).count() + 1;
         self.peers.len() <= MESH_MEMBERS && heard * 2 > self.known_of_all()
     }
 
-    /// The instances that may be there, this one included; addresses that were never
-    /// heard of in a domain may be nobody's.
+    /// Number of known instances, this one included. Leaves out addresses of unknown
+    /// domain, where there may be no instance.
     fn known_of_all(&self) -> usize {
         let peers = self.peers.values();
         peers.filter(|peer| peer.domain.is_some()).count() + 1
     }
 
-    /// The same of one domain.
+    /// Number of known instances of one domain, this one included if it is in it.
     fn known_in(&self, domain: &DomainId) -> usize {
         let peers = self.peers.values();
         let known = peers.filter(|peer| peer.domain.as_ref() == Some(domain));
         known.count() + usize::from(*domain == self.home)
     }
 
-    /// The instances of a domain that are there.
+    /// The live instances of a domain, this one included if it is in it.
     fn live_in(&self, domain: &DomainId, now: Instant) -> Vec<SocketAddr> {
         let is_home = *domain == self.home;
-        // In a small domain each hears each, several times a second.
+        // In a small domain all instances exchange heartbeats several times a second.
         let hears_each = is_home && self.near().count() <= MESH_MEMBERS;
         let is_live = |peer: &Peer| {
             if hears_each {
@@ -118,7 +122,7 @@
         live.map(|(addr, _)| *addr).chain(own).collect()
     }
 
-    /// All instances that are there.
+    /// The live instances of all domains, this one included.
     fn live(&self, now: Instant) -> Vec<SocketAddr> {
         let peers = self.peers.iter();
         let live = peers.filter(|(_, peer)| {
--- a/crates/rookferry_core/src/peers/source.rs
+++ b/crates/rookferry_core/src/peers/source.rs
@@ -1,33 +1,33 @@
-//! Who gives a new configuration or list of servers on to whom.
+//! Distribution of a new configuration or server list between the instances of a
+//! failure domain.
 //!
-//! Load pattern: one instance has a body of some hundred kilobytes that 58
-//! others of its failure domain want at once, over a link on which all of them
-//! together take longer than each waits. So a source gives it to a few at a
-//! time and sends the others to those that have it by then.
+//! Load pattern: one instance has a body of some hundred kilobytes, and 58 others of its
+//! failure domain request it at once. Sent to all concurrently over the source's link it
+//! would reach none of them before its timeout. So a source serves a few at a time and
+//! redirects the others to peers that already received the body.
 
 use std::net::SocketAddr;
 
-/// Bodies that a source with a slow or unknown link sends at a time; more only make
-/// each of them later.
+/// Concurrent transfers over a slow or unknown link; more would only delay each of them.
 const LEAST_AT_ONCE: usize = 2;
-/// The bandwidth that a source leaves to each body: what a slow receiver takes.
+/// Bandwidth reserved for each transfer, in Mbit/s: as much as a slow receiver takes.
 const BODY_MBPS: f64 = 10.0;
-/// Most bodies that a source sends at a time, for its memory's sake.
+/// Upper bound of concurrent transfers, which bounds the source's memory.
 const MOST_AT_ONCE: usize = 32;
-/// Receivers that are told to those sent elsewhere; newer ones are asked less
-/// often so far.
+/// Addresses named in a redirect. The latest receivers are named, since they had fewer
+/// requests so far.
 const TOLD_RECEIVERS: usize = 8;
 
-/// What a source answers to one that asks.
+/// A source's answer to a request for a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// The body; [`BodySource::ended`] is due when it is sent.
+    /// Send the body; the caller calls [`BodySource::ended`] when the transfer is over.
     Body,
-    /// These have it; where there are none yet, it comes back.
+    /// Peers that have the body; while there are none, the receiver retries later.
     Elsewhere(Vec<SocketAddr>),
 }
 
-/// Gives one kind of body on; its versions tell bodies apart.
+/// Serves one kind of body, configuration or server list, to peers; `V` is its version.
 #[derive(Clone, Debug)]
 pub struct BodySource<V> {
     version: V,
@@ -43,7 +43,7 @@
 }
 
 impl<V: Copy + Default + PartialEq> BodySource<V> {
-    /// Nothing sent so far, over a link whose bandwidth isn't known.
+    /// A source without transfers, over a link of unknown bandwidth.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The bandwidth of the source's link.
+    /// Sets the bandwidth of the source's link, in Mbit/s.
     #[must_use]
     pub fn link_mbps(mut self, link_mbps: f64) -> Self {
         let beside = (1..=MOST_AT_ONCE).take_while(|count| *count as f64 * BODY_MBPS <= link_mbps);
@@ -62,7 +62,7 @@
         self
     }
 
-    /// Answers one that asks for a version.
+    /// Decides whether a request for a version gets the body or a redirect.
     pub fn offer(&mut self, version: V) -> Offer {
         if version != self.version {
             self.version = version;
@@ -76,8 +76,8 @@
         Offer::Elsewhere(newest.copied().collect())
     }
 
-    /// A body was sent to one that listens at an address; nobody got it where
-    /// there is none.
+    /// Records the end of a transfer. `to` is the receiver's peer address; none if the
+    /// transfer failed.
     pub fn ended(&mut self, version: V, to: Option<SocketAddr>) {
         self.under_way = self.under_way.saturating_sub(1);
         if let Some(to) = to.filter(|_| version == self.version) {
--- a/crates/rookferry_core/src/peers/sums.rs
+++ b/crates/rookferry_core/src/peers/sums.rs
@@ -1,5 +1,5 @@
-//! What a failure domain has under way, as its members hear it and as its
-//! heads sum it for them.
+//! Loads of the failure domains: computed from the members' heartbeats, or from the
+//! sums of a domain's aggregators.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,33 +15,32 @@
 use super::peer::is_within;
 use crate::serving::ServerKey;
 
-/// How long a head's sums count: until the next two act as heads, which count
-/// the former as there for 1.2 s, and have told theirs twice.
+/// How long an aggregator's sums count. Covers a failover: the next two members take the
+/// failed aggregators for live for another 1.2 s, and then send their own sums twice.
 const SUMS_KEPT: Duration = Duration::from_secs(2);
-/// The age from which a head's sums say nothing of what the others do now: one
-/// of its rounds, and half of one for a late datagram.
+/// Age from which an aggregator's sums no longer reflect the current load: one of its
+/// rounds, and half of one for a late datagram.
 const BLIND_AFTER: Duration = Duration::from_millis(350);
-/// The most that others are taken to have let in since, as a part of what they
-/// had: an engine with little under way is no reason to turn anybody away while
-/// heads are late, as after a start of all.
+/// Upper bound of the load that peers are assumed to have added since the last sums, as
+/// a fraction of the load in them. Without it requests would be refused although engines
+/// have little in flight, while aggregators are late, as after a start of all instances.
 const MOST_GROWTH: f64 = 0.5;
-/// How long another domain's loads count after its speaker was last heard;
-/// covers the change from one speaker to the next, and a turn through all of
-/// the members of other domains on a site of hundreds.
+/// How long another domain's loads count after the last report of its representative.
+/// Covers the change to the next representative, and on a site of hundreds of instances
+/// one rotation through all members of other domains.
 const FAR_LOADS_KEPT: Duration = Duration::from_secs(3);
 
-/// What a domain has under way in one round of its head, put together once for
-/// all its members.
+/// The loads of a domain in one round of its aggregator, computed once for all receivers.
 #[derive(Clone, Debug)]
 pub struct DomainSums {
-    /// The members whose loads are in it, in line.
+    /// The peers whose loads are included, in rank order.
     heard: Vec<Standing>,
     entries: Vec<LoadEntry>,
 }
 
 impl PeerTable {
-    /// A head's word on what the own domain has under way: of those that are
-    /// fresh, one with the most instances in it.
+    /// The recent sums of an aggregator of the own domain, and when they were received:
+    /// those with the most instances included, and the latest among equals.
     pub(super) fn sums(&self, now: Instant) -> Option<(&DomainLoads, Instant)> {
         let told = self.heard_near(now).filter_map(|(_, peer)| {
             let (sums, at) = peer.sums.as_ref()?;
@@ -50,9 +49,9 @@
         told.max_by_key(|(sums, at)| (sums.instances, *at))
     }
 
-    /// What the other members have under way at each server: those of the own
-    /// domain by their own word or a head's, whichever has more instances in
-    /// it, and those of others by their speakers'.
+    /// The load of all other instances by server. The own domain's loads are the peers'
+    /// own reports or an aggregator's sums, whichever includes more instances; those of
+    /// other domains are their representatives' reports.
     #[must_use]
     pub fn loads(&self, now: Instant) -> BTreeMap<ServerKey, ServerLoad> {
         let heard = self.heard_near(now).count();
@@ -79,10 +78,11 @@
         loads
     }
 
-    /// Adds what others have taken in since the last sums if each did as this
-    /// instance. Load pattern: the heads of a large domain end under overload. All
-    /// others see the same room left and fill it many times over; so each takes in
-    /// no more than ends of its own until it is told again.
+    /// Adds the load that peers have admitted since the last sums, assuming that each
+    /// admitted as much as this instance. Load pattern: the aggregators of a large domain
+    /// exit under overload. All other instances see the same free capacity and would fill
+    /// it many times over. With this estimate each admits only as much as it completes
+    /// itself, until new sums arrive.
     fn add_alike(&self, loads: &mut BTreeMap<ServerKey, ServerLoad>, instances: u32) {
         let instances = usize::try_from(instances).unwrap_or(usize::MAX);
         for (server, own) in &self.own_loads {
@@ -93,8 +93,7 @@
         }
     }
 
-    /// What the other members of the own domain have under way at each server,
-    /// by their own word.
+    /// The load of the own domain's live peers by server, from their own reports.
     #[must_use]
     pub fn near_loads(&self, now: Instant) -> BTreeMap<ServerKey, ServerLoad> {
         let mut loads = BTreeMap::new();
@@ -104,8 +103,8 @@
         loads
     }
 
-    /// What this instance, as a head, tells of in one round; `entries` is what
-    /// the domain has under way, this instance included.
+    /// The sums that this instance sends in one round as an aggregator. `entries` are the
+    /// loads of the domain, this instance's included.
     #[must_use]
     pub fn domain_sums(&self, entries: Vec<LoadEntry>, now: Instant) -> DomainSums {
         let heard = self.heard_near(now);
@@ -114,7 +113,7 @@
         DomainSums { heard, entries }
     }
 
-    /// What a member of the domain is told of it: all less its own.
+    /// The sums for one member of the domain, without its own load.
     #[must_use]
     pub fn sums_for(&self, to: SocketAddr, sums: &DomainSums) -> DomainLoads {
         let known = self.peers.get(&to);
@@ -139,7 +138,7 @@
 }
 
 impl DomainSums {
-    /// The same, for other domains.
+    /// The sums for receivers in other domains.
     #[must_use]
     pub fn into_loads(self) -> DomainLoads {
         DomainLoads {
--- a/crates/rookferry_core/src/peers/table.rs
+++ b/crates/rookferry_core/src/peers/table.rs
@@ -1,4 +1,8 @@
-//! The members that are known, and what they said last.
+//! The known instances of a site and the last report of each.
+//!
+//! Input are received heartbeats and the time. Output are the live instances, their
+//! rank order in the own failure domain, and what heartbeats repeat about them. The
+//! heartbeat tasks of the daemon own the table; nothing here sends.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,46 +29,46 @@
 use crate::serving::NewsBudget;
 use crate::serving::ServerKey;
 
-/// How long a silent member's load counts. Several heartbeats to its own
-/// failure domain fit in, and four of a head's.
+/// Silence after which a peer is no longer live and its load no longer counts. Covers
+/// several heartbeats within a failure domain, and four of an aggregator's.
 pub(super) const LOAD_KEPT: Duration = Duration::from_millis(1_200);
-/// How long a silent holder of the lease counts as one; two heartbeats to
-/// other failure domains fit in.
+/// Age up to which a report of the lease's holder counts; covers two heartbeats to
+/// other failure domains.
 const HOLDER_KEPT: Duration = Duration::from_millis(1_400);
-/// How long a member that nobody hears counts as there, and how much longer for
-/// each member: they are told of in turn, so that the word on each is the older the
-/// more there are.
+/// Time after which a member counts as lost if no instance received a heartbeat from it,
+/// and the extension for each known member: members are advertised in rotation, so that
+/// with more of them the reports on each are older.
 const MEMBER_KEPT: Duration = Duration::from_secs(5);
 const MEMBER_KEPT_EACH: Duration = Duration::from_millis(50);
-/// The longest that it does.
+/// Upper bound of that time.
 const MEMBER_KEPT_LONGEST: Duration = Duration::from_secs(25);
-/// Within which time a peer tells of each server that doesn't answer it, where it tells
-/// them in turn: some turns of a head.
+/// How long a server counts as unresponsive after a peer last listed it, where the peer
+/// lists such servers in rotation; covers several rotations of an aggregator.
 const OUT_TOLD_WITHIN: Duration = Duration::from_secs(3);
-/// How long an address that nobody heard is written to, and counts as one of
-/// those that share budgets.
+/// Time after which an address is dropped if no instance received a heartbeat from it.
+/// Until then it gets heartbeats and counts among the instances that share budgets.
 const ADDRESS_KEPT: Duration = Duration::from_secs(30);
 
-/// The members by address, as one of them knows them.
+/// One instance's view of all others, by peer address.
 #[derive(Clone, Debug)]
 pub struct PeerTable {
     pub(super) own: SocketAddr,
-    /// What this instance can carry of its domain's duties.
+    /// Capacity of this instance for the duties of its domain.
     capacity: Capacity,
     pub(super) home: DomainId,
     pub(super) peers: BTreeMap<SocketAddr, Peer>,
-    /// The holder of the lease and when it was last known to hold it.
+    /// The lease's holder, and when it was last known to hold the lease.
     holder: Option<(InstanceId, Instant)>,
-    /// What other domains have under way, as their speakers told last.
+    /// Loads of other domains, as their representatives last reported.
     pub(super) far_loads: BTreeMap<DomainId, (Vec<LoadEntry>, Instant)>,
-    /// What the instance itself has under way, as it last told.
+    /// Own loads, as last sent to peers.
     pub(super) own_loads: BTreeMap<ServerKey, ServerLoad>,
-    /// The same when a head's sums last came.
+    /// Own loads at the time when an aggregator's sums were last received.
     pub(super) own_at_sums: BTreeMap<ServerKey, ServerLoad>,
 }
 
 impl PeerTable {
-    /// Nobody known, for an instance at an address in a domain.
+    /// An empty table for the instance that listens at `own` in the domain `home`.
     #[must_use]
     pub const fn new(own: SocketAddr, home: DomainId) -> Self {
         Self {
@@ -79,32 +83,32 @@
         }
     }
 
-    /// What the instance can carry of its domain's duties.
+    /// Sets the capacity of this instance for the duties of its domain.
     #[must_use]
     pub const fn capacity(mut self, capacity: Capacity) -> Self {
         self.capacity = capacity;
         self
     }
 
-    /// The instance's own place in line for its domain's duties.
+    /// The instance's own sort key in the rank order of its domain.
     pub(super) const fn standing(&self) -> Standing {
         Standing::new(self.capacity, self.own)
     }
 
-    /// Learns of an address that may be a member's.
+    /// Adds an address that may belong to an instance, such as a configured seed.
     pub fn learn(&mut self, addr: SocketAddr, now: Instant) {
         if addr != self.own {
             self.peers.entry(addr).or_insert(Peer::unheard(now));
         }
     }
 
-    /// What the instance itself has under way, as it tells others now.
+    /// Sets the own loads, as sent to peers now.
     pub fn tell_own(&mut self, loads: &[LoadEntry]) {
         let loads = loads.iter();
         self.own_loads = loads.map(|entry| (entry.server, entry.load())).collect();
     }
 
-    /// Takes another member's word on who is there.
+    /// Merges the members that a peer advertises.
     fn learn_members(&mut self, told: &[MembersOf], now: Instant) {
         for (domain, member) in told
             .iter()
@@ -127,8 +131,8 @@
         }
     }
 
-    /// Takes a heartbeat in; tells whether its member wasn't heard before, or
-    /// not for long.
+    /// Records a received heartbeat. Returns whether its sender is new: unknown so far,
+    /// reported as lost by [`Self::expire`], or running under a new incarnation.
     pub fn heard(&mut self, from: SocketAddr, beat: &Heartbeat, now: Instant) -> bool {
         self.learn_members(&beat.members, now);
         if from == self.own {
@@ -164,11 +168,11 @@
         !is_known
     }
 
-    /// Servers that a peer has newly lost, by its heartbeat.
+    /// Returns the servers that a peer's heartbeat lists as unresponsive for the first time.
     ///
-    /// A server counts as answering the peer again once a heartbeat that names all of
-    /// them lacks it. Where the peer names them in turn, it does once it wasn't named for
-    /// some turns.
+    /// A server counts as responsive to the peer again once a complete list lacks it.
+    /// Where the peer lists them in rotation, it does once it was missing from several
+    /// rotations.
     pub fn newly_out(
         &mut self,
         from: SocketAddr,
@@ -200,7 +204,7 @@
         news
     }
 
-    /// The servers that members of the own domain have trouble with.
+    /// The servers that live peers of the own domain report as unresponsive.
     #[must_use]
     pub fn doubted(&self, now: Instant) -> DoubtedServers {
         let mut doubted = DoubtedServers::default();
@@ -212,8 +216,8 @@
         doubted
     }
 
-    /// Drops addresses that nobody has heard for long; tells which instances
-    /// have fallen silent to all since the last call.
+    /// Drops addresses that no instance received a heartbeat from for too long. Returns
+    /// the instances that became lost since the last call.
     pub fn expire(&mut self, now: Instant) -> Vec<InstanceId> {
         let is_seen = |peer: &Peer, within| is_within(Some(peer.seen_at), now, within);
         let kept = self.member_kept();
@@ -230,12 +234,12 @@
         kept.min(MEMBER_KEPT_LONGEST)
     }
 
-    /// Addresses in the own domain, in order.
+    /// Peer addresses in the own domain, in address order.
     pub fn near(&self) -> impl Iterator<Item = SocketAddr> {
         self.addresses(|domain| domain == Some(&self.home))
     }
 
-    /// Addresses in other domains, and those of which it isn't known.
+    /// Peer addresses in other domains or in unknown ones, in address order.
     pub fn far(&self) -> impl Iterator<Item = SocketAddr> {
         self.addresses(|domain| domain != Some(&self.home))
     }
@@ -250,20 +254,19 @@
             .map(|(addr, _)| *addr)
     }
 
-    /// How many instances there are, this one included, heard or told of.
+    /// Number of known instances, this one included, live or advertised by peers.
     #[must_use]
     pub fn instances(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// How many of them are in the own domain.
+    /// Number of known instances in the own domain, this one included.
     #[must_use]
     pub fn near_instances(&self) -> usize {
         self.near().count() + 1
     }
 
-    /// Some of the members: at most `most`, from place `from` of all on, and
-    /// again from the first after the last.
+    /// At most `most` members from index `from` on, wrapping around at the end.
     #[must_use]
     pub fn members(&self, from: usize, most: usize, now: Instant) -> Vec<MembersOf> {
         let count = self.peers.len();
@@ -284,7 +287,7 @@
         .collect()
     }
 
-    /// The members of a domain, at most `most`.
+    /// At most `most` members of a domain, in address order.
     #[must_use]
     pub fn members_in(&self, domain: &DomainId, most: usize, now: Instant) -> MembersOf {
         let peers = self.peers.iter();
@@ -298,7 +301,7 @@
         }
     }
 
-    /// The clock to send back to a member.
+    /// The clock value to send back to a peer; none before its first heartbeat.
     #[must_use]
     pub fn echo(&self, to: SocketAddr, now: Instant) -> Option<Echo> {
         let (sent_ms, at) = self.peers.get(&to)?.clock?;
@@ -322,7 +325,7 @@
         }
     }
 
-    /// The holder of the lease that was last heard of.
+    /// The last known holder of the lease, with the age of that knowledge.
     #[must_use]
     pub fn holder(&self, now: Instant) -> Option<HolderSeen> {
         let (instance, at) = self.holder.as_ref()?;
@@ -333,20 +336,20 @@
         })
     }
 
-    /// When another member was last known to hold the lease.
+    /// When a peer was last known to hold the lease.
     #[must_use]
     pub fn holder_at(&self) -> Option<Instant> {
         self.holder.as_ref().map(|(_, at)| *at)
     }
 
-    /// Whether another member that holds the lease was heard of lately.
+    /// Whether a peer was recently known to hold the lease.
     #[must_use]
     pub fn hears_holder(&self, now: Instant) -> bool {
         is_within(self.holder_at(), now, HOLDER_KEPT)
     }
 
-    /// Whether this instance reads the store for its domain: the first of those that
-    /// were heard lately, and knew what the store has.
+    /// Whether this instance reads the store for its domain: no live instance that is
+    /// ranked before it has recent knowledge of the store.
     #[must_use]
     pub fn reads_store(&self, budget: NewsBudget, now: Instant) -> bool {
         let (kept, bound) = (budget.reader_kept(), budget.rely());
@@ -354,21 +357,22 @@
         before.all(|(_, peer)| !(peer.is_heard(now, kept) && is_within(peer.store_at, now, bound)))
     }
 
-    /// How old what this instance knows may grow before it reads the store itself.
+    /// Age that this instance's knowledge of the store may reach before it reads the
+    /// store itself; grows with its rank.
     #[must_use]
     pub fn reliance(&self, budget: NewsBudget, now: Instant) -> Duration {
         budget.rely() + budget.line(self.rank(now))
     }
 
-    /// Whether a member of the domain has a newer configuration than a version.
+    /// Whether a live peer of the domain has a configuration newer than `version`.
     #[must_use]
     pub fn has_newer_config(&self, version: u64, now: Instant) -> bool {
         let mut near = self.heard_near(now);
         near.any(|(_, peer)| peer.config_version > Some(version))
     }
 
-    /// How many of the domain's instances stand before this one: those that it
-    /// hears, or more by the word of one that hears all.
+    /// Number of the domain's instances ranked before this one: the live ones, or the
+    /// count in an aggregator's sums where that is higher.
     #[must_use]
     pub fn rank(&self, now: Instant) -> usize {
         let heard = self.heard_before(now).count();
@@ -376,8 +380,7 @@
         heard.max(usize::try_from(told).unwrap_or(0))
     }
 
-    /// The first `most` members of the domain in line by what is known of them, heard or
-    /// told of.
+    /// The first-ranked `most` members of the domain, live or only advertised by peers.
     pub(super) fn first_known(&self, most: usize) -> Vec<SocketAddr> {
         let near = self.known_near();
         first_in_line(near, most)
@@ -389,21 +392,21 @@
         near.map(|(addr, peer)| peer.standing(*addr))
     }
 
-    /// How many instances of the domain stand before this one by what is known of
-    /// them, heard or told of.
+    /// Number of the domain's known instances ranked before this one, live or only
+    /// advertised by peers.
     #[must_use]
     pub fn known_before(&self) -> usize {
         let own = self.standing();
         self.known_near().filter(|known| *known < own).count()
     }
 
-    /// Whether this instance is the first of those it hears in its domain.
+    /// Whether no live instance of the domain is ranked before this one.
     #[must_use]
     pub fn is_first(&self, now: Instant) -> bool {
         self.heard_before(now).next().is_none()
     }
 
-    /// The members that are heard in the own domain, in order.
+    /// The live peers of the own domain, in address order.
     pub(super) fn heard_near(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Peer)> {
         let near = move |(_, peer): &(&SocketAddr, &Peer)| {
             peer.domain.as_ref() == Some(&self.home) && peer.is_heard(now, LOAD_KEPT)
@@ -412,27 +415,27 @@
         peers.filter(near).map(|(addr, peer)| (*addr, peer))
     }
 
-    /// Those of them before this instance in line.
+    /// The live peers of the own domain that are ranked before this instance.
     fn heard_before(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Peer)> {
         let own = self.standing();
         self.heard_near(now)
             .filter(move |(addr, peer)| peer.standing(*addr) < own)
     }
 
-    /// The first `most` members that are heard in the own domain before this
-    /// instance in line.
+    /// The first-ranked `most` live peers of the own domain, of those ranked before this
+    /// instance.
     pub(super) fn first_before(&self, most: usize, now: Instant) -> Vec<SocketAddr> {
         let before = self.heard_before(now);
         first_in_line(before.map(|(addr, peer)| peer.standing(addr)), most)
     }
 
-    /// Whether any member of the own domain is heard.
+    /// Whether any peer of the own domain is live.
     #[must_use]
     pub fn hears_near(&self, now: Instant) -> bool {
         self.heard_near(now).next().is_some()
     }
 
-    /// Whether any member is heard.
+    /// Whether any peer is live.
     #[must_use]
     pub fn hears_any(&self, now: Instant) -> bool {
         let mut peers = self.peers.values();
@@ -440,7 +443,7 @@
     }
 }
 
-/// The addresses of the first `most` of some members in line.
+/// The addresses of the first-ranked `most` members.
 fn first_in_line(members: impl Iterator<Item = Standing>, most: usize) -> Vec<SocketAddr> {
     let mut members: Vec<Standing> = members.collect();
     members.sort_unstable();
