--- a/crates/rookferry_core/src/member/adopt.rs
+++ b/crates/rookferry_core/src/member/adopt.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force: only ever a higher version.
+//! Adoption of configurations: only a valid one with a higher version comes into force.
 
 use std::sync::Arc;
 
@@ -7,18 +7,18 @@
 use crate::ConfigFaults;
 use crate::SiteConfig;
 
-/// What became of an offered configuration.
+/// Result of offering a configuration.
 #[derive(Debug)]
 pub enum Adopted {
     /// It is in force now.
     InForce(Arc<SiteConfig>),
-    /// One as new or newer is in force.
+    /// Its version isn't higher than the highest one in force or rejected so far.
     NotNewer,
-    /// It is newer and has faults; the one in force stays.
+    /// It is newer but invalid; the one in force stays.
     Invalid(ConfigFaults),
 }
 
-/// Holds the version in force.
+/// Tracks the version in force and the highest rejected version.
 #[derive(Debug, Default)]
 pub struct ConfigAdopter {
     version: ObjectVersion,
@@ -26,7 +26,7 @@
 }
 
 impl ConfigAdopter {
-    /// Nothing is in force.
+    /// An adopter without a configuration.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -38,13 +38,14 @@
         self.version
     }
 
-    /// The highest version seen, in force or refused.
+    /// The highest version seen, in force or rejected.
     #[must_use]
     pub fn seen(&self) -> ObjectVersion {
         self.version.max(self.refused)
     }
 
-    /// Takes a configuration from the platform or a peer, in any order.
+    /// Adopts a configuration in JSON from the platform or a peer if it is newer and
+    /// valid. Versions may be offered in any order.
     pub fn offer(&mut self, version: ObjectVersion, body: &str) -> Adopted {
         if version <= self.seen() {
             return Adopted::NotNewer;
--- a/crates/rookferry_core/src/member/ask.rs
+++ b/crates/rookferry_core/src/member/ask.rs
@@ -1,10 +1,9 @@
-//! Who asks which engine, and how often.
+//! Which instance polls which engine, and how often.
 //!
-//! Each engine is asked by one instance of its own failure domain, or of the
-//! whole site if none of that domain is live, chosen by rendezvous hashing. It
-//! passes on what it hears by heartbeat. An engine of which nothing was heard
-//! for a while is asked by whoever misses it: its instance may be gone or cut
-//! off.
+//! Each engine is polled by one instance of its own failure domain, or of the whole site
+//! if none of that domain is live, chosen by rendezvous hashing. That instance forwards
+//! the results in its heartbeats. An instance that got no update on an engine for a while
+//! polls it itself, since the assigned instance may be lost or cut off.
 
 use std::hash::BuildHasher;
 use std::hash::BuildHasherDefault;
@@ -17,44 +16,44 @@
 
 use super::home_of;
 
-/// Silence about an engine after which an instance asks it itself.
+/// Time without an update on an engine after which an instance polls it itself.
 const MISSED_AFTER: Duration = Duration::from_secs(4);
-/// Bytes of an ask and its answer, heads included, for the budget.
+/// Bytes of a poll and its answer, headers included, as counted against the budget.
 const BYTES_AN_ASK: u32 = 550;
-/// The shortest and longest time between asks.
+/// Shortest and longest time between polls.
 const MIN_INTERVAL: Duration = Duration::from_millis(50);
 const MAX_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The round that a budget is shared out for.
+/// Round length that the budget for polls of further engines is computed for.
 const USUAL_ROUND: Duration = Duration::from_millis(500);
-/// Engines that are described for the first time in one round.
+/// Most engines that are polled for their first description in one round.
 const MAX_UNDESCRIBED_A_ROUND: usize = 32;
 
-/// Why an instance asks an engine itself.
+/// Why an instance polls an engine itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AskReason {
-    /// It is the one that asks it.
+    /// The instance is assigned to it.
     Own,
-    /// Nothing is known of it yet, or what it says has changed.
+    /// Its description isn't known yet, or has changed.
     News,
-    /// Nobody has passed anything on for a while.
+    /// No peer has forwarded an update on it for a while.
     Missed,
 }
 
-/// What is known of an engine when it is decided who asks it.
+/// What is known of an engine when deciding whether to poll it.
 #[derive(Clone, Copy, Debug)]
 pub struct AskInput<'a> {
-    /// Its name.
+    /// The engine's name.
     pub engine: &'a str,
-    /// The live instances of its failure domain, or else of the whole site.
+    /// The live instances of its failure domain, or of the whole site if there are none.
     pub askers: &'a [InstanceId],
-    /// Whether it is known what it says about itself.
+    /// Whether its current description is known.
     pub is_described: bool,
-    /// When it was last asked here or heard of from a peer.
+    /// When it last answered a poll here, or a peer reported it.
     pub last_news: Option<Instant>,
 }
 
-/// Whether this instance is to ask an engine now, and why.
+/// Why this instance is to poll an engine now; none if it isn't.
 #[must_use]
 pub fn ask_reason(now: Instant, own: &InstanceId, input: &AskInput<'_>) -> Option<AskReason> {
     if home_of(input.engine, input.askers) == Some(own) {
@@ -69,7 +68,8 @@
     is_missed.then_some(AskReason::Missed)
 }
 
-/// The time between asks that keeps them within a budget of bytes.
+/// The time between polls of `asked` engines that keeps within a budget, at least
+/// `shortest`.
 #[must_use]
 pub fn ask_interval(asked: usize, budget_bytes_per_s: u32, shortest: Duration) -> Duration {
     let bytes = asked as f64 * f64::from(BYTES_AN_ASK);
@@ -77,9 +77,9 @@
     interval.clamp(shortest.max(MIN_INTERVAL), MAX_INTERVAL.max(shortest))
 }
 
-/// How many engines beside the own ones may be asked in a round: what the
-/// budget leaves in a round of half a second, and one at least. Engines that
-/// have never been described go faster, since a starting instance needs them.
+/// Number of engines besides the assigned ones (`own`) that may be polled in a round: what
+/// the budget leaves in half a second, and at least one. Engines without a description
+/// are allowed beyond the budget, since a starting instance needs them.
 #[must_use]
 pub fn others_allowed(own: usize, undescribed: usize, budget_bytes_per_s: u32) -> usize {
     let bytes_a_round = u128::from(budget_bytes_per_s) * USUAL_ROUND.as_millis() / 1_000;
@@ -89,7 +89,7 @@
     left.max(1).max(undescribed.min(MAX_UNDESCRIBED_A_ROUND))
 }
 
-/// Short name of an engine in digests.
+/// Hash that identifies an engine in heartbeats; depends on its name only.
 #[must_use]
 pub fn engine_tag(engine: &str) -> u32 {
     let hash = BuildHasherDefault::<DefaultHasher>::default().hash_one(engine);
@@ -97,7 +97,7 @@
     u32::from_le_bytes([one, two, three, four])
 }
 
-/// Tells apart what an engine says about itself at different times.
+/// Fingerprint of an engine's description, which changes with the description.
 #[must_use]
 pub fn info_tag(info: &EngineInfo) -> u16 {
     let hasher = BuildHasherDefault::<DefaultHasher>::default();
--- a/crates/rookferry_core/src/member/mod.rs
+++ b/crates/rookferry_core/src/member/mod.rs
@@ -1,6 +1,13 @@
-//! Which instances of the system answer, and what they say.
+//! Membership of a site, adoption of configurations, and sharing of engine polls.
 //!
-//! Suspicion decides only where to send; no safety rests on it.
+//! | part | question it answers |
+//! |---|---|
+//! | [`MemberTable`] | which instances are live, by their heartbeats? |
+//! | [`HeartbeatPlan`] | which peers get a heartbeat in this round? |
+//! | [`ask_reason`] | does this instance poll an engine itself? |
+//! | [`ConfigAdopter`] | is an offered configuration newer and valid? |
+//!
+//! A suspicion only decides where to send; correctness doesn't depend on it.
 
 mod adopt;
 mod ask;
--- a/crates/rookferry_core/src/member/plan.rs
+++ b/crates/rookferry_core/src/member/plan.rs
@@ -1,9 +1,8 @@
-//! Whom to send heartbeats, within a budget of bytes.
+//! Choice of heartbeat targets within a budget of bytes per second.
 //!
-//! Within the own failure domain each instance is told each round. Of every
-//! other domain as many are told, in turn, as the bytes of the shortest round
-//! allow, and one at least. The interval grows with what is sent, so that the
-//! bytes a second stay bounded.
+//! In each round all instances of the own failure domain get a heartbeat. Of each other
+//! domain as many get one, in rotation, as the budget of the shortest round allows, and at
+//! least one. The interval grows with the bytes sent, so that the rate stays bounded.
 
 use std::collections::BTreeMap;
 use std::hash::BuildHasher;
@@ -15,23 +14,24 @@
 use rookferry_wire::DomainId;
 use rookferry_wire::InstanceId;
 
-/// The shortest time between rounds.
+/// Shortest time between rounds.
 const MIN_INTERVAL: Duration = Duration::from_millis(200);
-/// The longest; heartbeats tell it, so that it is waited for.
+/// Longest time between rounds. Heartbeats carry the interval, so that receivers adapt
+/// their timeouts.
 const MAX_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A peer that may be sent to.
+/// A peer that may get a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerTarget {
-    /// Its name.
+    /// The peer's name.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// The peer's failure domain.
     pub failure_domain: DomainId,
-    /// Where it takes datagrams.
+    /// Address for its datagrams.
     pub addr: SocketAddr,
 }
 
-/// Chooses targets round by round.
+/// Chooses the targets of each round, and the time to the next.
 #[derive(Clone, Debug)]
 pub struct HeartbeatPlan {
     own_domain: DomainId,
@@ -40,7 +40,7 @@
 }
 
 impl HeartbeatPlan {
-    /// A plan for an instance of a domain.
+    /// A plan for an instance of a domain, with a budget in bytes per second.
     #[must_use]
     pub const fn new(own_domain: DomainId, budget_bytes_per_s: u32) -> Self {
         Self {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The targets of the next round, for datagrams of a size.
+    /// The targets of the next round, for datagrams of `datagram_bytes`.
     pub fn next_round<'a>(
         &mut self,
         peers: &'a [PeerTarget],
@@ -75,14 +75,15 @@
         targets
     }
 
-    /// Members of each other domain that fit into the shortest round.
+    /// Number of members of each other domain that the budget of the shortest round
+    /// allows, at least one.
     fn far_each(&self, near: usize, domains: usize, datagram_bytes: usize) -> usize {
         let bytes = u128::from(self.budget_bytes_per_s) * MIN_INTERVAL.as_millis() / 1_000;
         let fitting = usize::try_from(bytes).unwrap_or(0) / datagram_bytes.max(1);
         (fitting.saturating_sub(near) / domains.max(1)).max(1)
     }
 
-    /// The time until the next round, for a number of datagrams of a size.
+    /// The time until the next round after `targets` datagrams of `datagram_bytes`.
     #[must_use]
     pub fn interval(&self, targets: usize, datagram_bytes: usize) -> Duration {
         let bytes = (targets * datagram_bytes) as f64;
@@ -91,8 +92,8 @@
     }
 }
 
-/// The one of `instances` that a name belongs to, by rendezvous hashing: when
-/// an instance comes or goes, only the names that were its own move.
+/// The one of `instances` that a name is assigned to, by rendezvous hashing: when an
+/// instance joins or leaves, only its own names are reassigned. None without instances.
 #[must_use]
 pub fn home_of<'a>(name: &str, instances: &'a [InstanceId]) -> Option<&'a InstanceId> {
     let hasher = BuildHasherDefault::<DefaultHasher>::default();
--- a/crates/rookferry_core/src/member/table.rs
+++ b/crates/rookferry_core/src/member/table.rs
@@ -1,4 +1,7 @@
-//! Members as their heartbeats show them.
+//! Members of a site by their heartbeats: live, leaving or suspected.
+//!
+//! Heartbeats and the passing of time are the input; the state of each member and the
+//! newest configuration version are the output. The heartbeat tasks of the daemon own it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,70 +14,71 @@
 use snafu::Snafu;
 use snafu::ensure;
 
-/// Rounds of a member without a word after which it is suspected.
+/// Missed rounds after which a member of the own domain is suspected.
 const SUSPECT_ROUNDS: u32 = 4;
-/// The least silence after which a member of the own domain is suspected.
+/// Shortest silence after which a member of the own domain is suspected.
 const SUSPECT_AFTER: Duration = Duration::from_millis(1_500);
-/// Silence after which a member of another domain is suspected; it is heard
-/// from less often.
+/// Shortest silence after which a member of another domain is suspected; its heartbeats
+/// are less frequent.
 const SUSPECT_FAR_AFTER: Duration = Duration::from_secs(10);
-/// Turns of a member of another domain without a word.
+/// Missed rotations after which a member of another domain is suspected.
 const SUSPECT_FAR_TURNS: u32 = 2;
-/// Silence after which a member is forgotten.
+/// Silence after which a member is removed.
 const FORGET_AFTER: Duration = Duration::from_mins(2);
-/// Members kept at most, so that a flood of names can't fill the memory.
+/// Upper bound of stored members, so that a flood of names can't exhaust the memory.
 const MAX_MEMBERS: usize = 1_024;
 
-/// Whether a member answers.
+/// State of a member, by its heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// Heard from of late.
+    /// Its heartbeats arrive in time.
     Live,
-    /// It says that it leaves.
+    /// Its last heartbeat says that it is leaving.
     Leaving,
-    /// Not heard from for a while.
+    /// Its heartbeats are overdue.
     Suspect,
 }
 
-/// An instance as last heard.
+/// An instance and its newest heartbeat.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its newest heartbeat.
+    /// The newest heartbeat.
     pub heartbeat: Heartbeat,
-    /// When it came.
+    /// When that heartbeat was received.
     pub heard_at: Instant,
-    /// Whether it answers.
+    /// The state at the last heartbeat or tick.
     pub state: MemberState,
 }
 
-/// Why a heartbeat was dropped.
+/// Why a heartbeat is dropped.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum HeartbeatFault {
     /// It is the instance's own.
-    #[snafu(display("own heartbeat came back"))]
+    #[snafu(display("received this instance's own heartbeat"))]
     Own,
-    /// Another process runs under this instance's name.
+    /// Another process uses this instance's name.
     #[snafu(display(
-        "another run of this instance, {incarnation}, is alive; give each instance its own name"
+        "another process (incarnation {incarnation}) uses this instance's name; \
+         give each instance a unique name"
     ))]
     SameName {
-        /// The other's incarnation.
+        /// The other process's incarnation.
         incarnation: u64,
     },
-    /// Older than what is known: replayed or delayed.
-    #[snafu(display("stale heartbeat {seq} of {instance}"))]
+    /// Not newer than the last one of its sender: replayed, duplicated or reordered.
+    #[snafu(display("stale heartbeat {seq} from {instance}"))]
     Stale {
         /// The sender.
         instance: InstanceId,
-        /// Its number.
+        /// The heartbeat's sequence number.
         seq: u64,
     },
-    /// Too many members.
-    #[snafu(display("more than {MAX_MEMBERS} members"))]
+    /// The table is full, and the sender is unknown.
+    #[snafu(display("member table is full ({MAX_MEMBERS} members)"))]
     Full,
 }
 
-/// All members but the own instance.
+/// All members of the site except the own instance.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     own: InstanceId,
@@ -84,7 +88,7 @@
 }
 
 impl MemberTable {
-    /// A table that knows nobody.
+    /// An empty table for an instance, its incarnation and its failure domain.
     #[must_use]
     pub const fn new(own: InstanceId, own_incarnation: u64, own_domain: DomainId) -> Self {
         Self {
@@ -95,12 +99,12 @@
         }
     }
 
-    /// Takes a heartbeat; returns whether it brought something new besides
-    /// its number.
+    /// Records a received heartbeat. Returns whether the member is new, or its state,
+    /// incarnation or configuration version changed.
     ///
     /// # Errors
     ///
-    /// If it is to be dropped; the table is unchanged then.
+    /// If the heartbeat is to be dropped; the table is then unchanged.
     pub fn on_heartbeat(
         &mut self,
         now: Instant,
@@ -150,7 +154,8 @@
         Ok(is_news)
     }
 
-    /// Ages the table; returns the members newly suspected.
+    /// Removes members that were silent for long, and suspects those whose heartbeats are
+    /// overdue. Returns the newly suspected ones.
     pub fn tick(&mut self, now: Instant) -> Vec<InstanceId> {
         self.members
             .retain(|_, member| now.saturating_duration_since(member.heard_at) < FORGET_AFTER);
@@ -163,7 +168,7 @@
             let patience = if member.heartbeat.failure_domain == self.own_domain {
                 SUSPECT_AFTER.max(interval * SUSPECT_ROUNDS)
             } else {
-                // It tells the members of this domain in turn.
+                // It sends to the members of this domain in rotation.
                 SUSPECT_FAR_AFTER.max(interval * near_members * SUSPECT_FAR_TURNS)
             };
             let is_silent = now.saturating_duration_since(member.heard_at) > patience;
@@ -186,7 +191,7 @@
         self.members.values()
     }
 
-    /// Members of the own domain that answer.
+    /// Members of the own domain that aren't suspected.
     pub fn near(&self) -> impl Iterator<Item = &Member> {
         let answering = self
             .members
@@ -195,7 +200,8 @@
         answering.filter(|member| member.heartbeat.failure_domain == self.own_domain)
     }
 
-    /// The highest configuration version heard of, and who has it.
+    /// The highest configuration version among members that aren't suspected, and a member
+    /// that has it.
     #[must_use]
     pub fn newest_config(&self) -> Option<(ObjectVersion, &Member)> {
         let answering = self
@@ -206,7 +212,7 @@
         Some((newest.heartbeat.config_version, newest))
     }
 
-    /// Instances that take work by failure domain, the own one included.
+    /// Live instances by failure domain, the own instance included.
     #[must_use]
     pub fn live_by_domain(&self) -> BTreeMap<DomainId, Vec<InstanceId>> {
         let mut live: BTreeMap<DomainId, Vec<InstanceId>> = BTreeMap::new();
@@ -226,13 +232,13 @@
         live
     }
 
-    /// Instances of all domains that take work, the own one included.
+    /// Live instances of all domains, the own instance included.
     #[must_use]
     pub fn live(&self) -> Vec<InstanceId> {
         self.live_by_domain().into_values().flatten().collect()
     }
 
-    /// Instances of the own domain that take work, the own one included.
+    /// Live instances of the own domain in order of their names, the own instance included.
     #[must_use]
     pub fn live_near(&self) -> Vec<InstanceId> {
         let mut near = self
