--- a/crates/rookferry_core/src/limits/book.rs
+++ b/crates/rookferry_core/src/limits/book.rs
@@ -1,5 +1,5 @@
-//! What an instance keeps of the servers with a limit: which permits it was
-//! refused, and what it sent that the granter doesn't know of.
+//! An instance's own record for servers with a limit: the permits that it was refused, and
+//! the requests that it sent without one and hasn't reported to the granter yet.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -11,39 +11,40 @@
 use crate::serving::ServerKey;
 use crate::serving::Urgency;
 
-/// How long back what was sent is told to a granter: what a server got shortly
-/// before it named a limit, it still has to bear.
+/// Age up to which sent requests are reported to a granter: requests sent shortly before a
+/// server stated its limit still add to its load.
 const SENT_KEPT: Duration = Duration::from_secs(1);
-/// Most that is remembered of it.
+/// Upper bound of remembered sent requests.
 const MOST_SENT: usize = 4_096;
-/// The part by which the time until the next question is drawn out at most, so
-/// that instances that were refused together don't ask together.
+/// Largest random extension of the time until the next permit request, as a fraction of
+/// it, so that instances that were refused together don't retry together.
 const DRAWN_OUT: f64 = 0.5;
 
 #[derive(Clone, Copy, Debug)]
 struct Refused {
     until: Instant,
-    /// The most urgent that was refused until then.
+    /// Urgency of the most urgent request that was refused.
     urgency: Urgency,
     spread: Duration,
 }
 
-/// What an instance was refused, and sent.
+/// The permits that an instance was refused, and its requests sent without a permit.
 #[derive(Clone, Debug, Default)]
 pub struct PermitBook {
     refused: HashMap<ServerKey, Refused>,
-    /// What was sent lately without a permit, in order.
+    /// Unreported requests that were recently sent without a permit, in order of time.
     sent: VecDeque<(Instant, ServerKey)>,
 }
 
 impl PermitBook {
-    /// Nothing was refused or sent.
+    /// An empty record.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A permit was refused; `chance`, from 0 to 1, draws the time out.
+    /// Records a refused permit. `chance`, random from 0 to 1, extends the time until the
+    /// next permit request.
     pub fn note_refused(
         &mut self,
         server: ServerKey,
@@ -67,8 +68,8 @@
         }
     }
 
-    /// When permits of a server may be asked for again for a request, if not now.
-    /// More urgent ones than those that were refused aren't kept from it.
+    /// When a permit of a server may be requested again for a request of this urgency;
+    /// none if it may be now. A request more urgent than the refused ones doesn't wait.
     #[must_use]
     pub fn refused_until(
         &self,
@@ -81,19 +82,19 @@
         holds.then_some(refused.until)
     }
 
-    /// Over what time those that were refused a server's permits come back.
+    /// The time over which retries of a server's refused requests are spread.
     #[must_use]
     pub fn spread(&self, server: ServerKey) -> Duration {
         let refused = self.refused.get(&server);
         refused.map_or(Duration::ZERO, |refused| refused.spread)
     }
 
-    /// A server's limit is over, or another one.
+    /// Clears the refusal of a server whose limit changed or was lifted.
     pub fn forget(&mut self, server: ServerKey) {
         self.refused.remove(&server);
     }
 
-    /// Something was sent to a server without a permit.
+    /// Records a request that was sent to a server without a permit.
     pub fn note_sent(&mut self, server: ServerKey, now: Instant) {
         self.expire(now);
         if self.sent.len() < MOST_SENT {
@@ -101,7 +102,8 @@
         }
     }
 
-    /// What was sent to a server lately and isn't told yet, in milliseconds ago.
+    /// Removes the unreported requests to a server and returns their ages in
+    /// milliseconds, to report them to the granter.
     #[must_use]
     pub fn take_sent(&mut self, server: ServerKey, now: Instant) -> Vec<u16> {
         self.expire(now);
--- a/crates/rookferry_core/src/limits/granter.rs
+++ b/crates/rookferry_core/src/limits/granter.rs
@@ -1,10 +1,10 @@
-//! Counts the requests to one server for all instances.
+//! Token bucket that grants the permits of one server to all instances.
 //!
-//! Load pattern: a server takes a few requests a second, and some instances have
-//! three times as many for it, unevenly. Permits are made at the rate that it
-//! named; a few wait to be asked for, so that none is lost where requests come
-//! now and then. What was sent without one, before the limit was known or by the
-//! site itself, counts in the span in which the server had it to bear.
+//! Load pattern: a server allows a few requests per second, and instances have three
+//! times as many for it, unevenly distributed. Permits accrue at the server's stated rate;
+//! a few may accumulate, so that intermittent requests can use the full rate. Requests
+//! sent without a permit, before the limit was known or by the site itself, count in the
+//! sliding window in which the server received them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,50 +15,52 @@
 use crate::millis::millis;
 use crate::serving::Urgency;
 
-/// The span that what a server gets is looked at over.
+/// Length of the sliding window over which the requests to a server are counted.
 const SPAN: Duration = Duration::from_secs(4);
-/// Permits that wait to be asked for at most, and the time of the rate that they
-/// are more by where it is high.
+/// Most permits that accumulate, and how many seconds of the rate are added to that, which
+/// matters at high rates.
 const WAITING_PERMITS: f64 = 2.0;
 const WAITING_TIME_S: f64 = 0.25;
-/// What all that is sent in a span may come to, as a part of what the limit allows
-/// in it, and in requests besides; a server bears half as much again and five.
+/// Most requests in a window: a multiple of what the rate allows, plus a number of
+/// requests. A server tolerates 1.5 times its limit plus five requests.
 const MOST_IN_SPAN: f64 = 1.25;
 const MOST_IN_SPAN_BESIDES: f64 = 3.0;
-/// What was sent without permits takes at most this many of those to come.
+/// Most future permits that requests sent without a permit use up.
 const MOST_OWED: f64 = 1.0;
-/// Most that is remembered of a span; limits that allow more don't need it.
+/// Upper bound of remembered requests in a window; limits that allow more don't need the
+/// window's check.
 const MOST_REMEMBERED: usize = 4_096;
-/// How long a refusal keeps those behind from taking the last permit.
+/// How long the last permit is reserved for requests as urgent as a refused one.
 const URGENT_KEPT: Duration = Duration::from_secs(1);
-/// Over what time refusals are counted.
+/// Time over which refusals are counted.
 const REFUSALS_COUNTED: Duration = Duration::from_secs(1);
-/// Refusals that are counted at most.
+/// Upper bound of counted refusals.
 const MOST_REFUSALS: usize = 1_024;
-/// What one question more a second adds to the time until the next, so that
-/// hundreds of instances that wait don't ask at each moment.
+/// Extension of the time until the next permit request for each recent refusal, which
+/// bounds the request rate of hundreds of waiting instances.
 const PAUSE_A_QUESTION: Duration = Duration::from_millis(1);
-/// The shortest and the longest time until a question is asked again.
+/// Shortest and longest time until a permit is requested again.
 const LEAST_PAUSE: Duration = Duration::from_millis(10);
 const LONGEST_PAUSE: Duration = Duration::from_secs(4);
-/// The longest time that those who are refused come back over.
+/// Longest time over which retries are spread.
 const LONGEST_SPREAD: Duration = Duration::from_secs(5);
 
-/// Grants the permits for one server.
+/// Grants the permits of one server.
 #[derive(Clone, Debug)]
 pub struct PermitGranter {
     rate: RequestRate,
     permits: f64,
     refilled_at: Instant,
-    /// What was sent, or granted, in the last span; in order.
+    /// Times of the requests sent or granted in the last window, in order.
     sent: VecDeque<Instant>,
     refusals: VecDeque<Instant>,
-    /// The most urgent that was refused lately.
+    /// The most urgent of the recent refusals, and its time.
     urgent: Option<(Urgency, Instant)>,
 }
 
 impl PermitGranter {
-    /// Begins with no permit: another instance may just have granted the last.
+    /// A granter without a permit at first: another instance may just have granted the
+    /// last one.
     #[must_use]
     pub const fn new(rate: RequestRate, now: Instant) -> Self {
         Self {
@@ -71,13 +73,12 @@
         }
     }
 
-    /// The server named another limit. It holds from now on, and what was sent
-    /// under the former still counts.
+    /// Sets the limit from now on; requests sent under the former one still count.
     pub const fn set_rate(&mut self, rate: RequestRate) {
         self.rate = rate;
     }
 
-    /// An instance sent something some time ago without a permit.
+    /// Records a request that an instance sent without a permit, some time ago.
     pub fn note_sent(&mut self, ago: Duration, now: Instant) {
         let at = now.checked_sub(ago).unwrap_or(now);
         let place = self.sent.partition_point(|sent| *sent <= at);
@@ -86,12 +87,12 @@
         self.forget(now);
     }
 
-    /// Whether a request may be sent now; `share` is the part of the limit that
-    /// this granter has.
+    /// Takes a permit for a request to be sent now. `share` is the fraction of the limit
+    /// that this granter may grant.
     ///
     /// # Errors
     ///
-    /// If it may not, with the time at which it may be asked again.
+    /// If there is no permit, with the time until the next permit request.
     pub fn take(
         &mut self,
         urgency: Urgency,
@@ -110,8 +111,8 @@
         Err(self.refusal(needed, share, now))
     }
 
-    /// Permits that must be there: less urgent ones leave one for those that were
-    /// refused before them.
+    /// Permits that must be available: less urgent requests leave one for a more urgent
+    /// request that was refused recently.
     fn needed(&self, urgency: Urgency, now: Instant) -> f64 {
         let waits = self.urgent.is_some_and(|(urgent, at)| {
             urgent < urgency && now.saturating_duration_since(at) < URGENT_KEPT
@@ -135,7 +136,7 @@
         }
     }
 
-    /// What may be sent in a span, in requests.
+    /// Most requests in a window.
     fn most_in_span(&self) -> f64 {
         self.rate.per_s() * SPAN.as_secs_f64() * MOST_IN_SPAN + MOST_IN_SPAN_BESIDES
     }
@@ -169,7 +170,7 @@
         }
     }
 
-    /// The time until enough of a full span has gone by.
+    /// The time until enough requests have left a full window to allow another.
     fn until_room(&self, now: Instant) -> Duration {
         let over = self.sent.len() as f64 + 1.0 - self.most_in_span();
         let mut sent = self.sent.iter().enumerate();
@@ -188,7 +189,7 @@
     }
 }
 
-/// A time in seconds, between nothing and a longest; what is no number is that.
+/// A number of seconds as a duration from 0 to `longest`.
 fn seconds(seconds: f64, longest: Duration) -> Duration {
     Duration::try_from_secs_f64(seconds.max(0.0)).map_or(longest, |time| time.min(longest))
 }
--- a/crates/rookferry_core/src/limits/mod.rs
+++ b/crates/rookferry_core/src/limits/mod.rs
@@ -1,19 +1,19 @@
-//! The requests a second that a server takes of all instances together.
+//! Site-wide rate limits of servers, in requests per second of all instances together.
 //!
 //! | part | question it answers |
 //! |---|---|
-//! | [`ServerLimits`] | which limit did a server name last, to any instance? |
-//! | [`PermitGranter`] | may a request be sent to it now? |
-//! | [`PermitBook`] | what does an instance keep of what it asked and sent? |
+//! | [`ServerLimits`] | which limit did a server last state, to any instance? |
+//! | [`PermitGranter`] | may a request be sent to a server now? |
+//! | [`PermitBook`] | which permits was this instance refused, and what did it send without? |
 //!
-//! A share for each instance doesn't add up: hundreds of them with one request
-//! at hand are far over a limit of a few a second, and an equal part each is of
-//! no use to anybody. So one instance, the granter, counts for all, and the
-//! others ask it for a permit right before they send. It is the one of the
-//! server's failure domain that a rendezvous hash names
-//! ([`PeerTable::permit_granters`]); nobody is elected, and nothing is kept but
-//! in memory. While views differ there may be two, of which only the one on the
-//! larger side grants all that the limit allows ([`PeerTable::permit_share`]).
+//! A fixed share per instance doesn't work: hundreds of instances with one pending request
+//! each are far over a limit of a few requests per second, and an equal share of such a
+//! limit is useless to each of them. So one instance, the granter, counts the requests of
+//! all, and the others request a permit from it right before they send. A rendezvous hash
+//! chooses it among the instances of the server's failure domain
+//! ([`PeerTable::permit_granters`]), without an election and with state in memory only.
+//! While the instances' views differ there may be two granters, of which only the one on
+//! the larger side grants the full limit ([`PeerTable::permit_share`]).
 //!
 //! [`PeerTable::permit_granters`]: crate::PeerTable::permit_granters
 //! [`PeerTable::permit_share`]: crate::PeerTable::permit_share
--- a/crates/rookferry_core/src/limits/permit.rs
+++ b/crates/rookferry_core/src/limits/permit.rs
@@ -1,4 +1,7 @@
-//! Permits to send a request to a server, and the questions for them.
+//! Permits to send one request to a limited server, and the messages to request them.
+//!
+//! The messages are encoded by `postcard`: the order of fields and variants is the wire
+//! format.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,11 +13,11 @@
 use crate::serving::ServerKey;
 use crate::serving::Urgency;
 
-/// How long a permit is good for, from when it was asked for. A connection is
-/// opened well within it; what is sent later would meet those of the next span.
+/// Lifetime of a permit, from the time of its request. Long enough to open a connection;
+/// a request sent later would add to those of the granter's next window.
 const GOOD_FOR: Duration = Duration::from_millis(300);
 
-/// Leave to send one request to a server.
+/// Permission to send one request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
     server: ServerKey,
@@ -22,7 +25,7 @@
 }
 
 impl Permit {
-    /// A permit that was asked for at a time, and granted.
+    /// A granted permit that was requested at a time.
     #[must_use]
     pub fn asked_at(server: ServerKey, at: Instant) -> Self {
         Self {
@@ -31,44 +34,44 @@
         }
     }
 
-    /// Whether it is for a server, and still good.
+    /// Whether the permit is for this server and hasn't expired.
     #[must_use]
     pub fn allows(&self, server: ServerKey, now: Instant) -> bool {
         self.server == server && now < self.until
     }
 }
 
-/// A question to the instance that grants the permits of a server.
+/// A request to the granter of a server for one permit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitAsk {
-    /// The number of the question, by which its answer is known.
+    /// Number that matches the answer to this message.
     pub number: u64,
-    /// What the sender last heard of the server's limit.
+    /// The server, and its limit as last known to the sender.
     pub seen: LimitSeen,
-    /// How urgent the request is; without one the sender only tells what it sent.
+    /// Urgency of the caller's request; none if the sender only reports what it sent.
     pub urgency: Option<Urgency>,
-    /// How long ago the sender sent the server something without a permit, in
-    /// milliseconds each; told once.
+    /// Age in milliseconds of each request that the sender sent to the server without a
+    /// permit; each is reported once.
     pub sent_ms_ago: Vec<u16>,
 }
 
-/// The answer.
+/// The answer to a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitAnswer {
     /// One request may be sent.
     Granted,
-    /// None now.
+    /// No request may be sent now.
     Refused(PermitRefusal),
-    /// Another instance grants them by what the one that was asked knows.
+    /// The asked instance doesn't grant them now; the granter that it knows, if any.
     Elsewhere(Option<std::net::SocketAddr>),
 }
 
-/// When there may be a permit.
+/// When to request a refused permit again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRefusal {
-    /// When to ask again, in milliseconds from now.
+    /// Time until the next permit request, in milliseconds.
     pub ask_again_ms: u64,
-    /// In what time those that were refused lately can all be served, in
-    /// milliseconds: they come back spread over it.
+    /// Time in which all recently refused requests can be served, in milliseconds; their
+    /// retries are spread over it.
     pub spread_ms: u64,
 }
--- a/crates/rookferry_core/src/limits/rate.rs
+++ b/crates/rookferry_core/src/limits/rate.rs
@@ -1,23 +1,24 @@
-//! How many requests a second a server takes.
+//! The rate of requests that a server allows.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The least that is believed, in requests a second. A server that named nothing
-/// still gets a request now and then, whose answer tells when it takes more.
+/// Lower bound of a limit, in requests per second. A server that allows none still gets a
+/// request occasionally, since only its answer shows when it allows more.
 const LEAST_PER_S: f64 = 0.25;
-/// From here on a limit bounds nothing that a site sends to one server, in
-/// requests a second.
+/// Limits from here on have no effect on what a site sends to one server, in requests per
+/// second.
 const BOUNDLESS_PER_S: f64 = 10_000.0;
 
-/// Requests a second, within bounds that make sense of any figure.
+/// A limit in requests per second, within fixed bounds.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct RequestRate {
     per_s: f64,
 }
 
 impl RequestRate {
-    /// A figure in requests a second; none if it bounds nothing, or is no number.
+    /// A limit in requests per second, raised to the lower bound. None if it is negative,
+    /// not a number, or too high to have an effect.
     #[must_use]
     pub fn bounded(per_s: f64) -> Option<Self> {
         let bounds = (0.0..BOUNDLESS_PER_S).contains(&per_s);
@@ -26,7 +27,7 @@
         })
     }
 
-    /// The figure, in requests a second.
+    /// The limit in requests per second.
     #[must_use]
     pub const fn per_s(self) -> f64 {
         self.per_s
--- a/crates/rookferry_core/src/limits/words.rs
+++ b/crates/rookferry_core/src/limits/words.rs
@@ -1,8 +1,9 @@
-//! The limits that servers named, as last told to any instance.
+//! The limits that servers stated in their answers, to this instance or to a peer.
 //!
-//! Of two words on one start of a server the later holds, whoever heard it. What
-//! others tell comes with an age, which is off by the time that it took; words
-//! that close are taken for the same moment, and the lower limit for the safer.
+//! Of two observations for one start of a server the later one is valid, whichever
+//! instance made it. Peers' observations carry an age, which is off by the delay of the
+//! message; observations closer than that count as simultaneous, and the lower limit wins
+//! as the safer one.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,50 +17,50 @@
 use crate::serving::ServerKey;
 use crate::serving::turns::told_in_turn;
 
-/// How far apart two words are surely told in their order.
+/// Time difference from which the order of two observations is certain.
 const ORDER_KNOWN: Duration = Duration::from_millis(200);
-/// How long others are told that a limit is over.
+/// How long a lifted limit is advertised to peers.
 const LIFTED_TOLD: Duration = Duration::from_secs(30);
-/// How long a word is kept of a server without an entry: entries go, and come
-/// back, with the store's outages.
+/// How long the observation of an unlisted server is retained: entries disappear and
+/// return with outages of the store.
 const KEPT_UNLISTED: Duration = Duration::from_mins(10);
 
-/// The last word on a server.
+/// The latest observation of a server.
 #[derive(Clone, Copy, Debug)]
 struct Word {
-    /// Its limit; none once it answered without one.
+    /// The limit; none once the server answered without one.
     rate: Option<RequestRate>,
     at: Instant,
 }
 
-/// What a word changed.
+/// The change that an observation made.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
-    /// The server has a limit that it didn't have.
+    /// The server has a new or a different limit.
     Named(RequestRate),
-    /// It has none any more.
+    /// The server has no limit any more.
     Lifted,
 }
 
-/// A word on a server, as told to other instances.
+/// An observation of a server's limit, as advertised to other instances.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitSeen {
     /// The server.
     pub server: ServerKey,
-    /// The limit that it named; none if it answered without one.
+    /// The limit that it stated; none if it answered without one.
     pub rate: Option<RequestRate>,
-    /// How long ago that was, in milliseconds.
+    /// Age of the observation in milliseconds.
     pub age_ms: u64,
 }
 
-/// The limits of servers.
+/// The latest observation of each server that ever stated a limit.
 #[derive(Clone, Debug, Default)]
 pub struct ServerLimits {
     words: HashMap<ServerKey, Word>,
 }
 
 impl ServerLimits {
-    /// No server named any.
+    /// No observations.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -71,20 +72,20 @@
         self.words.get(&server)?.rate
     }
 
-    /// How old the last word on a server is.
+    /// Age of the latest observation of a server, if there is one.
     #[must_use]
     pub fn age(&self, server: ServerKey, now: Instant) -> Option<Duration> {
         let word = self.words.get(&server)?;
         Some(now.saturating_duration_since(word.at))
     }
 
-    /// Whether no server ever named one.
+    /// Whether there is no observation of any server.
     #[must_use]
     pub fn is_unknown(&self) -> bool {
         self.words.is_empty()
     }
 
-    /// A server named a limit in an answer.
+    /// Records a limit that a server stated in an answer. Returns the change, if any.
     pub fn named(
         &mut self,
         server: ServerKey,
@@ -96,8 +97,8 @@
         change(before.and_then(|before| before.rate), rate)
     }
 
-    /// A server answered a request without naming a limit. One that was sent before
-    /// it last named one may have been answered before, too, and says nothing.
+    /// Records an answer without a limit. Answers to requests sent before the server last
+    /// stated its limit are ignored, since they may be older than that statement.
     pub fn not_named(
         &mut self,
         server: ServerKey,
@@ -115,20 +116,20 @@
         Some(LimitChange::Lifted)
     }
 
-    /// Another instance's word on a server.
+    /// Merges a peer's observation. Returns the change, if any.
     pub fn hear(&mut self, seen: LimitSeen, now: Instant) -> Option<LimitChange> {
         let rate = seen
             .rate
             .and_then(|rate| RequestRate::bounded(rate.per_s()));
         let at = now.checked_sub(Duration::from_millis(seen.age_ms))?;
         let Some(known) = self.words.get_mut(&seen.server) else {
-            // What is over is nothing new, and what is far back neither.
+            // A lifted limit changes nothing for an unknown server; an old one is ignored.
             rate.filter(|_| now.saturating_duration_since(at) < KEPT_UNLISTED)?;
             self.words.insert(seen.server, Word { rate, at });
             return change(None, rate);
         };
-        // Each time it is passed on the same word looks a little younger, so that
-        // taking its time in would keep it alive for ever.
+        // An observation looks slightly younger each time it is forwarded, so that taking
+        // over its time would keep it from ever expiring.
         if known.rate == rate {
             return None;
         }
@@ -146,7 +147,8 @@
         change(before, rate)
     }
 
-    /// What to tell others in a turn, the newest words first.
+    /// At most `most` observations to advertise in a heartbeat, the latest first and the
+    /// older ones in rotation by `turn`.
     #[must_use]
     pub fn told(&self, most: usize, turn: usize, now: Instant) -> Vec<LimitSeen> {
         let words = self.words.iter();
@@ -164,7 +166,7 @@
         told_in_turn(&told, most, turn)
     }
 
-    /// Forgets servers that `is_known` doesn't know.
+    /// Removes old observations of servers for which `is_known` is false.
     pub fn retain(&mut self, now: Instant, is_known: impl Fn(ServerKey) -> bool) {
         self.words.retain(|server, word| {
             is_known(*server) || now.saturating_duration_since(word.at) < KEPT_UNLISTED
