--- a/crates/rookferry_core/src/peers/doubt.rs
+++ b/crates/rookferry_core/src/peers/doubt.rs
@@ -18,31 +18,31 @@
 
 /// An instance's relation to a suspected server, which decides whether it probes it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DoubtedUse {
+pub struct ProbeRole {
     /// Whether own requests are in flight at the server.
-    pub has_work: bool,
+    pub has_requests: bool,
     /// Whether the instance plans which layers engines hold.
     pub plans_layers: bool,
     /// Number of the domain's instances that are ranked before it.
     pub rank: usize,
 }
 
-impl DoubtedUse {
+impl ProbeRole {
     /// Whether the instance probes the server itself.
     #[must_use]
-    pub const fn is_asking(self) -> bool {
-        self.has_work || self.plans_layers || self.rank < ASKING_MEMBERS
+    pub const fn should_probe(self) -> bool {
+        self.has_requests || self.plans_layers || self.rank < ASKING_MEMBERS
     }
 }
 
 /// The servers that peers of the own domain report as unresponsive.
 #[derive(Clone, Debug, Default)]
-pub struct DoubtedServers {
+pub struct SuspectedServers {
     /// Time of the latest first report of each server, over the peers that report it.
     since: BTreeMap<ServerKey, Instant>,
 }
 
-impl DoubtedServers {
+impl SuspectedServers {
     /// Adds a peer's report that a server is unresponsive since a time.
     pub(super) fn add(&mut self, server: ServerKey, since: Instant) {
         let known = self.since.entry(server).or_insert(since);
@@ -58,7 +58,7 @@
     /// Whether a server is suspected without newer evidence that it is alive. Evidence
     /// from any instance that is later than the reports overrides them.
     #[must_use]
-    pub fn is_left_alone(&self, server: ServerKey, last_sign_at: Option<Instant>) -> bool {
+    pub fn is_excluded(&self, server: ServerKey, last_sign_at: Option<Instant>) -> bool {
         let since = self.since.get(&server);
         since.is_some_and(|since| last_sign_at.is_none_or(|at| at < *since))
     }
--- a/crates/rookferry_core/src/peers/fanout.rs
+++ b/crates/rookferry_core/src/peers/fanout.rs
@@ -52,9 +52,9 @@
     /// Number of the round; some targets get a heartbeat only in every few rounds.
     pub number: u32,
     /// Whether the round is sent early because of a change, which goes to all at once.
-    pub has_news: bool,
+    pub has_changes: bool,
     /// Whether the instance has run long enough to know its rank in the domain.
-    pub may_speak: bool,
+    pub is_rank_known: bool,
     /// Whether the instance has just started and is discovering the peers of its domain.
     pub is_joining: bool,
 }
@@ -63,13 +63,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Targets {
     /// Members of the own domain.
-    pub near: Vec<SocketAddr>,
+    pub local: Vec<SocketAddr>,
     /// Members of the own domain that also get the domain's summed loads.
-    pub near_with_sums: Vec<SocketAddr>,
+    pub local_with_loads: Vec<SocketAddr>,
     /// Members of other domains.
-    pub far: Vec<SocketAddr>,
+    pub remote: Vec<SocketAddr>,
     /// Members of other domains that also get the own domain's summed loads.
-    pub far_with_loads: Vec<SocketAddr>,
+    pub remote_with_loads: Vec<SocketAddr>,
 }
 
 /// Chooses the targets of each round.
@@ -95,26 +95,26 @@
         rng: &mut R,
     ) -> Targets {
         let mut targets = Targets::default();
-        let near: Vec<SocketAddr> = table.near().collect();
+        let near: Vec<SocketAddr> = table.local().collect();
         let is_mesh = near.len() <= MESH_MEMBERS;
         if is_mesh {
-            targets.near = near;
+            targets.local = near;
         } else {
             Self::add_near(&mut targets, near, table, round, now, rng);
         }
-        let far: Vec<SocketAddr> = table.far().collect();
-        let speaks = round.may_speak && !round.is_joining && table.is_first(now);
+        let far: Vec<SocketAddr> = table.remote().collect();
+        let speaks = round.is_rank_known && !round.is_joining && table.is_first_ranked(now);
         if speaks && round.number.is_multiple_of(SPEAKER_ROUNDS) {
-            targets.far_with_loads = self.next_far(&far);
-        } else if round.is_joining || (speaks && round.has_news) {
-            targets.far = far.sample(rng, FAR_MEMBERS).copied().collect();
+            targets.remote_with_loads = self.next_far(&far);
+        } else if round.is_joining || (speaks && round.has_changes) {
+            targets.remote = far.sample(rng, FAR_MEMBERS).copied().collect();
         } else if !speaks && round.number.is_multiple_of(FAR_ROUNDS) {
             let most = if is_mesh {
                 FAR_MEMBERS
             } else {
                 FAR_MEMBERS_BESIDE_HEADS
             };
-            targets.far = far.sample(rng, most).copied().collect();
+            targets.remote = far.sample(rng, most).copied().collect();
         }
         targets
     }
@@ -129,24 +129,24 @@
         now: Instant,
         rng: &mut R,
     ) {
-        let before = table.first_before(HEADS, now);
+        let before = table.first_ranked_before(HEADS, now);
         let is_head = before.len() < HEADS;
-        if is_head && !round.may_speak && !round.has_news {
+        if is_head && !round.is_rank_known && !round.has_changes {
             // It lacks heartbeats of the aggregators only because it has just started.
-            targets.near = near.sample(rng, NEAR_AT_START).copied().collect();
-            targets.near.extend(table.first_known(HEADS));
-            targets.near.sort_unstable();
-            targets.near.dedup();
+            targets.local = near.sample(rng, NEAR_AT_START).copied().collect();
+            targets.local.extend(table.first_ranked_known(HEADS));
+            targets.local.sort_unstable();
+            targets.local.dedup();
             return;
         }
-        if is_head && (round.has_news || round.number.is_multiple_of(HEAD_ROUNDS)) {
-            targets.near_with_sums = near;
+        if is_head && (round.has_changes || round.number.is_multiple_of(HEAD_ROUNDS)) {
+            targets.local_with_loads = near;
             return;
         }
         let drawn = near.sample(rng, DRAWN_NEAR).copied();
         let drawn: Vec<_> = drawn.filter(|addr| !before.contains(addr)).collect();
-        targets.near = before;
-        targets.near.extend(drawn);
+        targets.local = before;
+        targets.local.extend(drawn);
     }
 
     fn next_far(&mut self, far: &[SocketAddr]) -> Vec<SocketAddr> {
--- a/crates/rookferry_core/src/peers/load.rs
+++ b/crates/rookferry_core/src/peers/load.rs
@@ -82,7 +82,7 @@
     /// Time since the server was last known to be alive, in milliseconds.
     pub silent_ms: u64,
     /// The server's last report of its slowdown, if any.
-    pub report: Option<ReportSeen>,
+    pub report: Option<ReportObservation>,
 }
 
 impl LoadEntry {
@@ -108,7 +108,7 @@
 
 /// A server's report on how slow it is.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportSeen {
+pub struct ReportObservation {
     /// Duration of its steps as a multiple of the published duration.
     pub slowdown: f64,
     /// Age of the report in milliseconds.
--- a/crates/rookferry_core/src/peers/message.rs
+++ b/crates/rookferry_core/src/peers/message.rs
@@ -49,7 +49,7 @@
     /// others of its domain; none while that knowledge is uncertain.
     pub store_age_ms: Option<u64>,
     /// The lease's holder as known to the sender, directly or through peers.
-    pub holder: Option<HolderSeen>,
+    pub holder: Option<HolderObservation>,
     /// Loads by the sender's own requests; sent within its domain only.
     pub loads: Vec<LoadEntry>,
     /// Loads of the sender's domain, if it is an aggregator or the representative.
@@ -68,7 +68,7 @@
     /// Leaving servers, as known to the sender.
     pub departed: Vec<DepartureSeen>,
     /// A part of the members that the sender knows.
-    pub members: Vec<MembersOf>,
+    pub members: Vec<DomainMembers>,
     /// Number of instances that the sender knows, itself included.
     pub instances: u32,
     /// Whether the sender has just started and asks for the members of its domain.
@@ -89,16 +89,16 @@
 
 /// Members of one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MembersOf {
+pub struct DomainMembers {
     /// The domain.
     pub domain: DomainId,
     /// Its members.
-    pub members: Vec<MemberSeen>,
+    pub members: Vec<MemberObservation>,
 }
 
 /// A member, and how long ago any instance received a heartbeat from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberSeen {
+pub struct MemberObservation {
     /// Address for datagrams of peers.
     pub addr: SocketAddr,
     /// Tenths of a second since its last heartbeat, rounded up: rounded down, a report
@@ -111,7 +111,7 @@
 
 /// The known holder of the lease for orders to engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HolderSeen {
+pub struct HolderObservation {
     /// The holder.
     pub instance: InstanceId,
     /// Time since it was known to hold the lease, in milliseconds.
--- a/crates/rookferry_core/src/peers/mod.rs
+++ b/crates/rookferry_core/src/peers/mod.rs
@@ -5,7 +5,7 @@
 //! | [`Heartbeat`] | what does one instance report to another? |
 //! | [`PeerTable`] | which instances are live, and what does each have in flight? |
 //! | [`Fanout`] | which peers get a heartbeat in this round? |
-//! | [`DoubtedServers`] | which servers do other instances report as unresponsive? |
+//! | [`SuspectedServers`] | which servers do other instances report as unresponsive? |
 //! | [`PeerTable::permit_granters`] | which instance grants the permits of a limited server? |
 //! | [`BodySource`] | which peer gets a new configuration from which? |
 //!
@@ -28,23 +28,23 @@
 mod table;
 
 pub use capacity::Capacity;
-pub use doubt::DoubtedServers;
-pub use doubt::DoubtedUse;
+pub use doubt::ProbeRole;
+pub use doubt::SuspectedServers;
 pub use fanout::Fanout;
 pub use fanout::Round;
 pub use fanout::Targets;
 pub use load::LoadEntry;
-pub use load::ReportSeen;
+pub use load::ReportObservation;
 pub use load::ServerLoad;
 pub use message::ConfigState;
 pub use message::DomainLoads;
+pub use message::DomainMembers;
 pub use message::Echo;
 pub use message::Heartbeat;
-pub use message::HolderSeen;
+pub use message::HolderObservation;
 pub use message::ListState;
-pub use message::MemberSeen;
-pub use message::MembersOf;
+pub use message::MemberObservation;
+pub use source::BodyOffer;
 pub use source::BodySource;
-pub use source::Offer;
-pub use sums::DomainSums;
+pub use sums::AggregatedLoads;
 pub use table::PeerTable;
--- a/crates/rookferry_core/src/peers/peer.rs
+++ b/crates/rookferry_core/src/peers/peer.rs
@@ -12,7 +12,7 @@
 use super::Capacity;
 use super::DomainLoads;
 use super::LoadEntry;
-use super::MemberSeen;
+use super::MemberObservation;
 use super::capacity::Standing;
 use crate::serving::ServerKey;
 
@@ -75,9 +75,9 @@
     }
 
     /// The peer as advertised to other instances.
-    pub(super) fn seen(&self, addr: SocketAddr, now: Instant) -> MemberSeen {
+    pub(super) fn seen(&self, addr: SocketAddr, now: Instant) -> MemberObservation {
         let age = now.saturating_duration_since(self.seen_at);
-        MemberSeen {
+        MemberObservation {
             addr,
             age_tenths_s: u16::try_from(age.as_millis().div_ceil(100)).unwrap_or(u16::MAX),
             capacity: self.capacity,
--- a/crates/rookferry_core/src/peers/permits.rs
+++ b/crates/rookferry_core/src/peers/permits.rs
@@ -78,7 +78,7 @@
         let heard = self.heard_near(now).count();
         let summed = self.sums(now).map_or(0, |(sums, _)| sums.instances);
         let heard = heard.max(usize::try_from(summed).unwrap_or(0)) + 1;
-        heard.min(self.near_instances())
+        heard.min(self.local_instances())
     }
 
     /// Whether this instance receives heartbeats from the majority of a small site, where
@@ -107,7 +107,7 @@
     fn live_in(&self, domain: &DomainId, now: Instant) -> Vec<SocketAddr> {
         let is_home = *domain == self.home;
         // In a small domain all instances exchange heartbeats several times a second.
-        let hears_each = is_home && self.near().count() <= MESH_MEMBERS;
+        let hears_each = is_home && self.local().count() <= MESH_MEMBERS;
         let is_live = |peer: &Peer| {
             if hears_each {
                 return peer.is_heard(now, LOAD_KEPT);
--- a/crates/rookferry_core/src/peers/source.rs
+++ b/crates/rookferry_core/src/peers/source.rs
@@ -20,8 +20,8 @@
 
 /// A source's answer to a request for a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Offer {
-    /// Send the body; the caller calls [`BodySource::ended`] when the transfer is over.
+pub enum BodyOffer {
+    /// Send the body; the caller calls [`BodySource::finish_transfer`] when the transfer is over.
     Body,
     /// Peers that have the body; while there are none, the receiver retries later.
     Elsewhere(Vec<SocketAddr>),
@@ -63,22 +63,22 @@
     }
 
     /// Decides whether a request for a version gets the body or a redirect.
-    pub fn offer(&mut self, version: V) -> Offer {
+    pub fn offer(&mut self, version: V) -> BodyOffer {
         if version != self.version {
             self.version = version;
             self.receivers.clear();
         }
         if self.under_way < self.at_once {
             self.under_way += 1;
-            return Offer::Body;
+            return BodyOffer::Body;
         }
         let newest = self.receivers.iter().rev().take(TOLD_RECEIVERS);
-        Offer::Elsewhere(newest.copied().collect())
+        BodyOffer::Elsewhere(newest.copied().collect())
     }
 
     /// Records the end of a transfer. `to` is the receiver's peer address; none if the
     /// transfer failed.
-    pub fn ended(&mut self, version: V, to: Option<SocketAddr>) {
+    pub fn finish_transfer(&mut self, version: V, to: Option<SocketAddr>) {
         self.under_way = self.under_way.saturating_sub(1);
         if let Some(to) = to.filter(|_| version == self.version) {
             self.receivers.push(to);
--- a/crates/rookferry_core/src/peers/sums.rs
+++ b/crates/rookferry_core/src/peers/sums.rs
@@ -32,7 +32,7 @@
 
 /// The loads of a domain in one round of its aggregator, computed once for all receivers.
 #[derive(Clone, Debug)]
-pub struct DomainSums {
+pub struct AggregatedLoads {
     /// The peers whose loads are included, in rank order.
     heard: Vec<Standing>,
     entries: Vec<LoadEntry>,
@@ -67,7 +67,7 @@
                 }
                 loads
             }
-            None => self.near_loads(now),
+            None => self.local_loads(now),
         };
         let far = self.far_loads.iter();
         for (_, (told, at)) in far {
@@ -95,7 +95,7 @@
 
     /// The load of the own domain's live peers by server, from their own reports.
     #[must_use]
-    pub fn near_loads(&self, now: Instant) -> BTreeMap<ServerKey, ServerLoad> {
+    pub fn local_loads(&self, now: Instant) -> BTreeMap<ServerKey, ServerLoad> {
         let mut loads = BTreeMap::new();
         for (_, peer) in self.heard_near(now) {
             add_loads(&mut loads, &peer.loads);
@@ -106,16 +106,16 @@
     /// The sums that this instance sends in one round as an aggregator. `entries` are the
     /// loads of the domain, this instance's included.
     #[must_use]
-    pub fn domain_sums(&self, entries: Vec<LoadEntry>, now: Instant) -> DomainSums {
+    pub fn aggregate_loads(&self, entries: Vec<LoadEntry>, now: Instant) -> AggregatedLoads {
         let heard = self.heard_near(now);
         let mut heard: Vec<Standing> = heard.map(|(addr, peer)| peer.standing(addr)).collect();
         heard.sort_unstable();
-        DomainSums { heard, entries }
+        AggregatedLoads { heard, entries }
     }
 
     /// The sums for one member of the domain, without its own load.
     #[must_use]
-    pub fn sums_for(&self, to: SocketAddr, sums: &DomainSums) -> DomainLoads {
+    pub fn loads_for_member(&self, to: SocketAddr, sums: &AggregatedLoads) -> DomainLoads {
         let known = self.peers.get(&to);
         let standing = Standing::new(known.map_or(Capacity::LEAST, |peer| peer.capacity), to);
         let place = sums.heard.binary_search(&standing);
@@ -137,10 +137,10 @@
     }
 }
 
-impl DomainSums {
+impl AggregatedLoads {
     /// The sums for receivers in other domains.
     #[must_use]
-    pub fn into_loads(self) -> DomainLoads {
+    pub fn into_domain_loads(self) -> DomainLoads {
         DomainLoads {
             instances: u32::try_from(self.heard.len() + 1).unwrap_or(u32::MAX),
             rank: 0,
--- a/crates/rookferry_core/src/peers/table.rs
+++ b/crates/rookferry_core/src/peers/table.rs
@@ -13,14 +13,14 @@
 use rookferry_wire::InstanceId;
 
 use super::Capacity;
-use super::DoubtedServers;
+use super::DomainMembers;
 use super::Echo;
 use super::Heartbeat;
-use super::HolderSeen;
+use super::HolderObservation;
 use super::LoadEntry;
-use super::MemberSeen;
-use super::MembersOf;
+use super::MemberObservation;
 use super::ServerLoad;
+use super::SuspectedServers;
 use super::capacity::Standing;
 use super::peer::OutSeen;
 use super::peer::Peer;
@@ -96,20 +96,20 @@
     }
 
     /// Adds an address that may belong to an instance, such as a configured seed.
-    pub fn learn(&mut self, addr: SocketAddr, now: Instant) {
+    pub fn add_address(&mut self, addr: SocketAddr, now: Instant) {
         if addr != self.own {
             self.peers.entry(addr).or_insert(Peer::unheard(now));
         }
     }
 
     /// Sets the own loads, as sent to peers now.
-    pub fn tell_own(&mut self, loads: &[LoadEntry]) {
+    pub fn set_own_loads(&mut self, loads: &[LoadEntry]) {
         let loads = loads.iter();
         self.own_loads = loads.map(|entry| (entry.server, entry.load())).collect();
     }
 
     /// Merges the members that a peer advertises.
-    fn learn_members(&mut self, told: &[MembersOf], now: Instant) {
+    fn learn_members(&mut self, told: &[DomainMembers], now: Instant) {
         for (domain, member) in told
             .iter()
             .flat_map(|of| of.members.iter().map(move |member| (&of.domain, member)))
@@ -133,7 +133,7 @@
 
     /// Records a received heartbeat. Returns whether its sender is new: unknown so far,
     /// reported as lost by [`Self::expire`], or running under a new incarnation.
-    pub fn heard(&mut self, from: SocketAddr, beat: &Heartbeat, now: Instant) -> bool {
+    pub fn on_heartbeat(&mut self, from: SocketAddr, beat: &Heartbeat, now: Instant) -> bool {
         self.learn_members(&beat.members, now);
         if from == self.own {
             return false;
@@ -173,7 +173,7 @@
     /// A server counts as responsive to the peer again once a complete list lacks it.
     /// Where the peer lists them in rotation, it does once it was missing from several
     /// rotations.
-    pub fn newly_out(
+    pub fn newly_unresponsive(
         &mut self,
         from: SocketAddr,
         beat: &Heartbeat,
@@ -206,8 +206,8 @@
 
     /// The servers that live peers of the own domain report as unresponsive.
     #[must_use]
-    pub fn doubted(&self, now: Instant) -> DoubtedServers {
-        let mut doubted = DoubtedServers::default();
+    pub fn suspected_servers(&self, now: Instant) -> SuspectedServers {
+        let mut doubted = SuspectedServers::default();
         for (_, peer) in self.heard_near(now) {
             for (server, seen) in &peer.out {
                 doubted.add(*server, seen.since);
@@ -235,12 +235,12 @@
     }
 
     /// Peer addresses in the own domain, in address order.
-    pub fn near(&self) -> impl Iterator<Item = SocketAddr> {
+    pub fn local(&self) -> impl Iterator<Item = SocketAddr> {
         self.addresses(|domain| domain == Some(&self.home))
     }
 
     /// Peer addresses in other domains or in unknown ones, in address order.
-    pub fn far(&self) -> impl Iterator<Item = SocketAddr> {
+    pub fn remote(&self) -> impl Iterator<Item = SocketAddr> {
         self.addresses(|domain| domain != Some(&self.home))
     }
 
@@ -262,17 +262,17 @@
 
     /// Number of known instances in the own domain, this one included.
     #[must_use]
-    pub fn near_instances(&self) -> usize {
-        self.near().count() + 1
+    pub fn local_instances(&self) -> usize {
+        self.local().count() + 1
     }
 
     /// At most `most` members from index `from` on, wrapping around at the end.
     #[must_use]
-    pub fn members(&self, from: usize, most: usize, now: Instant) -> Vec<MembersOf> {
+    pub fn members(&self, from: usize, most: usize, now: Instant) -> Vec<DomainMembers> {
         let count = self.peers.len();
         let start = from.checked_rem(count).unwrap_or(0);
         let window = self.peers.iter().cycle().skip(start).take(most.min(count));
-        let mut told: BTreeMap<&DomainId, Vec<MemberSeen>> = BTreeMap::new();
+        let mut told: BTreeMap<&DomainId, Vec<MemberObservation>> = BTreeMap::new();
         for (addr, peer) in window {
             if let Some(domain) = &peer.domain {
                 let members = told.entry(domain).or_default();
@@ -280,7 +280,7 @@
             }
         }
         let told = told.into_iter();
-        told.map(|(domain, members)| MembersOf {
+        told.map(|(domain, members)| DomainMembers {
             domain: domain.clone(),
             members,
         })
@@ -289,10 +289,10 @@
 
     /// At most `most` members of a domain, in address order.
     #[must_use]
-    pub fn members_in(&self, domain: &DomainId, most: usize, now: Instant) -> MembersOf {
+    pub fn members_in(&self, domain: &DomainId, most: usize, now: Instant) -> DomainMembers {
         let peers = self.peers.iter();
         let members = peers.filter(|(_, peer)| peer.domain.as_ref() == Some(domain));
-        MembersOf {
+        DomainMembers {
             domain: domain.clone(),
             members: members
                 .take(most)
@@ -312,7 +312,7 @@
         })
     }
 
-    fn note_holder(&mut self, holder: &HolderSeen, now: Instant) {
+    fn note_holder(&mut self, holder: &HolderObservation, now: Instant) {
         let Some(at) = now.checked_sub(Duration::from_millis(holder.age_ms)) else {
             return;
         };
@@ -327,10 +327,10 @@
 
     /// The last known holder of the lease, with the age of that knowledge.
     #[must_use]
-    pub fn holder(&self, now: Instant) -> Option<HolderSeen> {
+    pub fn holder(&self, now: Instant) -> Option<HolderObservation> {
         let (instance, at) = self.holder.as_ref()?;
         let age = now.saturating_duration_since(*at);
-        Some(HolderSeen {
+        Some(HolderObservation {
             instance: instance.clone(),
             age_ms: millis(age),
         })
@@ -338,20 +338,20 @@
 
     /// When a peer was last known to hold the lease.
     #[must_use]
-    pub fn holder_at(&self) -> Option<Instant> {
+    pub fn holder_known_at(&self) -> Option<Instant> {
         self.holder.as_ref().map(|(_, at)| *at)
     }
 
     /// Whether a peer was recently known to hold the lease.
     #[must_use]
-    pub fn hears_holder(&self, now: Instant) -> bool {
-        is_within(self.holder_at(), now, HOLDER_KEPT)
+    pub fn has_live_holder(&self, now: Instant) -> bool {
+        is_within(self.holder_known_at(), now, HOLDER_KEPT)
     }
 
     /// Whether this instance reads the store for its domain: no live instance that is
     /// ranked before it has recent knowledge of the store.
     #[must_use]
-    pub fn reads_store(&self, budget: NewsBudget, now: Instant) -> bool {
+    pub fn is_store_reader(&self, budget: NewsBudget, now: Instant) -> bool {
         let (kept, bound) = (budget.reader_kept(), budget.rely());
         let mut before = self.heard_before(now);
         before.all(|(_, peer)| !(peer.is_heard(now, kept) && is_within(peer.store_at, now, bound)))
@@ -360,7 +360,7 @@
     /// Age that this instance's knowledge of the store may reach before it reads the
     /// store itself; grows with its rank.
     #[must_use]
-    pub fn reliance(&self, budget: NewsBudget, now: Instant) -> Duration {
+    pub fn max_store_age(&self, budget: NewsBudget, now: Instant) -> Duration {
         budget.rely() + budget.line(self.rank(now))
     }
 
@@ -381,7 +381,7 @@
     }
 
     /// The first-ranked `most` members of the domain, live or only advertised by peers.
-    pub(super) fn first_known(&self, most: usize) -> Vec<SocketAddr> {
+    pub(super) fn first_ranked_known(&self, most: usize) -> Vec<SocketAddr> {
         let near = self.known_near();
         first_in_line(near, most)
     }
@@ -395,14 +395,14 @@
     /// Number of the domain's known instances ranked before this one, live or only
     /// advertised by peers.
     #[must_use]
-    pub fn known_before(&self) -> usize {
+    pub fn known_rank(&self) -> usize {
         let own = self.standing();
         self.known_near().filter(|known| *known < own).count()
     }
 
     /// Whether no live instance of the domain is ranked before this one.
     #[must_use]
-    pub fn is_first(&self, now: Instant) -> bool {
+    pub fn is_first_ranked(&self, now: Instant) -> bool {
         self.heard_before(now).next().is_none()
     }
 
@@ -424,20 +424,20 @@
 
     /// The first-ranked `most` live peers of the own domain, of those ranked before this
     /// instance.
-    pub(super) fn first_before(&self, most: usize, now: Instant) -> Vec<SocketAddr> {
+    pub(super) fn first_ranked_before(&self, most: usize, now: Instant) -> Vec<SocketAddr> {
         let before = self.heard_before(now);
         first_in_line(before.map(|(addr, peer)| peer.standing(addr)), most)
     }
 
     /// Whether any peer of the own domain is live.
     #[must_use]
-    pub fn hears_near(&self, now: Instant) -> bool {
+    pub fn has_live_local(&self, now: Instant) -> bool {
         self.heard_near(now).next().is_some()
     }
 
     /// Whether any peer is live.
     #[must_use]
-    pub fn hears_any(&self, now: Instant) -> bool {
+    pub fn has_live_peer(&self, now: Instant) -> bool {
         let mut peers = self.peers.values();
         peers.any(|peer| peer.is_heard(now, LOAD_KEPT))
     }
--- a/crates/rookferry_core/tests/body_source.rs
+++ b/crates/rookferry_core/tests/body_source.rs
@@ -5,8 +5,8 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
+use rookferry_core::BodyOffer;
 use rookferry_core::BodySource;
-use rookferry_core::Offer;
 
 const MEMBERS: usize = 59;
 /// Time of one body over its sender's link alone.
@@ -55,15 +55,15 @@
                 Doing::Asks { source, from_ms } if from_ms <= now_ms => {
                     match sources[source].offer(VERSION) {
                         // What others send meanwhile makes it longer.
-                        Offer::Body => Doing::Gets {
+                        BodyOffer::Body => Doing::Gets {
                             source,
                             left_ms: BODY_MS,
                         },
-                        Offer::Elsewhere(others) if others.is_empty() => Doing::Asks {
+                        BodyOffer::Elsewhere(others) if others.is_empty() => Doing::Asks {
                             source,
                             from_ms: now_ms + rng.random_range(PAUSE_MS / 2..PAUSE_MS * 3 / 2),
                         },
-                        Offer::Elsewhere(others) => {
+                        BodyOffer::Elsewhere(others) => {
                             let other = others[rng.random_range(0..others.len())];
                             Doing::Asks {
                                 source: usize::from(other.port()) - 1_000,
@@ -73,7 +73,7 @@
                     }
                 }
                 Doing::Gets { source, left_ms: 0 } => {
-                    sources[source].ended(VERSION, Some(addr(member)));
+                    sources[source].finish_transfer(VERSION, Some(addr(member)));
                     Doing::HasIt
                 }
                 Doing::Gets { source, left_ms } if now_ms % sending[source].max(1) == 0 => {
@@ -104,13 +104,13 @@
 #[test]
 fn a_newer_version_is_not_asked_of_those_that_have_the_older() {
     let mut source = BodySource::new();
-    assert_eq!(source.offer(1), Offer::Body);
-    source.ended(1, Some(addr(1)));
-    assert_eq!(source.offer(2), Offer::Body);
-    assert_eq!(source.offer(2), Offer::Body);
-    assert_eq!(source.offer(2), Offer::Elsewhere(Vec::new()));
+    assert_eq!(source.offer(1), BodyOffer::Body);
+    source.finish_transfer(1, Some(addr(1)));
+    assert_eq!(source.offer(2), BodyOffer::Body);
+    assert_eq!(source.offer(2), BodyOffer::Body);
+    assert_eq!(source.offer(2), BodyOffer::Elsewhere(Vec::new()));
     // A body that didn't arrive frees its place and names nobody.
-    source.ended(2, None);
-    assert_eq!(source.offer(2), Offer::Body);
-    assert_eq!(source.offer(2), Offer::Elsewhere(Vec::new()));
+    source.finish_transfer(2, None);
+    assert_eq!(source.offer(2), BodyOffer::Body);
+    assert_eq!(source.offer(2), BodyOffer::Elsewhere(Vec::new()));
 }
--- a/crates/rookferry_core/tests/duties.rs
+++ b/crates/rookferry_core/tests/duties.rs
@@ -37,7 +37,7 @@
     let now = site.now();
     let instances = site.instances.iter().enumerate();
     instances
-        .filter(|(_, instance)| instance.is_up && instance.table.is_first(now))
+        .filter(|(_, instance)| instance.is_up && instance.table.is_first_ranked(now))
         .map(|(place, _)| place)
         .collect()
 }
--- a/crates/rookferry_core/tests/peers.rs
+++ b/crates/rookferry_core/tests/peers.rs
@@ -13,10 +13,10 @@
 use peer_site::engine_key;
 use peer_site::heartbeat;
 use peer_site::instance_addr;
-use rookferry_core::DoubtedUse;
 use rookferry_core::Echo;
 use rookferry_core::Heartbeat;
 use rookferry_core::PeerTable;
+use rookferry_core::ProbeRole;
 use rookferry_core::ServerHealth;
 use rookferry_core::ServerKey;
 use rstest::rstest;
@@ -89,8 +89,8 @@
         out_count: u32::try_from(out.len()).expect("a count"),
         ..bare_heartbeat(from, domain)
     };
-    table.heard(from, &beat, now);
-    table.newly_out(from, &beat, now);
+    table.on_heartbeat(from, &beat, now);
+    table.newly_unresponsive(from, &beat, now);
 }
 
 #[test]
@@ -101,14 +101,14 @@
     let mut table = PeerTable::new(instance_addr(0, 1), domain_name(0).into());
     hear_out(&mut table, 0, &[lost], at(1_000));
     hear_out(&mut table, 0, &[lost], at(1_150));
-    let doubted = table.doubted(at(1_200));
-    assert!(doubted.is_left_alone(lost, None), "it gave no sign");
-    assert!(doubted.is_left_alone(lost, Some(at(900))), "a sign before");
-    assert!(!doubted.is_left_alone(lost, Some(at(1_050))), "one since");
-    assert!(!doubted.is_left_alone(engine_key(1), None), "another");
+    let doubted = table.suspected_servers(at(1_200));
+    assert!(doubted.is_excluded(lost, None), "it gave no sign");
+    assert!(doubted.is_excluded(lost, Some(at(900))), "a sign before");
+    assert!(!doubted.is_excluded(lost, Some(at(1_050))), "one since");
+    assert!(!doubted.is_excluded(engine_key(1), None), "another");
     hear_out(&mut table, 0, &[], at(1_300));
-    let doubted = table.doubted(at(1_300));
-    assert!(!doubted.is_left_alone(lost, None), "it answers again");
+    let doubted = table.suspected_servers(at(1_300));
+    assert!(!doubted.is_excluded(lost, None), "it answers again");
 }
 
 /// A sixteenth of 3,000 servers goes dark at once, of 6,000 as well: where a member
@@ -135,10 +135,10 @@
             ..bare_heartbeat(from, 0)
         };
         assert!(beat.out.len() <= MOST);
-        table.heard(from, &beat, now);
-        table.newly_out(from, &beat, now);
-        let doubted = table.doubted(now);
-        let is_doubted = |server: &&ServerKey| doubted.is_left_alone(**server, None);
+        table.on_heartbeat(from, &beat, now);
+        table.newly_unresponsive(from, &beat, now);
+        let doubted = table.suspected_servers(now);
+        let is_doubted = |server: &&ServerKey| doubted.is_excluded(**server, None);
         lost.iter().filter(is_doubted).count()
     };
     let doubted: Vec<usize> = (0..20).map(|turn| hear(&health, turn)).collect();
@@ -159,11 +159,11 @@
     let now = Instant::now();
     let mut table = PeerTable::new(instance_addr(0, 1), domain_name(0).into());
     hear_out(&mut table, 1, &[lost], now);
-    assert!(!table.doubted(now).is_left_alone(lost, None));
+    assert!(!table.suspected_servers(now).is_excluded(lost, None));
     hear_out(&mut table, 0, &[lost], now);
-    assert!(table.doubted(now).is_left_alone(lost, None));
+    assert!(table.suspected_servers(now).is_excluded(lost, None));
     let later = now + Duration::from_secs(2);
-    assert!(!table.doubted(later).is_left_alone(lost, None));
+    assert!(!table.suspected_servers(later).is_excluded(lost, None));
 }
 
 /// Some engines of domain 0.
@@ -191,10 +191,10 @@
     let now = site.now();
     let near = site.instances.iter().filter(|other| other.domain == 0);
     for instance in near.filter(|other| other.addr != site.instances[last].addr) {
-        let doubted = instance.table.doubted(now);
+        let doubted = instance.table.suspected_servers(now);
         let used = lost
             .iter()
-            .filter(|addr| !doubted.is_left_alone(**addr, None));
+            .filter(|addr| !doubted.is_excluded(**addr, None));
         assert_eq!(used.count(), 0, "{} uses some", instance.addr);
     }
     let asked: usize = site.instances.iter().map(|instance| instance.asked).sum();
@@ -226,12 +226,12 @@
 }
 
 #[rstest]
-#[case::idle_among_many(DoubtedUse { has_work: false, plans_layers: false, rank: 2 }, false)]
-#[case::head(DoubtedUse { has_work: false, plans_layers: false, rank: 1 }, true)]
-#[case::planner(DoubtedUse { has_work: false, plans_layers: true, rank: 58 }, true)]
-#[case::in_use(DoubtedUse { has_work: true, plans_layers: false, rank: 58 }, true)]
-fn few_instances_ask_a_doubted_server(#[case] of: DoubtedUse, #[case] is_asking: bool) {
-    assert_eq!(of.is_asking(), is_asking);
+#[case::idle_among_many(ProbeRole { has_requests: false, plans_layers: false, rank: 2 }, false)]
+#[case::head(ProbeRole { has_requests: false, plans_layers: false, rank: 1 }, true)]
+#[case::planner(ProbeRole { has_requests: false, plans_layers: true, rank: 58 }, true)]
+#[case::in_use(ProbeRole { has_requests: true, plans_layers: false, rank: 58 }, true)]
+fn few_instances_ask_a_doubted_server(#[case] of: ProbeRole, #[case] is_asking: bool) {
+    assert_eq!(of.should_probe(), is_asking);
 }
 
 /// Replays a start of all instances, whose heads are late: what is told is old,
@@ -246,7 +246,7 @@
     let told = table.loads(now)[&engine_key(0)].requests;
     // It has let in some of its own since; the heads fall silent.
     let own = peer_site::entry(0, 1_000);
-    table.tell_own(&[own]);
+    table.set_own_loads(&[own]);
     let late = table.loads(now + Duration::from_millis(900));
     let late = late[&engine_key(0)].requests;
     assert!(
@@ -389,8 +389,8 @@
     let other = heartbeat(&site.instances[2], 0, 32, now);
     let other_addr = site.instances[2].addr;
     let table = &mut site.instances[0].table;
-    table.heard(from, &beat, now);
-    table.heard(other_addr, &other, now);
+    table.on_heartbeat(from, &beat, now);
+    table.on_heartbeat(other_addr, &other, now);
     let table = &site.instances[0].table;
     assert_eq!(table.instances(), 3);
     assert_eq!(table.loads(now)[&engine_key(0)].requests, u32::MAX);
--- a/crates/rookferry_core/tests/support/news_site.rs
+++ b/crates/rookferry_core/tests/support/news_site.rs
@@ -227,8 +227,8 @@
     fn relies_on_peers(&self, place: usize) -> bool {
         let now = self.site.now();
         let instance = &self.site.instances[place];
-        let bound = instance.table.reliance(self.budget, now);
-        instance.contact.is_fresh(now, bound) && !instance.table.reads_store(self.budget, now)
+        let bound = instance.table.max_store_age(self.budget, now);
+        instance.contact.is_fresh(now, bound) && !instance.table.is_store_reader(self.budget, now)
     }
 
     fn at(&self, ms: u64) -> Instant {
--- a/crates/rookferry_core/tests/support/peer_site.rs
+++ b/crates/rookferry_core/tests/support/peer_site.rs
@@ -15,13 +15,13 @@
 use rand::rngs::StdRng;
 use rookferry_core::Capacity;
 use rookferry_core::DepartedServers;
-use rookferry_core::DoubtedUse;
 use rookferry_core::Fanout;
 use rookferry_core::Heartbeat;
 use rookferry_core::ListState;
 use rookferry_core::ListVersion;
 use rookferry_core::LoadEntry;
 use rookferry_core::PeerTable;
+use rookferry_core::ProbeRole;
 use rookferry_core::Round;
 use rookferry_core::ServerKey;
 use rookferry_core::ServerLimits;
@@ -76,17 +76,17 @@
 impl Instance {
     pub fn is_joining(&self, now: Instant) -> bool {
         // Its rounds of the first three seconds.
-        self.round < 20 && !self.table.hears_near(now)
+        self.round < 20 && !self.table.has_live_local(now)
     }
 
     /// Another instance has trouble with a server; without work there.
     pub fn look_into(&mut self, server: ServerKey, dead: &[ServerKey], now: Instant) {
-        let of = DoubtedUse {
-            has_work: false,
+        let of = ProbeRole {
+            has_requests: false,
             plans_layers: false,
             rank: self.table.rank(now),
         };
-        if !of.is_asking() || self.out.contains(&server) {
+        if !of.should_probe() || self.out.contains(&server) {
             return;
         }
         self.asked += 1;
@@ -261,13 +261,13 @@
         }
         instance.table.expire(now);
         for seed in seeds {
-            instance.table.learn(seed, now);
+            instance.table.add_address(seed, now);
         }
         instance.round += 1;
         let round = Round {
             number: instance.round,
-            has_news,
-            may_speak: self.now_ms >= instance.started_ms + 400,
+            has_changes: has_news,
+            is_rank_known: self.now_ms >= instance.started_ms + 400,
             is_joining: instance.is_joining(now),
         };
         let targets = instance
@@ -275,15 +275,15 @@
             .round(&instance.table, round, now, &mut self.rng);
         let window = usize::try_from(instance.round).unwrap() * 32;
         let beat = heartbeat(instance, window, 32, now);
-        instance.table.tell_own(&beat.loads);
-        if !targets.near_with_sums.is_empty() {
+        instance.table.set_own_loads(&beat.loads);
+        if !targets.local_with_loads.is_empty() {
             instance.domain_window += 32;
         }
         let sums_members = instance.table.members(instance.domain_window, 32, now);
         let all = domain_entries(instance, now);
-        let sums = instance.table.domain_sums(all, now);
-        let with_sums = targets.near_with_sums.into_iter().map(|to| {
-            let domain_loads = Some(instance.table.sums_for(to, &sums));
+        let sums = instance.table.aggregate_loads(all, now);
+        let with_sums = targets.local_with_loads.into_iter().map(|to| {
+            let domain_loads = Some(instance.table.loads_for_member(to, &sums));
             let beat = Heartbeat {
                 domain_loads,
                 members: sums_members.clone(),
@@ -291,8 +291,8 @@
             };
             (to, beat)
         });
-        let far_loads = sums.clone().into_loads();
-        let with_loads = targets.far_with_loads.into_iter().map(|to| {
+        let far_loads = sums.clone().into_domain_loads();
+        let with_loads = targets.remote_with_loads.into_iter().map(|to| {
             let domain_loads = Some(far_loads.clone());
             (
                 to,
@@ -305,8 +305,8 @@
                 },
             )
         });
-        let near = targets.near.into_iter().map(|to| (to, beat.clone()));
-        let far = targets.far.into_iter().map(|to| {
+        let near = targets.local.into_iter().map(|to| (to, beat.clone()));
+        let far = targets.remote.into_iter().map(|to| {
             let out = Vec::new();
             (
                 to,
@@ -373,8 +373,8 @@
             receiver.offered_by.get_or_insert(from_addr);
             receiver.offered_at = Some(now);
         }
-        receiver.table.heard(from_addr, &beat, now);
-        for server in receiver.table.newly_out(from_addr, &beat, now) {
+        receiver.table.on_heartbeat(from_addr, &beat, now);
+        for server in receiver.table.newly_unresponsive(from_addr, &beat, now) {
             receiver.look_into(server, &self.dead, now);
         }
         if beat.is_joining {
@@ -537,7 +537,7 @@
 }
 
 pub fn domain_entries(instance: &Instance, now: Instant) -> Vec<LoadEntry> {
-    let near = instance.table.near_loads(now);
+    let near = instance.table.local_loads(now);
     let others = near
         .get(&engine_key(instance.domain))
         .copied()
--- a/crates/rookferry_core/tests/support/start_site.rs
+++ b/crates/rookferry_core/tests/support/start_site.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use rand::RngExt;
+use rookferry_core::BodyOffer;
 use rookferry_core::BodySource;
 use rookferry_core::Capacity;
-use rookferry_core::Offer;
 use rookferry_core::StartLine;
 
 use crate::peer_site::Site;
@@ -194,7 +194,7 @@
             }
             Doing::Asks { .. } | Doing::Gets { .. } if self.reads_now(place) => {
                 if let Doing::Gets { source, .. } = self.doing[place] {
-                    self.sources[source].ended(VERSION, None);
+                    self.sources[source].finish_transfer(VERSION, None);
                 }
                 self.read(place);
             }
@@ -210,7 +210,7 @@
                 self.doing[place] = Doing::Gets { source, left_kbit };
                 if left_kbit <= 0.0 {
                     let addr = self.site.instances[place].addr;
-                    self.sources[source].ended(VERSION, Some(addr));
+                    self.sources[source].finish_transfer(VERSION, Some(addr));
                     self.know(place);
                 }
             }
@@ -221,16 +221,16 @@
         let now_ms = self.site.now_ms;
         let asked = asked + 1;
         self.doing[place] = match self.sources[source].offer(VERSION) {
-            Offer::Body => Doing::Gets {
+            BodyOffer::Body => Doing::Gets {
                 source,
                 left_kbit: PEER_BODY_KBIT,
             },
-            Offer::Elsewhere(_) if asked >= MAX_ASKED => {
+            BodyOffer::Elsewhere(_) if asked >= MAX_ASKED => {
                 // The next heartbeat of one that has it begins anew.
                 self.site.instances[place].offered_by = None;
                 Doing::Waits
             }
-            Offer::Elsewhere(others) if others.is_empty() => {
+            BodyOffer::Elsewhere(others) if others.is_empty() => {
                 let rng = &mut self.site.rng;
                 Doing::Asks {
                     source,
@@ -238,7 +238,7 @@
                     asked,
                 }
             }
-            Offer::Elsewhere(others) => {
+            BodyOffer::Elsewhere(others) => {
                 let other = others[self.site.rng.random_range(0..others.len())];
                 Doing::Asks {
                     source: self.site.places[&other],
@@ -260,7 +260,7 @@
         let offered_at = instance.offered_at;
         StartLine {
             is_first_start: false,
-            rank: instance.table.rank(now).max(instance.table.known_before()),
+            rank: instance.table.rank(now).max(instance.table.known_rank()),
             offered_ago: offered_at.map(|at| now.saturating_duration_since(at)),
             link_mbps: Some(self.link_mbps[place]),
         }
--- a/crates/rookferry_relay/src/beliefs.rs
+++ b/crates/rookferry_relay/src/beliefs.rs
@@ -21,11 +21,11 @@
 use rookferry_core::DepartedServers;
 use rookferry_core::Departure;
 use rookferry_core::DepartureSeen;
-use rookferry_core::DoubtedServers;
 use rookferry_core::ServerHealth;
 use rookferry_core::ServerKey;
 use rookferry_core::ServerLimits;
 use rookferry_core::ServerLoad;
+use rookferry_core::SuspectedServers;
 use rookferry_net::clock;
 
 use crate::broken_runs::BrokenRunTable;
@@ -42,7 +42,7 @@
     /// Those that take no new work.
     closed: Mutex<ClosedServers>,
     /// Those that others of the failure domain have trouble with.
-    doubted: ArcSwap<DoubtedServers>,
+    doubted: ArcSwap<SuspectedServers>,
     /// The backoffs that they asked this instance for.
     backoffs: ArcSwap<Backoffs<ServerKey>>,
     /// Those that leave.
@@ -84,7 +84,7 @@
         lock(&self.closed)
     }
 
-    pub(crate) fn doubted(&self) -> Arc<DoubtedServers> {
+    pub(crate) fn doubted(&self) -> Arc<SuspectedServers> {
         self.doubted.load_full()
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Takes the others' word in, as last summed.
-    pub(crate) fn hear(&self, loads: BTreeMap<ServerKey, ServerLoad>, doubted: DoubtedServers) {
+    pub(crate) fn hear(&self, loads: BTreeMap<ServerKey, ServerLoad>, doubted: SuspectedServers) {
         self.peer_loads.store(Arc::new(loads));
         self.doubted.store(Arc::new(doubted));
     }
--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -12,17 +12,17 @@
 use rookferry_core::BackendServer;
 use rookferry_core::Backoffs;
 use rookferry_core::DepartedServers;
-use rookferry_core::DoubtedServers;
-use rookferry_core::DoubtedUse;
 use rookferry_core::ModelShape;
 use rookferry_core::PathStage;
 use rookferry_core::PermitBook;
 use rookferry_core::PipelineEngine;
 use rookferry_core::PipelinePath;
+use rookferry_core::ProbeRole;
 use rookferry_core::ServerHealth;
 use rookferry_core::ServerKey;
 use rookferry_core::ServerLoad;
 use rookferry_core::ServingService;
+use rookferry_core::SuspectedServers;
 use rookferry_core::Urgency;
 use rookferry_net::clock;
 use rookferry_wire::LayerRange;
@@ -181,20 +181,20 @@
     }
 
     /// Whether others have trouble with a server that has shown nothing since.
-    fn is_doubted(&self, doubted: &DoubtedServers, server: ServerKey, now: Instant) -> bool {
+    fn is_doubted(&self, doubted: &SuspectedServers, server: ServerKey, now: Instant) -> bool {
         // A sign is looked up under a lock, and few servers are doubted.
         if doubted.since(server).is_none() {
             return false;
         }
         let sign_at = now.checked_sub(self.beliefs.signs.of(server).age(now));
-        doubted.is_left_alone(server, sign_at)
+        doubted.is_excluded(server, sign_at)
     }
 
     /// What this instance, behind `rank` others, has to do with a server that
     /// others doubt.
-    pub(crate) fn doubted_use(&self, server: ServerKey, rank: usize) -> DoubtedUse {
-        DoubtedUse {
-            has_work: self.beliefs.loads.of(server).requests > 0,
+    pub(crate) fn doubted_use(&self, server: ServerKey, rank: usize) -> ProbeRole {
+        ProbeRole {
+            has_requests: self.beliefs.loads.of(server).requests > 0,
             plans_layers: self.holds_lease.load(Ordering::Relaxed),
             rank,
         }
--- a/crates/rookferry_relay/src/peers/compose.rs
+++ b/crates/rookferry_relay/src/peers/compose.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use rookferry_core::AggregatedLoads;
 use rookferry_core::ConfigState;
-use rookferry_core::DomainSums;
 use rookferry_core::Heartbeat;
-use rookferry_core::HolderSeen;
+use rookferry_core::HolderObservation;
 use rookferry_core::ListState;
 use rookferry_core::LoadEntry;
 use rookferry_core::PeerTable;
-use rookferry_core::ReportSeen;
+use rookferry_core::ReportObservation;
 use rookferry_core::ServerKey;
 use rookferry_core::ServerLoad;
 use rookferry_net::clock;
@@ -83,7 +83,7 @@
 
     /// Whether it has just started and looks for the others of its domain.
     pub(super) fn is_joining(&self, table: &PeerTable, now: Instant) -> bool {
-        clock::since(self.epoch) < JOINING && !table.hears_near(now)
+        clock::since(self.epoch) < JOINING && !table.has_live_local(now)
     }
 
     /// A heartbeat that tells of some of the members, from a place on, and what is told
@@ -150,13 +150,13 @@
     }
 
     /// What the domain has under way, this instance included, as heard here.
-    pub(super) fn domain_sums(&self, now: Instant) -> DomainSums {
-        let mut loads = lock(&self.relay.peers).near_loads(now);
+    pub(super) fn domain_sums(&self, now: Instant) -> AggregatedLoads {
+        let mut loads = lock(&self.relay.peers).local_loads(now);
         for (server, own) in self.relay.beliefs.loads.snapshot() {
             *loads.entry(server).or_default() += own;
         }
         let entries = self.load_entries(loads, now);
-        lock(&self.relay.peers).domain_sums(entries, now)
+        lock(&self.relay.peers).aggregate_loads(entries, now)
     }
 
     fn load_entries(
@@ -183,7 +183,7 @@
             requests: 0,
             tokens: 0,
             silent_ms: millis(signs.of(server).age(now)),
-            report: report.map(|(slowdown, age)| ReportSeen {
+            report: report.map(|(slowdown, age)| ReportObservation {
                 slowdown,
                 age_ms: millis(age),
             }),
@@ -192,9 +192,9 @@
     }
 
     /// The holder of the lease: this instance, or the one last heard of.
-    fn holder(&self, now: Instant) -> Option<HolderSeen> {
+    fn holder(&self, now: Instant) -> Option<HolderObservation> {
         if self.relay.holds_lease.load(Ordering::Relaxed) {
-            return Some(HolderSeen {
+            return Some(HolderObservation {
                 instance: self.relay.settings.instance.clone(),
                 age_ms: 0,
             });
--- a/crates/rookferry_relay/src/peers/exchange.rs
+++ b/crates/rookferry_relay/src/peers/exchange.rs
@@ -9,9 +9,9 @@
 
 use metrics::counter;
 use rand::seq::IndexedRandom;
+use rookferry_core::BodyOffer;
 use rookferry_core::BodySource;
 use rookferry_core::ListMark;
-use rookferry_core::Offer;
 use rookferry_net::clock;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -89,8 +89,8 @@
     };
     let offer = lock(source).offer(version);
     match offer {
-        Offer::Elsewhere(others) => send(stream, &PeerAnswer::Elsewhere(others)).await,
-        Offer::Body => {
+        BodyOffer::Elsewhere(others) => send(stream, &PeerAnswer::Elsewhere(others)).await,
+        BodyOffer::Body => {
             let mut sending = Sending {
                 source,
                 version,
@@ -114,7 +114,7 @@
 
 impl<V: Copy + Default + PartialEq> Drop for Sending<'_, V> {
     fn drop(&mut self) {
-        lock(self.source).ended(self.version, self.received_by);
+        lock(self.source).finish_transfer(self.version, self.received_by);
     }
 }
 
--- a/crates/rookferry_relay/src/peers/heartbeat.rs
+++ b/crates/rookferry_relay/src/peers/heartbeat.rs
@@ -133,22 +133,22 @@
         let mut beat = self
             .composer
             .heartbeat(members_from, self.rounds.turn(), now);
-        lock(&self.relay.peers).tell_own(&beat.loads);
-        for target in targets.near {
+        lock(&self.relay.peers).set_own_loads(&beat.loads);
+        for target in targets.local {
             self.send(&mut beat, target, now);
         }
-        self.send_sums(&mut beat, targets.near_with_sums, now);
+        self.send_sums(&mut beat, targets.local_with_loads, now);
         beat.domain_loads = None;
         beat.loads.clear();
         beat.out.clear();
         beat.out_count = 0;
         beat.closed.clear();
-        for target in targets.far {
+        for target in targets.remote {
             self.send(&mut beat, target, now);
         }
-        if !targets.far_with_loads.is_empty() {
-            beat.domain_loads = Some(self.composer.domain_sums(now).into_loads());
-            for target in targets.far_with_loads {
+        if !targets.remote_with_loads.is_empty() {
+            beat.domain_loads = Some(self.composer.domain_sums(now).into_domain_loads());
+            for target in targets.remote_with_loads {
                 self.send(&mut beat, target, now);
             }
         }
@@ -161,8 +161,8 @@
         rounds.number = rounds.number.wrapping_add(1);
         let round = Round {
             number: rounds.number,
-            has_news,
-            may_speak: self.composer.may_speak(),
+            has_changes: has_news,
+            is_rank_known: self.composer.may_speak(),
             is_joining: self.composer.is_joining(&table, now),
         };
         let targets = rounds.fanout.round(&table, round, now, &mut rand::rng());
@@ -179,7 +179,7 @@
         beat.members = lock(&self.relay.peers).members(from, MEMBERS_TOLD, now);
         let all = self.composer.domain_sums(now);
         for target in targets {
-            let sums = lock(&self.relay.peers).sums_for(target, &all);
+            let sums = lock(&self.relay.peers).loads_for_member(target, &all);
             beat.domain_loads = Some(sums);
             self.send(beat, target, now);
         }
@@ -192,7 +192,7 @@
             let mut table = lock(&self.relay.peers);
             let silent = table.expire(now);
             for seed in &self.relay.settings.seeds {
-                table.learn(*seed, now);
+                table.add_address(*seed, now);
             }
             silent
         };
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/intake.rs
@@ -43,8 +43,8 @@
     pub(super) fn take(&self, beat: &Heartbeat, from: SocketAddr, epoch: Instant, now: Instant) {
         let (is_new, newly_out) = {
             let mut table = lock(&self.relay.peers);
-            let is_new = table.heard(from, beat, now);
-            let newly_out = table.newly_out(from, beat, now);
+            let is_new = table.on_heartbeat(from, beat, now);
+            let newly_out = table.newly_unresponsive(from, beat, now);
             (is_new, newly_out)
         };
         self.relay.store.hear_era(beat.servers.version.store.era);
@@ -75,7 +75,7 @@
         let rank = self.relay.rank(now);
         let doubted = self.relay.beliefs.doubted();
         for server in servers.iter().copied() {
-            let is_asking = self.relay.doubted_use(server, rank).is_asking();
+            let is_asking = self.relay.doubted_use(server, rank).should_probe();
             // Told once while several doubt it: a cut has each of a domain doubt
             // all engines beyond it, thousands of lines.
             let is_news = doubted.since(server).is_none();
@@ -94,7 +94,7 @@
         self.count_instances();
         let (loads, doubted) = {
             let peers = lock(&self.relay.peers);
-            (peers.loads(now), peers.doubted(now))
+            (peers.loads(now), peers.suspected_servers(now))
         };
         self.relay.beliefs.hear(loads, doubted);
         self.relay.door.note_change();
@@ -184,7 +184,7 @@
     fn count_instances(&self) {
         let (known, near) = {
             let table = lock(&self.relay.peers);
-            (table.instances(), table.near_instances())
+            (table.instances(), table.local_instances())
         };
         self.relay.instances.fetch_max(known, Ordering::Relaxed);
         self.relay.near_instances.fetch_max(near, Ordering::Relaxed);
--- a/crates/rookferry_relay/src/placement/lease_keeper.rs
+++ b/crates/rookferry_relay/src/placement/lease_keeper.rs
@@ -91,7 +91,7 @@
         }
         let now = clock::now();
         let peers = lock(&self.relay.peers);
-        if peers.hears_holder(now) {
+        if peers.has_live_holder(now) {
             return Scope::Nothing;
         }
         // While the store is away nobody can take the lease over, and orders
@@ -99,9 +99,9 @@
         if self.was_holder && self.away_since.is_some() {
             return Scope::Site;
         }
-        let heard_at = peers.holder_at().unwrap_or(self.started_at);
+        let heard_at = peers.holder_known_at().unwrap_or(self.started_at);
         let is_deputy =
-            now.saturating_duration_since(heard_at) >= DEPUTY_AFTER && peers.is_first(now);
+            now.saturating_duration_since(heard_at) >= DEPUTY_AFTER && peers.is_first_ranked(now);
         if is_deputy {
             Scope::Domain
         } else {
@@ -124,7 +124,7 @@
     pub(super) async fn keep(&mut self) -> bool {
         self.follow_era();
         let asked_at = clock::now();
-        let is_heard = lock(&self.relay.peers).hears_holder(asked_at);
+        let is_heard = lock(&self.relay.peers).has_live_holder(asked_at);
         let pause = if is_heard { QUIET_READS } else { RIVAL_READS };
         // Of the others one a domain is a rival, the one that asks the store.
         let is_rival = self.is_to_reread || !self.relay.leaves_store();
--- a/crates/rookferry_relay/src/readiness.rs
+++ b/crates/rookferry_relay/src/readiness.rs
@@ -36,7 +36,7 @@
             return Refusal::Starting(line.come_back_after(self.age(), rand::random()));
         }
         // Peers that are heard would have passed a newer word on.
-        if lock(&self.peers).hears_any(clock::now()) {
+        if lock(&self.peers).has_live_peer(clock::now()) {
             return Refusal::ConfigStale;
         }
         Refusal::ConfigUnknown
@@ -69,11 +69,11 @@
     pub(crate) fn relies_on_peers(&self) -> bool {
         let now = clock::now();
         let budget = self.settings.bounds.news_budget();
-        let bound = lock(&self.peers).reliance(budget, now);
+        let bound = lock(&self.peers).max_store_age(budget, now);
         let is_informed = self.store.contact().is_fresh(now, bound)
             && self.servers_age(now).is_some_and(|age| age < bound)
             && self.has_newest_config(now, bound);
-        is_informed && !lock(&self.peers).reads_store(budget, now)
+        is_informed && !lock(&self.peers).is_store_reader(budget, now)
     }
 
     /// Whether no newer configuration is known of. One that nobody confirms, since the
@@ -101,7 +101,7 @@
         let peers = lock(&self.peers);
         StartLine {
             is_first_start: self.settings.is_first_start,
-            rank: peers.rank(clock::now()).max(peers.known_before()),
+            rank: peers.rank(clock::now()).max(peers.known_rank()),
             offered_ago: lock(&self.offered_at).map(clock::since),
             link_mbps: self.settings.machine.link_mbps,
         }
