--- a/crates/rookferry_core/src/peers/sums.rs
+++ b/crates/rookferry_core/src/peers/aggregate.rs
@@ -11,30 +11,30 @@
 use super::LoadEntry;
 use super::PeerTable;
 use super::ServerLoad;
-use super::capacity::Standing;
+use super::capacity::RankKey;
 use super::peer::is_within;
 use crate::serving::ServerKey;
 
 /// How long an aggregator's sums count. Covers a failover: the next two members take the
 /// failed aggregators for live for another 1.2 s, and then send their own sums twice.
-const SUMS_KEPT: Duration = Duration::from_secs(2);
+const SUMS_TIMEOUT: Duration = Duration::from_secs(2);
 /// Age from which an aggregator's sums no longer reflect the current load: one of its
 /// rounds, and half of one for a late datagram.
-const BLIND_AFTER: Duration = Duration::from_millis(350);
+const SUMS_STALE_AFTER: Duration = Duration::from_millis(350);
 /// Upper bound of the load that peers are assumed to have added since the last sums, as
 /// a fraction of the load in them. Without it requests would be refused although engines
 /// have little in flight, while aggregators are late, as after a start of all instances.
-const MOST_GROWTH: f64 = 0.5;
+const MAX_ASSUMED_GROWTH: f64 = 0.5;
 /// How long another domain's loads count after the last report of its representative.
 /// Covers the change to the next representative, and on a site of hundreds of instances
 /// one rotation through all members of other domains.
-const FAR_LOADS_KEPT: Duration = Duration::from_secs(3);
+const REMOTE_LOADS_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The loads of a domain in one round of its aggregator, computed once for all receivers.
 #[derive(Clone, Debug)]
 pub struct AggregatedLoads {
     /// The peers whose loads are included, in rank order.
-    heard: Vec<Standing>,
+    included: Vec<RankKey>,
     entries: Vec<LoadEntry>,
 }
 
@@ -42,11 +42,11 @@
     /// The recent sums of an aggregator of the own domain, and when they were received:
     /// those with the most instances included, and the latest among equals.
     pub(super) fn sums(&self, now: Instant) -> Option<(&DomainLoads, Instant)> {
-        let told = self.heard_near(now).filter_map(|(_, peer)| {
+        let reported = self.live_local(now).filter_map(|(_, peer)| {
             let (sums, at) = peer.sums.as_ref()?;
-            is_within(Some(*at), now, SUMS_KEPT).then_some((sums, *at))
+            is_within(Some(*at), now, SUMS_TIMEOUT).then_some((sums, *at))
         });
-        told.max_by_key(|(sums, at)| (sums.instances, *at))
+        reported.max_by_key(|(sums, at)| (sums.instances, *at))
     }
 
     /// The load of all other instances by server. The own domain's loads are the peers'
@@ -54,25 +54,26 @@
     /// other domains are their representatives' reports.
     #[must_use]
     pub fn loads(&self, now: Instant) -> BTreeMap<ServerKey, ServerLoad> {
-        let heard = self.heard_near(now).count();
+        let live = self.live_local(now).count();
         let sums = self.sums(now);
-        let sums = sums
-            .filter(|(sums, _)| usize::try_from(sums.instances).is_ok_and(|in_it| in_it > heard));
+        let sums = sums.filter(|(sums, _)| {
+            usize::try_from(sums.instances).is_ok_and(|included| included > live)
+        });
         let mut loads = match sums {
             Some((sums, at)) => {
                 let mut loads = BTreeMap::new();
                 add_loads(&mut loads, &sums.loads);
-                if !is_within(Some(at), now, BLIND_AFTER) {
-                    self.add_alike(&mut loads, sums.instances);
+                if !is_within(Some(at), now, SUMS_STALE_AFTER) {
+                    self.add_assumed_growth(&mut loads, sums.instances);
                 }
                 loads
             }
             None => self.local_loads(now),
         };
-        let far = self.far_loads.iter();
-        for (_, (told, at)) in far {
-            if is_within(Some(*at), now, FAR_LOADS_KEPT) {
-                add_loads(&mut loads, told);
+        let remote = self.remote_loads.iter();
+        for (_, (reported, at)) in remote {
+            if is_within(Some(*at), now, REMOTE_LOADS_TIMEOUT) {
+                add_loads(&mut loads, reported);
             }
         }
         loads
@@ -83,13 +84,17 @@
     /// exit under overload. All other instances see the same free capacity and would fill
     /// it many times over. With this estimate each admits only as much as it completes
     /// itself, until new sums arrive.
-    fn add_alike(&self, loads: &mut BTreeMap<ServerKey, ServerLoad>, instances: u32) {
+    fn add_assumed_growth(&self, loads: &mut BTreeMap<ServerKey, ServerLoad>, instances: u32) {
         let instances = usize::try_from(instances).unwrap_or(usize::MAX);
         for (server, own) in &self.own_loads {
-            let before = self.own_at_sums.get(server).copied().unwrap_or_default();
-            let alike = (*own - before).times(instances);
-            let told = loads.entry(*server).or_default();
-            *told += alike.at_most(told.part(MOST_GROWTH));
+            let before = self
+                .own_loads_at_sums
+                .get(server)
+                .copied()
+                .unwrap_or_default();
+            let growth = (*own - before).times(instances);
+            let reported = loads.entry(*server).or_default();
+            *reported += growth.at_most(reported.fraction(MAX_ASSUMED_GROWTH));
         }
     }
 
@@ -97,7 +102,7 @@
     #[must_use]
     pub fn local_loads(&self, now: Instant) -> BTreeMap<ServerKey, ServerLoad> {
         let mut loads = BTreeMap::new();
-        for (_, peer) in self.heard_near(now) {
+        for (_, peer) in self.live_local(now) {
             add_loads(&mut loads, &peer.loads);
         }
         loads
@@ -107,28 +112,28 @@
     /// loads of the domain, this instance's included.
     #[must_use]
     pub fn aggregate_loads(&self, entries: Vec<LoadEntry>, now: Instant) -> AggregatedLoads {
-        let heard = self.heard_near(now);
-        let mut heard: Vec<Standing> = heard.map(|(addr, peer)| peer.standing(addr)).collect();
-        heard.sort_unstable();
-        AggregatedLoads { heard, entries }
+        let live = self.live_local(now);
+        let mut included: Vec<RankKey> = live.map(|(addr, peer)| peer.rank_key(addr)).collect();
+        included.sort_unstable();
+        AggregatedLoads { included, entries }
     }
 
     /// The sums for one member of the domain, without its own load.
     #[must_use]
     pub fn loads_for_member(&self, to: SocketAddr, sums: &AggregatedLoads) -> DomainLoads {
         let known = self.peers.get(&to);
-        let standing = Standing::new(known.map_or(Capacity::LEAST, |peer| peer.capacity), to);
-        let place = sums.heard.binary_search(&standing);
-        let member = known.filter(|_| place.is_ok());
+        let rank_key = RankKey::new(known.map_or(Capacity::LOWEST, |peer| peer.capacity), to);
+        let index = sums.included.binary_search(&rank_key);
+        let member = known.filter(|_| index.is_ok());
         let mut own: BTreeMap<ServerKey, ServerLoad> = BTreeMap::new();
         add_loads(&mut own, member.map_or(&[], |member| &member.loads));
         let others = sums.entries.iter().map(|entry| {
             let own = own.get(&entry.server).copied().unwrap_or_default();
             entry.with_load(entry.load() - own)
         });
-        let (Ok(before) | Err(before)) = place;
-        let rank = before + usize::from(self.standing() < standing);
-        let instances = sums.heard.len() + 1 - usize::from(member.is_some());
+        let (Ok(before) | Err(before)) = index;
+        let rank = before + usize::from(self.rank_key() < rank_key);
+        let instances = sums.included.len() + 1 - usize::from(member.is_some());
         DomainLoads {
             instances: u32::try_from(instances).unwrap_or(u32::MAX),
             rank: u32::try_from(rank).unwrap_or(u32::MAX),
@@ -142,7 +147,7 @@
     #[must_use]
     pub fn into_domain_loads(self) -> DomainLoads {
         DomainLoads {
-            instances: u32::try_from(self.heard.len() + 1).unwrap_or(u32::MAX),
+            instances: u32::try_from(self.included.len() + 1).unwrap_or(u32::MAX),
             rank: 0,
             loads: self.entries,
         }
--- a/crates/rookferry_core/src/peers/source.rs
+++ b/crates/rookferry_core/src/peers/body_source.rs
@@ -9,14 +9,14 @@
 use std::net::SocketAddr;
 
 /// Concurrent transfers over a slow or unknown link; more would only delay each of them.
-const LEAST_AT_ONCE: usize = 2;
+const MIN_CONCURRENT: usize = 2;
 /// Bandwidth reserved for each transfer, in Mbit/s: as much as a slow receiver takes.
-const BODY_MBPS: f64 = 10.0;
+const TRANSFER_MBPS: f64 = 10.0;
 /// Upper bound of concurrent transfers, which bounds the source's memory.
-const MOST_AT_ONCE: usize = 32;
+const MAX_CONCURRENT: usize = 32;
 /// Addresses named in a redirect. The latest receivers are named, since they had fewer
 /// requests so far.
-const TOLD_RECEIVERS: usize = 8;
+const MAX_REDIRECT_ADDRESSES: usize = 8;
 
 /// A source's answer to a request for a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,8 +31,8 @@
 #[derive(Clone, Debug)]
 pub struct BodySource<V> {
     version: V,
-    at_once: usize,
-    under_way: usize,
+    max_concurrent: usize,
+    in_flight: usize,
     receivers: Vec<SocketAddr>,
 }
 
@@ -48,8 +48,8 @@
     pub fn new() -> Self {
         Self {
             version: V::default(),
-            at_once: LEAST_AT_ONCE,
-            under_way: 0,
+            max_concurrent: MIN_CONCURRENT,
+            in_flight: 0,
             receivers: Vec::new(),
         }
     }
@@ -57,8 +57,9 @@
     /// Sets the bandwidth of the source's link, in Mbit/s.
     #[must_use]
     pub fn link_mbps(mut self, link_mbps: f64) -> Self {
-        let beside = (1..=MOST_AT_ONCE).take_while(|count| *count as f64 * BODY_MBPS <= link_mbps);
-        self.at_once = beside.count().max(LEAST_AT_ONCE);
+        let concurrent =
+            (1..=MAX_CONCURRENT).take_while(|count| *count as f64 * TRANSFER_MBPS <= link_mbps);
+        self.max_concurrent = concurrent.count().max(MIN_CONCURRENT);
         self
     }
 
@@ -68,18 +69,18 @@
             self.version = version;
             self.receivers.clear();
         }
-        if self.under_way < self.at_once {
-            self.under_way += 1;
+        if self.in_flight < self.max_concurrent {
+            self.in_flight += 1;
             return BodyOffer::Body;
         }
-        let newest = self.receivers.iter().rev().take(TOLD_RECEIVERS);
+        let newest = self.receivers.iter().rev().take(MAX_REDIRECT_ADDRESSES);
         BodyOffer::Elsewhere(newest.copied().collect())
     }
 
     /// Records the end of a transfer. `to` is the receiver's peer address; none if the
     /// transfer failed.
     pub fn finish_transfer(&mut self, version: V, to: Option<SocketAddr>) {
-        self.under_way = self.under_way.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(to) = to.filter(|_| version == self.version) {
             self.receivers.push(to);
         }
--- a/crates/rookferry_core/src/peers/capacity.rs
+++ b/crates/rookferry_core/src/peers/capacity.rs
@@ -27,7 +27,7 @@
 
 impl Capacity {
     /// The lowest class.
-    pub(super) const LEAST: Self = Self(0);
+    pub(super) const LOWEST: Self = Self(0);
 
     /// The class of a machine by its cores (or its share of one) and its link in Mbit/s;
     /// the scarcer of both decides.
@@ -42,12 +42,12 @@
 
 /// Sort key of an instance in the rank order of its domain; the lowest ranks first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Standing {
+pub(super) struct RankKey {
     capacity: Reverse<Capacity>,
     addr: SocketAddr,
 }
 
-impl Standing {
+impl RankKey {
     pub(super) const fn new(capacity: Capacity, addr: SocketAddr) -> Self {
         Self {
             capacity: Reverse(capacity),
--- a/crates/rookferry_core/src/peers/fanout.rs
+++ b/crates/rookferry_core/src/peers/fanout.rs
@@ -18,33 +18,33 @@
 
 /// Largest number of peers in a domain that is a full mesh. Direct reports are fresher
 /// than an aggregator's, but with more peers they cost a small instance too much.
-pub(super) const MESH_MEMBERS: usize = 24;
+pub(super) const MAX_MESH_PEERS: usize = 24;
 /// Aggregators of a larger domain; with two of them the failure of one causes no delay.
-const HEADS: usize = 2;
+const AGGREGATORS: usize = 2;
 /// Rounds between an aggregator's heartbeats to its domain. With two aggregators each
 /// member gets sums once a round on average.
-const HEAD_ROUNDS: u32 = 2;
+const AGGREGATOR_ROUNDS: u32 = 2;
 /// Random members of the domain that get a heartbeat in a round besides the aggregators,
 /// so that each member is occasionally received by others whichever the aggregators are.
-const DRAWN_NEAR: usize = 1;
+const RANDOM_LOCAL: usize = 1;
 /// The same for an instance that has just started and received nothing from aggregators
 /// yet, besides those that it expects to be aggregators by the advertised members. Sending
 /// to the whole domain until then would make a simultaneous start of all instances cost
 /// the square of their number.
-const NEAR_AT_START: usize = 8;
+const RANDOM_LOCAL_AT_START: usize = 8;
 /// Rounds between an instance's heartbeats to members of other domains.
-const FAR_ROUNDS: u32 = 4;
+const REMOTE_ROUNDS: u32 = 4;
 /// The same for the representative of a domain. A domain's load at another domain's
 /// engines must be known there before they are full.
-const SPEAKER_ROUNDS: u32 = 2;
+const REPRESENTATIVE_ROUNDS: u32 = 2;
 /// Most members of other domains that get a heartbeat in one round from an instance of a
 /// small domain, or from one that is joining.
-const FAR_MEMBERS: usize = 8;
+const REMOTE_PEERS: usize = 8;
 /// The same in a domain with aggregators, which forward what each of them receives.
-const FAR_MEMBERS_BESIDE_HEADS: usize = 1;
+const REMOTE_PEERS_WITH_AGGREGATORS: usize = 1;
 /// The same for a representative, in rotation: reaches hundreds of members within about
 /// a second.
-const SPEAKER_FAR_MEMBERS: usize = 64;
+const REPRESENTATIVE_REMOTE_PEERS: usize = 64;
 
 /// One round of heartbeats.
 #[derive(Clone, Copy, Debug)]
@@ -76,14 +76,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Fanout {
     /// Index among the members of other domains at which the rotation continues.
-    far_from: usize,
+    remote_index: usize,
 }
 
 impl Fanout {
     /// The state before the first round.
     #[must_use]
     pub const fn new() -> Self {
-        Self { far_from: 0 }
+        Self { remote_index: 0 }
     }
 
     /// Returns the targets of a round.
@@ -95,65 +95,69 @@
         rng: &mut R,
     ) -> Targets {
         let mut targets = Targets::default();
-        let near: Vec<SocketAddr> = table.local().collect();
-        let is_mesh = near.len() <= MESH_MEMBERS;
+        let local: Vec<SocketAddr> = table.local().collect();
+        let is_mesh = local.len() <= MAX_MESH_PEERS;
         if is_mesh {
-            targets.local = near;
+            targets.local = local;
         } else {
-            Self::add_near(&mut targets, near, table, round, now, rng);
+            Self::add_local(&mut targets, local, table, round, now, rng);
         }
-        let far: Vec<SocketAddr> = table.remote().collect();
-        let speaks = round.is_rank_known && !round.is_joining && table.is_first_ranked(now);
-        if speaks && round.number.is_multiple_of(SPEAKER_ROUNDS) {
-            targets.remote_with_loads = self.next_far(&far);
-        } else if round.is_joining || (speaks && round.has_changes) {
-            targets.remote = far.sample(rng, FAR_MEMBERS).copied().collect();
-        } else if !speaks && round.number.is_multiple_of(FAR_ROUNDS) {
-            let most = if is_mesh {
-                FAR_MEMBERS
+        let remote: Vec<SocketAddr> = table.remote().collect();
+        let is_representative =
+            round.is_rank_known && !round.is_joining && table.is_first_ranked(now);
+        if is_representative && round.number.is_multiple_of(REPRESENTATIVE_ROUNDS) {
+            targets.remote_with_loads = self.next_remote(&remote);
+        } else if round.is_joining || (is_representative && round.has_changes) {
+            targets.remote = remote.sample(rng, REMOTE_PEERS).copied().collect();
+        } else if !is_representative && round.number.is_multiple_of(REMOTE_ROUNDS) {
+            let limit = if is_mesh {
+                REMOTE_PEERS
             } else {
-                FAR_MEMBERS_BESIDE_HEADS
+                REMOTE_PEERS_WITH_AGGREGATORS
             };
-            targets.remote = far.sample(rng, most).copied().collect();
+            targets.remote = remote.sample(rng, limit).copied().collect();
         }
         targets
     }
 
     /// Adds the local targets in a domain with aggregators: an aggregator sends to all
     /// members, the others to the aggregators and a few random members.
-    fn add_near<R: Rng + ?Sized>(
+    fn add_local<R: Rng + ?Sized>(
         targets: &mut Targets,
-        near: Vec<SocketAddr>,
+        local: Vec<SocketAddr>,
         table: &PeerTable,
         round: Round,
         now: Instant,
         rng: &mut R,
     ) {
-        let before = table.first_ranked_before(HEADS, now);
-        let is_head = before.len() < HEADS;
-        if is_head && !round.is_rank_known && !round.has_changes {
+        let ranked_before = table.first_ranked_before(AGGREGATORS, now);
+        let is_aggregator = ranked_before.len() < AGGREGATORS;
+        if is_aggregator && !round.is_rank_known && !round.has_changes {
             // It lacks heartbeats of the aggregators only because it has just started.
-            targets.local = near.sample(rng, NEAR_AT_START).copied().collect();
-            targets.local.extend(table.first_ranked_known(HEADS));
+            targets.local = local.sample(rng, RANDOM_LOCAL_AT_START).copied().collect();
+            targets.local.extend(table.first_ranked_known(AGGREGATORS));
             targets.local.sort_unstable();
             targets.local.dedup();
             return;
         }
-        if is_head && (round.has_changes || round.number.is_multiple_of(HEAD_ROUNDS)) {
-            targets.local_with_loads = near;
+        if is_aggregator && (round.has_changes || round.number.is_multiple_of(AGGREGATOR_ROUNDS)) {
+            targets.local_with_loads = local;
             return;
         }
-        let drawn = near.sample(rng, DRAWN_NEAR).copied();
-        let drawn: Vec<_> = drawn.filter(|addr| !before.contains(addr)).collect();
-        targets.local = before;
-        targets.local.extend(drawn);
+        let random = local.sample(rng, RANDOM_LOCAL).copied();
+        let random: Vec<_> = random
+            .filter(|addr| !ranked_before.contains(addr))
+            .collect();
+        targets.local = ranked_before;
+        targets.local.extend(random);
     }
 
-    fn next_far(&mut self, far: &[SocketAddr]) -> Vec<SocketAddr> {
-        let count = SPEAKER_FAR_MEMBERS.min(far.len());
-        let start = self.far_from.checked_rem(far.len()).unwrap_or(0);
-        self.far_from = start + count;
-        far.iter()
+    fn next_remote(&mut self, remote: &[SocketAddr]) -> Vec<SocketAddr> {
+        let count = REPRESENTATIVE_REMOTE_PEERS.min(remote.len());
+        let start = self.remote_index.checked_rem(remote.len()).unwrap_or(0);
+        self.remote_index = start + count;
+        remote
+            .iter()
             .cycle()
             .skip(start)
             .take(count)
--- a/crates/rookferry_core/src/peers/load.rs
+++ b/crates/rookferry_core/src/peers/load.rs
@@ -30,23 +30,23 @@
 
     /// A fraction of the load; requests are rounded up.
     #[must_use]
-    pub(super) fn part(self, part: f64) -> Self {
+    pub(super) fn fraction(self, fraction: f64) -> Self {
         Self {
-            requests: whole((f64::from(self.requests) * part).ceil()),
-            tokens: self.tokens * part,
+            requests: saturating_u32((f64::from(self.requests) * fraction).ceil()),
+            tokens: self.tokens * fraction,
         }
     }
 
     /// The lower of both loads, separately in requests and in tokens.
     #[must_use]
-    pub(super) const fn at_most(self, most: Self) -> Self {
+    pub(super) const fn at_most(self, other: Self) -> Self {
         Self {
-            requests: if self.requests < most.requests {
+            requests: if self.requests < other.requests {
                 self.requests
             } else {
-                most.requests
+                other.requests
             },
-            tokens: self.tokens.min(most.tokens),
+            tokens: self.tokens.min(other.tokens),
         }
     }
 }
@@ -100,7 +100,7 @@
     pub fn with_load(self, load: ServerLoad) -> Self {
         Self {
             requests: load.requests,
-            tokens: whole(load.tokens),
+            tokens: saturating_u32(load.tokens),
             ..self
         }
     }
@@ -120,6 +120,6 @@
     clippy::cast_sign_loss,
     reason = "a cast of a float saturates, and tokens aren't below 0"
 )]
-const fn whole(tokens: f64) -> u32 {
+const fn saturating_u32(tokens: f64) -> u32 {
     tokens as u32
 }
--- a/crates/rookferry_core/src/peers/mod.rs
+++ b/crates/rookferry_core/src/peers/mod.rs
@@ -16,20 +16,21 @@
 //! ranked before it acts as an aggregator. Two instances that can't reach each
 //! other may both act; correctness doesn't depend on which ones do.
 
+mod aggregate;
+mod body_source;
 mod capacity;
-mod doubt;
 mod fanout;
 mod load;
 mod message;
 mod peer;
 mod permits;
-mod source;
-mod sums;
+mod suspected;
 mod table;
 
+pub use aggregate::AggregatedLoads;
+pub use body_source::BodyOffer;
+pub use body_source::BodySource;
 pub use capacity::Capacity;
-pub use doubt::ProbeRole;
-pub use doubt::SuspectedServers;
 pub use fanout::Fanout;
 pub use fanout::Round;
 pub use fanout::Targets;
@@ -44,7 +45,6 @@
 pub use message::HolderObservation;
 pub use message::ListState;
 pub use message::MemberObservation;
-pub use source::BodyOffer;
-pub use source::BodySource;
-pub use sums::AggregatedLoads;
+pub use suspected::ProbeRole;
+pub use suspected::SuspectedServers;
 pub use table::PeerTable;
--- a/crates/rookferry_core/src/peers/peer.rs
+++ b/crates/rookferry_core/src/peers/peer.rs
@@ -13,16 +13,16 @@
 use super::DomainLoads;
 use super::LoadEntry;
 use super::MemberObservation;
-use super::capacity::Standing;
+use super::capacity::RankKey;
 use crate::serving::ServerKey;
 
 /// A peer's report that a server doesn't answer it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct OutSeen {
+pub(super) struct UnresponsiveReport {
     /// When the peer first listed the server.
     pub(super) since: Instant,
     /// When the peer last listed the server.
-    pub(super) told_at: Instant,
+    pub(super) reported_at: Instant,
 }
 
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
     /// Capacity for the duties of its domain; the lowest while it is unknown.
     pub(super) capacity: Capacity,
     /// When its last heartbeat was received here.
-    pub(super) heard_at: Option<Instant>,
+    pub(super) received_at: Option<Instant>,
     /// When any instance last received a heartbeat from it; at first, when its address
     /// was added.
     pub(super) seen_at: Instant,
@@ -42,27 +42,27 @@
     /// Version of the configuration that is in force at the peer.
     pub(super) config_version: Option<u64>,
     /// When the peer's knowledge of the store was last up to date, as it reports.
-    pub(super) store_at: Option<Instant>,
+    pub(super) store_known_at: Option<Instant>,
     pub(super) loads: Vec<LoadEntry>,
     /// Servers that the peer reports as unresponsive.
-    pub(super) out: BTreeMap<ServerKey, OutSeen>,
+    pub(super) out: BTreeMap<ServerKey, UnresponsiveReport>,
     /// Its domain's loads and when they were received, if it acts as an aggregator.
     pub(super) sums: Option<(DomainLoads, Instant)>,
 }
 
 impl Peer {
     /// An address that no heartbeat was received from yet.
-    pub(super) const fn unheard(now: Instant) -> Self {
+    pub(super) const fn without_heartbeat(now: Instant) -> Self {
         Self {
             domain: None,
             instance: None,
             incarnation: 0,
-            capacity: Capacity::LEAST,
-            heard_at: None,
+            capacity: Capacity::LOWEST,
+            received_at: None,
             seen_at: now,
             clock: None,
             config_version: None,
-            store_at: None,
+            store_known_at: None,
             loads: Vec::new(),
             out: BTreeMap::new(),
             sums: None,
@@ -70,8 +70,8 @@
     }
 
     /// The peer's sort key in the rank order of its domain.
-    pub(super) const fn standing(&self, addr: SocketAddr) -> Standing {
-        Standing::new(self.capacity, addr)
+    pub(super) const fn rank_key(&self, addr: SocketAddr) -> RankKey {
+        RankKey::new(self.capacity, addr)
     }
 
     /// The peer as advertised to other instances.
@@ -85,8 +85,8 @@
     }
 
     /// Whether a heartbeat was received from it within a time.
-    pub(super) fn is_heard(&self, now: Instant, within: Duration) -> bool {
-        is_within(self.heard_at, now, within)
+    pub(super) fn received_within(&self, now: Instant, within: Duration) -> bool {
+        is_within(self.received_at, now, within)
     }
 }
 
--- a/crates/rookferry_core/src/peers/doubt.rs
+++ b/crates/rookferry_core/src/peers/suspected.rs
@@ -14,7 +14,7 @@
 /// First-ranked instances of a failure domain that probe a suspected server, besides
 /// those with requests in flight there. As many as a large domain has aggregators, so that
 /// probing goes on when one of them exits or stalls.
-const ASKING_MEMBERS: usize = 2;
+const PROBING_INSTANCES: usize = 2;
 
 /// An instance's relation to a suspected server, which decides whether it probes it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     /// Whether the instance probes the server itself.
     #[must_use]
     pub const fn should_probe(self) -> bool {
-        self.has_requests || self.plans_layers || self.rank < ASKING_MEMBERS
+        self.has_requests || self.plans_layers || self.rank < PROBING_INSTANCES
     }
 }
 
@@ -58,8 +58,8 @@
     /// Whether a server is suspected without newer evidence that it is alive. Evidence
     /// from any instance that is later than the reports overrides them.
     #[must_use]
-    pub fn is_excluded(&self, server: ServerKey, last_sign_at: Option<Instant>) -> bool {
+    pub fn is_excluded(&self, server: ServerKey, last_alive_at: Option<Instant>) -> bool {
         let since = self.since.get(&server);
-        since.is_some_and(|since| last_sign_at.is_none_or(|at| at < *since))
+        since.is_some_and(|since| last_alive_at.is_none_or(|at| at < *since))
     }
 }
--- a/crates/rookferry_core/src/peers/table.rs
+++ b/crates/rookferry_core/src/peers/table.rs
@@ -21,9 +21,9 @@
 use super::MemberObservation;
 use super::ServerLoad;
 use super::SuspectedServers;
-use super::capacity::Standing;
-use super::peer::OutSeen;
+use super::capacity::RankKey;
 use super::peer::Peer;
+use super::peer::UnresponsiveReport;
 use super::peer::is_within;
 use crate::millis::millis;
 use crate::serving::NewsBudget;
@@ -31,55 +31,55 @@
 
 /// Silence after which a peer is no longer live and its load no longer counts. Covers
 /// several heartbeats within a failure domain, and four of an aggregator's.
-pub(super) const LOAD_KEPT: Duration = Duration::from_millis(1_200);
+pub(super) const LOAD_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Age up to which a report of the lease's holder counts; covers two heartbeats to
 /// other failure domains.
-const HOLDER_KEPT: Duration = Duration::from_millis(1_400);
+const HOLDER_TIMEOUT: Duration = Duration::from_millis(1_400);
 /// Time after which a member counts as lost if no instance received a heartbeat from it,
 /// and the extension for each known member: members are advertised in rotation, so that
 /// with more of them the reports on each are older.
-const MEMBER_KEPT: Duration = Duration::from_secs(5);
-const MEMBER_KEPT_EACH: Duration = Duration::from_millis(50);
+const MEMBER_TIMEOUT: Duration = Duration::from_secs(5);
+const MEMBER_TIMEOUT_PER_MEMBER: Duration = Duration::from_millis(50);
 /// Upper bound of that time.
-const MEMBER_KEPT_LONGEST: Duration = Duration::from_secs(25);
+const MAX_MEMBER_TIMEOUT: Duration = Duration::from_secs(25);
 /// How long a server counts as unresponsive after a peer last listed it, where the peer
 /// lists such servers in rotation; covers several rotations of an aggregator.
-const OUT_TOLD_WITHIN: Duration = Duration::from_secs(3);
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time after which an address is dropped if no instance received a heartbeat from it.
 /// Until then it gets heartbeats and counts among the instances that share budgets.
-const ADDRESS_KEPT: Duration = Duration::from_secs(30);
+const ADDRESS_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// One instance's view of all others, by peer address.
 #[derive(Clone, Debug)]
 pub struct PeerTable {
-    pub(super) own: SocketAddr,
+    pub(super) own_addr: SocketAddr,
     /// Capacity of this instance for the duties of its domain.
     capacity: Capacity,
-    pub(super) home: DomainId,
+    pub(super) own_domain: DomainId,
     pub(super) peers: BTreeMap<SocketAddr, Peer>,
     /// The lease's holder, and when it was last known to hold the lease.
     holder: Option<(InstanceId, Instant)>,
     /// Loads of other domains, as their representatives last reported.
-    pub(super) far_loads: BTreeMap<DomainId, (Vec<LoadEntry>, Instant)>,
+    pub(super) remote_loads: BTreeMap<DomainId, (Vec<LoadEntry>, Instant)>,
     /// Own loads, as last sent to peers.
     pub(super) own_loads: BTreeMap<ServerKey, ServerLoad>,
     /// Own loads at the time when an aggregator's sums were last received.
-    pub(super) own_at_sums: BTreeMap<ServerKey, ServerLoad>,
+    pub(super) own_loads_at_sums: BTreeMap<ServerKey, ServerLoad>,
 }
 
 impl PeerTable {
-    /// An empty table for the instance that listens at `own` in the domain `home`.
+    /// An empty table for the instance that listens at `own_addr` in `own_domain`.
     #[must_use]
-    pub const fn new(own: SocketAddr, home: DomainId) -> Self {
+    pub const fn new(own_addr: SocketAddr, own_domain: DomainId) -> Self {
         Self {
-            own,
-            capacity: Capacity::LEAST,
-            home,
+            own_addr,
+            capacity: Capacity::LOWEST,
+            own_domain,
             peers: BTreeMap::new(),
             holder: None,
-            far_loads: BTreeMap::new(),
+            remote_loads: BTreeMap::new(),
             own_loads: BTreeMap::new(),
-            own_at_sums: BTreeMap::new(),
+            own_loads_at_sums: BTreeMap::new(),
         }
     }
 
@@ -91,14 +91,16 @@
     }
 
     /// The instance's own sort key in the rank order of its domain.
-    pub(super) const fn standing(&self) -> Standing {
-        Standing::new(self.capacity, self.own)
+    pub(super) const fn rank_key(&self) -> RankKey {
+        RankKey::new(self.capacity, self.own_addr)
     }
 
     /// Adds an address that may belong to an instance, such as a configured seed.
     pub fn add_address(&mut self, addr: SocketAddr, now: Instant) {
-        if addr != self.own {
-            self.peers.entry(addr).or_insert(Peer::unheard(now));
+        if addr != self.own_addr {
+            self.peers
+                .entry(addr)
+                .or_insert(Peer::without_heartbeat(now));
         }
     }
 
@@ -109,23 +111,23 @@
     }
 
     /// Merges the members that a peer advertises.
-    fn learn_members(&mut self, told: &[DomainMembers], now: Instant) {
-        for (domain, member) in told
+    fn merge_members(&mut self, advertised: &[DomainMembers], now: Instant) {
+        for (domain, member) in advertised
             .iter()
             .flat_map(|of| of.members.iter().map(move |member| (&of.domain, member)))
         {
             let age = Duration::from_millis(u64::from(member.age_tenths_s) * 100);
-            let Some(seen_at) = now.checked_sub(age).filter(|_| age < ADDRESS_KEPT) else {
+            let Some(seen_at) = now.checked_sub(age).filter(|_| age < ADDRESS_TIMEOUT) else {
                 continue;
             };
-            if member.addr == self.own {
+            if member.addr == self.own_addr {
                 continue;
             }
             let peer = self.peers.entry(member.addr);
-            let peer = peer.or_insert(Peer::unheard(seen_at));
+            let peer = peer.or_insert(Peer::without_heartbeat(seen_at));
             peer.seen_at = peer.seen_at.max(seen_at);
             peer.domain.get_or_insert_with(|| domain.clone());
-            if peer.heard_at.is_none() {
+            if peer.received_at.is_none() {
                 peer.capacity = peer.capacity.max(member.capacity);
             }
         }
@@ -134,36 +136,39 @@
     /// Records a received heartbeat. Returns whether its sender is new: unknown so far,
     /// reported as lost by [`Self::expire`], or running under a new incarnation.
     pub fn on_heartbeat(&mut self, from: SocketAddr, beat: &Heartbeat, now: Instant) -> bool {
-        self.learn_members(&beat.members, now);
-        if from == self.own {
+        self.merge_members(&beat.members, now);
+        if from == self.own_addr {
             return false;
         }
-        let is_near = beat.domain == self.home;
-        let peer = self.peers.entry(from).or_insert(Peer::unheard(now));
+        let is_local = beat.domain == self.own_domain;
+        let peer = self
+            .peers
+            .entry(from)
+            .or_insert(Peer::without_heartbeat(now));
         let is_known = peer.instance.is_some() && peer.incarnation == beat.incarnation;
         peer.domain = Some(beat.domain.clone());
         peer.instance = Some(beat.instance.clone());
         peer.incarnation = beat.incarnation;
         peer.capacity = beat.capacity;
-        peer.heard_at = Some(now);
+        peer.received_at = Some(now);
         peer.seen_at = now;
         peer.clock = Some((beat.sent_ms, now));
         peer.config_version = beat.config.map(|config| config.version);
-        peer.store_at = beat
+        peer.store_known_at = beat
             .store_age_ms
             .and_then(|age_ms| now.checked_sub(Duration::from_millis(age_ms)));
-        if is_near {
+        if is_local {
             peer.loads.clone_from(&beat.loads);
             if let Some(sums) = &beat.domain_loads {
                 peer.sums = Some((sums.clone(), now));
-                self.own_at_sums.clone_from(&self.own_loads);
+                self.own_loads_at_sums.clone_from(&self.own_loads);
             }
-        } else if let Some(told) = &beat.domain_loads {
-            let loads = (told.loads.clone(), now);
-            self.far_loads.insert(beat.domain.clone(), loads);
+        } else if let Some(reported) = &beat.domain_loads {
+            let loads = (reported.loads.clone(), now);
+            self.remote_loads.insert(beat.domain.clone(), loads);
         }
         if let Some(holder) = &beat.holder {
-            self.note_holder(holder, now);
+            self.record_holder(holder, now);
         }
         !is_known
     }
@@ -182,33 +187,34 @@
         let Some(peer) = self.peers.get_mut(&from) else {
             return Vec::new();
         };
-        let is_whole = usize::try_from(beat.out_count).is_ok_and(|count| count <= beat.out.len());
-        let kept = if is_whole {
+        let is_complete =
+            usize::try_from(beat.out_count).is_ok_and(|count| count <= beat.out.len());
+        let timeout = if is_complete {
             Duration::ZERO
         } else {
-            OUT_TOLD_WITHIN
+            UNRESPONSIVE_TIMEOUT
         };
-        let mut news = Vec::new();
+        let mut newly_listed = Vec::new();
         for server in &beat.out {
             let seen = peer.out.entry(*server).or_insert_with(|| {
-                news.push(*server);
-                OutSeen {
+                newly_listed.push(*server);
+                UnresponsiveReport {
                     since: now,
-                    told_at: now,
+                    reported_at: now,
                 }
             });
-            seen.told_at = now;
+            seen.reported_at = now;
         }
         peer.out
-            .retain(|_, seen| now.saturating_duration_since(seen.told_at) <= kept);
-        news
+            .retain(|_, seen| now.saturating_duration_since(seen.reported_at) <= timeout);
+        newly_listed
     }
 
     /// The servers that live peers of the own domain report as unresponsive.
     #[must_use]
     pub fn suspected_servers(&self, now: Instant) -> SuspectedServers {
         let mut doubted = SuspectedServers::default();
-        for (_, peer) in self.heard_near(now) {
+        for (_, peer) in self.live_local(now) {
             for (server, seen) in &peer.out {
                 doubted.add(*server, seen.since);
             }
@@ -220,28 +226,28 @@
     /// the instances that became lost since the last call.
     pub fn expire(&mut self, now: Instant) -> Vec<InstanceId> {
         let is_seen = |peer: &Peer, within| is_within(Some(peer.seen_at), now, within);
-        let kept = self.member_kept();
+        let timeout = self.member_timeout();
         let peers = self.peers.values_mut();
-        let silent = peers.filter(|peer| !is_seen(peer, kept));
+        let silent = peers.filter(|peer| !is_seen(peer, timeout));
         let silent = silent.filter_map(|peer| peer.instance.take()).collect();
-        self.peers.retain(|_, peer| is_seen(peer, ADDRESS_KEPT));
+        self.peers.retain(|_, peer| is_seen(peer, ADDRESS_TIMEOUT));
         silent
     }
 
-    fn member_kept(&self) -> Duration {
+    fn member_timeout(&self) -> Duration {
         let members = u32::try_from(self.peers.len()).unwrap_or(u32::MAX);
-        let kept = MEMBER_KEPT + MEMBER_KEPT_EACH.saturating_mul(members);
-        kept.min(MEMBER_KEPT_LONGEST)
+        let timeout = MEMBER_TIMEOUT + MEMBER_TIMEOUT_PER_MEMBER.saturating_mul(members);
+        timeout.min(MAX_MEMBER_TIMEOUT)
     }
 
     /// Peer addresses in the own domain, in address order.
     pub fn local(&self) -> impl Iterator<Item = SocketAddr> {
-        self.addresses(|domain| domain == Some(&self.home))
+        self.addresses(|domain| domain == Some(&self.own_domain))
     }
 
     /// Peer addresses in other domains or in unknown ones, in address order.
     pub fn remote(&self) -> impl Iterator<Item = SocketAddr> {
-        self.addresses(|domain| domain != Some(&self.home))
+        self.addresses(|domain| domain != Some(&self.own_domain))
     }
 
     fn addresses(
@@ -266,36 +272,37 @@
         self.local().count() + 1
     }
 
-    /// At most `most` members from index `from` on, wrapping around at the end.
+    /// At most `limit` members from index `from` on, wrapping around at the end.
     #[must_use]
-    pub fn members(&self, from: usize, most: usize, now: Instant) -> Vec<DomainMembers> {
+    pub fn members(&self, from: usize, limit: usize, now: Instant) -> Vec<DomainMembers> {
         let count = self.peers.len();
         let start = from.checked_rem(count).unwrap_or(0);
-        let window = self.peers.iter().cycle().skip(start).take(most.min(count));
-        let mut told: BTreeMap<&DomainId, Vec<MemberObservation>> = BTreeMap::new();
+        let window = self.peers.iter().cycle().skip(start).take(limit.min(count));
+        let mut advertised: BTreeMap<&DomainId, Vec<MemberObservation>> = BTreeMap::new();
         for (addr, peer) in window {
             if let Some(domain) = &peer.domain {
-                let members = told.entry(domain).or_default();
+                let members = advertised.entry(domain).or_default();
                 members.push(peer.seen(*addr, now));
             }
         }
-        let told = told.into_iter();
-        told.map(|(domain, members)| DomainMembers {
-            domain: domain.clone(),
-            members,
-        })
-        .collect()
+        let advertised = advertised.into_iter();
+        advertised
+            .map(|(domain, members)| DomainMembers {
+                domain: domain.clone(),
+                members,
+            })
+            .collect()
     }
 
-    /// At most `most` members of a domain, in address order.
+    /// At most `limit` members of a domain, in address order.
     #[must_use]
-    pub fn members_in(&self, domain: &DomainId, most: usize, now: Instant) -> DomainMembers {
+    pub fn members_in(&self, domain: &DomainId, limit: usize, now: Instant) -> DomainMembers {
         let peers = self.peers.iter();
         let members = peers.filter(|(_, peer)| peer.domain.as_ref() == Some(domain));
         DomainMembers {
             domain: domain.clone(),
             members: members
-                .take(most)
+                .take(limit)
                 .map(|(addr, peer)| peer.seen(*addr, now))
                 .collect(),
         }
@@ -312,7 +319,7 @@
         })
     }
 
-    fn note_holder(&mut self, holder: &HolderObservation, now: Instant) {
+    fn record_holder(&mut self, holder: &HolderObservation, now: Instant) {
         let Some(at) = now.checked_sub(Duration::from_millis(holder.age_ms)) else {
             return;
         };
@@ -345,16 +352,18 @@
     /// Whether a peer was recently known to hold the lease.
     #[must_use]
     pub fn has_live_holder(&self, now: Instant) -> bool {
-        is_within(self.holder_known_at(), now, HOLDER_KEPT)
+        is_within(self.holder_known_at(), now, HOLDER_TIMEOUT)
     }
 
     /// Whether this instance reads the store for its domain: no live instance that is
     /// ranked before it has recent knowledge of the store.
     #[must_use]
     pub fn is_store_reader(&self, budget: NewsBudget, now: Instant) -> bool {
-        let (kept, bound) = (budget.reader_kept(), budget.rely());
-        let mut before = self.heard_before(now);
-        before.all(|(_, peer)| !(peer.is_heard(now, kept) && is_within(peer.store_at, now, bound)))
+        let (timeout, max_age) = (budget.reader_kept(), budget.rely());
+        let mut before = self.live_before(now);
+        before.all(|(_, peer)| {
+            !(peer.received_within(now, timeout) && is_within(peer.store_known_at, now, max_age))
+        })
     }
 
     /// Age that this instance's knowledge of the store may reach before it reads the
@@ -367,86 +376,89 @@
     /// Whether a live peer of the domain has a configuration newer than `version`.
     #[must_use]
     pub fn has_newer_config(&self, version: u64, now: Instant) -> bool {
-        let mut near = self.heard_near(now);
-        near.any(|(_, peer)| peer.config_version > Some(version))
+        let mut local = self.live_local(now);
+        local.any(|(_, peer)| peer.config_version > Some(version))
     }
 
     /// Number of the domain's instances ranked before this one: the live ones, or the
     /// count in an aggregator's sums where that is higher.
     #[must_use]
     pub fn rank(&self, now: Instant) -> usize {
-        let heard = self.heard_before(now).count();
-        let told = self.sums(now).map_or(0, |(sums, _)| sums.rank);
-        heard.max(usize::try_from(told).unwrap_or(0))
+        let live = self.live_before(now).count();
+        let reported = self.sums(now).map_or(0, |(sums, _)| sums.rank);
+        live.max(usize::try_from(reported).unwrap_or(0))
     }
 
-    /// The first-ranked `most` members of the domain, live or only advertised by peers.
-    pub(super) fn first_ranked_known(&self, most: usize) -> Vec<SocketAddr> {
-        let near = self.known_near();
-        first_in_line(near, most)
+    /// The first-ranked `limit` members of the domain, live or only advertised by peers.
+    pub(super) fn first_ranked_known(&self, limit: usize) -> Vec<SocketAddr> {
+        let local = self.known_local();
+        first_ranked(local, limit)
     }
 
-    fn known_near(&self) -> impl Iterator<Item = Standing> {
+    fn known_local(&self) -> impl Iterator<Item = RankKey> {
         let peers = self.peers.iter();
-        let near = peers.filter(|(_, peer)| peer.domain.as_ref() == Some(&self.home));
-        near.map(|(addr, peer)| peer.standing(*addr))
+        let local = peers.filter(|(_, peer)| peer.domain.as_ref() == Some(&self.own_domain));
+        local.map(|(addr, peer)| peer.rank_key(*addr))
     }
 
     /// Number of the domain's known instances ranked before this one, live or only
     /// advertised by peers.
     #[must_use]
     pub fn known_rank(&self) -> usize {
-        let own = self.standing();
-        self.known_near().filter(|known| *known < own).count()
+        let own = self.rank_key();
+        self.known_local().filter(|known| *known < own).count()
     }
 
     /// Whether no live instance of the domain is ranked before this one.
     #[must_use]
     pub fn is_first_ranked(&self, now: Instant) -> bool {
-        self.heard_before(now).next().is_none()
+        self.live_before(now).next().is_none()
     }
 
     /// The live peers of the own domain, in address order.
-    pub(super) fn heard_near(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Peer)> {
-        let near = move |(_, peer): &(&SocketAddr, &Peer)| {
-            peer.domain.as_ref() == Some(&self.home) && peer.is_heard(now, LOAD_KEPT)
+    pub(super) fn live_local(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Peer)> {
+        let is_live_local = move |(_, peer): &(&SocketAddr, &Peer)| {
+            peer.domain.as_ref() == Some(&self.own_domain)
+                && peer.received_within(now, LOAD_TIMEOUT)
         };
         let peers = self.peers.iter();
-        peers.filter(near).map(|(addr, peer)| (*addr, peer))
+        peers
+            .filter(is_live_local)
+            .map(|(addr, peer)| (*addr, peer))
     }
 
     /// The live peers of the own domain that are ranked before this instance.
-    fn heard_before(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Peer)> {
-        let own = self.standing();
-        self.heard_near(now)
-            .filter(move |(addr, peer)| peer.standing(*addr) < own)
+    fn live_before(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Peer)> {
+        let own = self.rank_key();
+        self.live_local(now)
+            .filter(move |(addr, peer)| peer.rank_key(*addr) < own)
     }
 
-    /// The first-ranked `most` live peers of the own domain, of those ranked before this
+    /// The first-ranked `limit` live peers of the own domain, of those ranked before this
     /// instance.
-    pub(super) fn first_ranked_before(&self, most: usize, now: Instant) -> Vec<SocketAddr> {
-        let before = self.heard_before(now);
-        first_in_line(before.map(|(addr, peer)| peer.standing(addr)), most)
+    pub(super) fn first_ranked_before(&self, limit: usize, now: Instant) -> Vec<SocketAddr> {
+        let before = self.live_before(now);
+        first_ranked(before.map(|(addr, peer)| peer.rank_key(addr)), limit)
     }
 
     /// Whether any peer of the own domain is live.
     #[must_use]
     pub fn has_live_local(&self, now: Instant) -> bool {
-        self.heard_near(now).next().is_some()
+        self.live_local(now).next().is_some()
     }
 
     /// Whether any peer is live.
     #[must_use]
     pub fn has_live_peer(&self, now: Instant) -> bool {
         let mut peers = self.peers.values();
-        peers.any(|peer| peer.is_heard(now, LOAD_KEPT))
+        peers.any(|peer| peer.received_within(now, LOAD_TIMEOUT))
     }
 }
 
-/// The addresses of the first-ranked `most` members.
-fn first_in_line(members: impl Iterator<Item = Standing>, most: usize) -> Vec<SocketAddr> {
-    let mut members: Vec<Standing> = members.collect();
+/// The addresses of the first-ranked `limit` members.
+fn first_ranked(members: impl Iterator<Item = RankKey>, limit: usize) -> Vec<SocketAddr> {
+    let mut members: Vec<RankKey> = members.collect();
     members.sort_unstable();
-    members.truncate(most);
-    members.into_iter().map(Standing::addr).collect()
+    members.truncate(limit);
+    members.into_iter().map(RankKey::addr).collect()
 }
