--- a/crates/rookferry_core/src/member/adopt.rs
+++ b/crates/rookferry_core/src/member/adopt.rs
@@ -9,7 +9,7 @@
 
 /// Result of offering a configuration.
 #[derive(Debug)]
-pub enum Adopted {
+pub enum AdoptOutcome {
     /// It is in force now.
     InForce(Arc<SiteConfig>),
     /// Its version isn't higher than the highest one in force or rejected so far.
@@ -46,18 +46,18 @@
 
     /// Adopts a configuration in JSON from the platform or a peer if it is newer and
     /// valid. Versions may be offered in any order.
-    pub fn offer(&mut self, version: ObjectVersion, body: &str) -> Adopted {
+    pub fn offer(&mut self, version: ObjectVersion, body: &str) -> AdoptOutcome {
         if version <= self.seen() {
-            return Adopted::NotNewer;
+            return AdoptOutcome::NotNewer;
         }
         match SiteConfig::from_json(body) {
             Ok(config) => {
                 self.version = version;
-                Adopted::InForce(Arc::new(config))
+                AdoptOutcome::InForce(Arc::new(config))
             }
             Err(faults) => {
                 self.refused = version;
-                Adopted::Invalid(faults)
+                AdoptOutcome::Invalid(faults)
             }
         }
     }
--- a/crates/rookferry_core/src/member/ask.rs
+++ b/crates/rookferry_core/src/member/ask.rs
@@ -14,7 +14,7 @@
 use rookferry_wire::EngineInfo;
 use rookferry_wire::InstanceId;
 
-use super::home_of;
+use super::rendezvous_owner;
 
 /// Time without an update on an engine after which an instance polls it itself.
 const MISSED_AFTER: Duration = Duration::from_secs(4);
@@ -31,47 +31,47 @@
 
 /// Why an instance polls an engine itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AskReason {
+pub enum PollReason {
     /// The instance is assigned to it.
-    Own,
+    Assigned,
     /// Its description isn't known yet, or has changed.
-    News,
+    Undescribed,
     /// No peer has forwarded an update on it for a while.
-    Missed,
+    Stale,
 }
 
 /// What is known of an engine when deciding whether to poll it.
 #[derive(Clone, Copy, Debug)]
-pub struct AskInput<'a> {
+pub struct PollInput<'a> {
     /// The engine's name.
     pub engine: &'a str,
     /// The live instances of its failure domain, or of the whole site if there are none.
-    pub askers: &'a [InstanceId],
+    pub candidates: &'a [InstanceId],
     /// Whether its current description is known.
     pub is_described: bool,
     /// When it last answered a poll here, or a peer reported it.
-    pub last_news: Option<Instant>,
+    pub last_update: Option<Instant>,
 }
 
 /// Why this instance is to poll an engine now; none if it isn't.
 #[must_use]
-pub fn ask_reason(now: Instant, own: &InstanceId, input: &AskInput<'_>) -> Option<AskReason> {
-    if home_of(input.engine, input.askers) == Some(own) {
-        return Some(AskReason::Own);
+pub fn poll_reason(now: Instant, own: &InstanceId, input: &PollInput<'_>) -> Option<PollReason> {
+    if rendezvous_owner(input.engine, input.candidates) == Some(own) {
+        return Some(PollReason::Assigned);
     }
     if !input.is_described {
-        return Some(AskReason::News);
+        return Some(PollReason::Undescribed);
     }
     let is_missed = input
-        .last_news
+        .last_update
         .is_none_or(|at| now.saturating_duration_since(at) > MISSED_AFTER);
-    is_missed.then_some(AskReason::Missed)
+    is_missed.then_some(PollReason::Stale)
 }
 
 /// The time between polls of `asked` engines that keeps within a budget, at least
 /// `shortest`.
 #[must_use]
-pub fn ask_interval(asked: usize, budget_bytes_per_s: u32, shortest: Duration) -> Duration {
+pub fn poll_interval(asked: usize, budget_bytes_per_s: u32, shortest: Duration) -> Duration {
     let bytes = asked as f64 * f64::from(BYTES_AN_ASK);
     let interval = Duration::from_secs_f64(bytes / f64::from(budget_bytes_per_s.max(1)));
     interval.clamp(shortest.max(MIN_INTERVAL), MAX_INTERVAL.max(shortest))
@@ -81,7 +81,7 @@
 /// the budget leaves in half a second, and at least one. Engines without a description
 /// are allowed beyond the budget, since a starting instance needs them.
 #[must_use]
-pub fn others_allowed(own: usize, undescribed: usize, budget_bytes_per_s: u32) -> usize {
+pub fn extra_polls_allowed(own: usize, undescribed: usize, budget_bytes_per_s: u32) -> usize {
     let bytes_a_round = u128::from(budget_bytes_per_s) * USUAL_ROUND.as_millis() / 1_000;
     let asks_a_round =
         usize::try_from(bytes_a_round / u128::from(BYTES_AN_ASK)).unwrap_or(usize::MAX);
--- a/crates/rookferry_core/src/member/mod.rs
+++ b/crates/rookferry_core/src/member/mod.rs
@@ -4,7 +4,7 @@
 //! |---|---|
 //! | [`MemberTable`] | which instances are live, by their heartbeats? |
 //! | [`HeartbeatPlan`] | which peers get a heartbeat in this round? |
-//! | [`ask_reason`] | does this instance poll an engine itself? |
+//! | [`poll_reason`] | does this instance poll an engine itself? |
 //! | [`ConfigAdopter`] | is an offered configuration newer and valid? |
 //!
 //! A suspicion only decides where to send; correctness doesn't depend on it.
@@ -14,18 +14,18 @@
 mod plan;
 mod table;
 
-pub use adopt::Adopted;
+pub use adopt::AdoptOutcome;
 pub use adopt::ConfigAdopter;
-pub use ask::AskInput;
-pub use ask::AskReason;
-pub use ask::ask_interval;
-pub use ask::ask_reason;
+pub use ask::PollInput;
+pub use ask::PollReason;
 pub use ask::engine_tag;
+pub use ask::extra_polls_allowed;
 pub use ask::info_tag;
-pub use ask::others_allowed;
+pub use ask::poll_interval;
+pub use ask::poll_reason;
 pub use plan::HeartbeatPlan;
 pub use plan::PeerTarget;
-pub use plan::home_of;
+pub use plan::rendezvous_owner;
 pub use table::HeartbeatFault;
 pub use table::Member;
 pub use table::MemberState;
--- a/crates/rookferry_core/src/member/plan.rs
+++ b/crates/rookferry_core/src/member/plan.rs
@@ -95,7 +95,7 @@
 /// The one of `instances` that a name is assigned to, by rendezvous hashing: when an
 /// instance joins or leaves, only its own names are reassigned. None without instances.
 #[must_use]
-pub fn home_of<'a>(name: &str, instances: &'a [InstanceId]) -> Option<&'a InstanceId> {
+pub fn rendezvous_owner<'a>(name: &str, instances: &'a [InstanceId]) -> Option<&'a InstanceId> {
     let hasher = BuildHasherDefault::<DefaultHasher>::default();
     instances
         .iter()
--- a/crates/rookferry_core/src/member/table.rs
+++ b/crates/rookferry_core/src/member/table.rs
@@ -45,7 +45,7 @@
     /// The newest heartbeat.
     pub heartbeat: Heartbeat,
     /// When that heartbeat was received.
-    pub heard_at: Instant,
+    pub received_at: Instant,
     /// The state at the last heartbeat or tick.
     pub state: MemberState,
 }
@@ -146,7 +146,7 @@
         });
         let member = Member {
             heartbeat,
-            heard_at: now,
+            received_at: now,
             state,
         };
         self.members
@@ -158,8 +158,8 @@
     /// overdue. Returns the newly suspected ones.
     pub fn tick(&mut self, now: Instant) -> Vec<InstanceId> {
         self.members
-            .retain(|_, member| now.saturating_duration_since(member.heard_at) < FORGET_AFTER);
-        let near_members = u32::try_from(self.near().count())
+            .retain(|_, member| now.saturating_duration_since(member.received_at) < FORGET_AFTER);
+        let local_members = u32::try_from(self.local().count())
             .unwrap_or(u32::MAX)
             .saturating_add(1);
         let mut suspected = Vec::new();
@@ -169,9 +169,9 @@
                 SUSPECT_AFTER.max(interval * SUSPECT_ROUNDS)
             } else {
                 // It sends to the members of this domain in rotation.
-                SUSPECT_FAR_AFTER.max(interval * near_members * SUSPECT_FAR_TURNS)
+                SUSPECT_FAR_AFTER.max(interval * local_members * SUSPECT_FAR_TURNS)
             };
-            let is_silent = now.saturating_duration_since(member.heard_at) > patience;
+            let is_silent = now.saturating_duration_since(member.received_at) > patience;
             if is_silent && member.state != MemberState::Suspect {
                 member.state = MemberState::Suspect;
                 suspected.push(name.clone());
@@ -192,7 +192,7 @@
     }
 
     /// Members of the own domain that aren't suspected.
-    pub fn near(&self) -> impl Iterator<Item = &Member> {
+    pub fn local(&self) -> impl Iterator<Item = &Member> {
         let answering = self
             .members
             .values()
@@ -240,12 +240,12 @@
 
     /// Live instances of the own domain in order of their names, the own instance included.
     #[must_use]
-    pub fn live_near(&self) -> Vec<InstanceId> {
-        let mut near = self
+    pub fn live_local(&self) -> Vec<InstanceId> {
+        let mut local = self
             .live_by_domain()
             .remove(&self.own_domain)
             .unwrap_or_default();
-        near.sort();
-        near
+        local.sort();
+        local
     }
 }
--- a/crates/rookferry_core/tests/config.rs
+++ b/crates/rookferry_core/tests/config.rs
@@ -1,6 +1,6 @@
 //! Configurations: every fault with its path, and adoption only upward.
 
-use rookferry_core::Adopted;
+use rookferry_core::AdoptOutcome;
 use rookferry_core::ConfigAdopter;
 use rookferry_core::SiteConfig;
 use rookferry_core::changed_paths;
@@ -80,9 +80,9 @@
 fn only_a_higher_version_is_adopted() {
     let body = sound().to_string();
     let mut adopter = ConfigAdopter::new();
-    assert!(matches!(adopter.offer(7, &body), Adopted::InForce(_)));
-    assert!(matches!(adopter.offer(7, &body), Adopted::NotNewer));
-    assert!(matches!(adopter.offer(3, &body), Adopted::NotNewer));
+    assert!(matches!(adopter.offer(7, &body), AdoptOutcome::InForce(_)));
+    assert!(matches!(adopter.offer(7, &body), AdoptOutcome::NotNewer));
+    assert!(matches!(adopter.offer(3, &body), AdoptOutcome::NotNewer));
     assert_eq!(adopter.version(), 7);
 }
 
@@ -90,13 +90,13 @@
 fn a_bad_newer_one_leaves_the_old_in_force() {
     let body = sound().to_string();
     let mut adopter = ConfigAdopter::new();
-    assert!(matches!(adopter.offer(7, &body), Adopted::InForce(_)));
+    assert!(matches!(adopter.offer(7, &body), AdoptOutcome::InForce(_)));
     assert!(matches!(
         adopter.offer(8, "{\"x\": 1}"),
-        Adopted::Invalid(_)
+        AdoptOutcome::Invalid(_)
     ));
     assert_eq!((adopter.version(), adopter.seen()), (7, 8));
-    assert!(matches!(adopter.offer(9, &body), Adopted::InForce(_)));
+    assert!(matches!(adopter.offer(9, &body), AdoptOutcome::InForce(_)));
 }
 
 #[test]
--- a/crates/rookferry_core/tests/members.rs
+++ b/crates/rookferry_core/tests/members.rs
@@ -8,16 +8,16 @@
 use proptest::prelude::any;
 use proptest::prop_assert;
 use proptest::proptest;
-use rookferry_core::AskInput;
 use rookferry_core::HeartbeatFault;
 use rookferry_core::HeartbeatPlan;
 use rookferry_core::MemberState;
 use rookferry_core::MemberTable;
 use rookferry_core::PeerTarget;
-use rookferry_core::ask_interval;
-use rookferry_core::ask_reason;
-use rookferry_core::home_of;
-use rookferry_core::others_allowed;
+use rookferry_core::PollInput;
+use rookferry_core::extra_polls_allowed;
+use rookferry_core::poll_interval;
+use rookferry_core::poll_reason;
+use rookferry_core::rendezvous_owner;
 use rookferry_wire::DatagramKey;
 use rookferry_wire::Heartbeat;
 use rookferry_wire::InstanceId;
@@ -82,7 +82,7 @@
         table.tick(start + Duration::from_secs(3)).is_empty(),
         "told once"
     );
-    assert_eq!(table.live_near(), [InstanceId::from("own")]);
+    assert_eq!(table.live_local(), [InstanceId::from("own")]);
     let later = start + Duration::from_secs(4);
     assert_eq!(table.on_heartbeat(later, heartbeat("a", 5, 2)), Ok(true));
     assert_eq!(
@@ -167,8 +167,8 @@
         .collect();
     for number in 0..500 {
         let name = format!("object-{number}");
-        let before = home_of(&name, &all).expect("a home");
-        let after = home_of(&name, &rest).expect("a home");
+        let before = rendezvous_owner(&name, &all).expect("a home");
+        let after = rendezvous_owner(&name, &rest).expect("a home");
         assert!(before == after || **before == *"entry-4");
     }
 }
@@ -205,33 +205,33 @@
         .collect();
     for number in 0..207 {
         let engine = format!("engine-{number}");
-        let input = AskInput {
+        let input = PollInput {
             engine: &engine,
-            askers: &names,
+            candidates: &names,
             is_described: true,
-            last_news: Some(now),
+            last_update: Some(now),
         };
         let asking = names
             .iter()
-            .filter(|own| ask_reason(now, own, &input).is_some());
+            .filter(|own| poll_reason(now, own, &input).is_some());
         assert_eq!(asking.count(), 1);
         let later = now + Duration::from_secs(5);
         let asking = names
             .iter()
-            .filter(|own| ask_reason(later, own, &input).is_some());
+            .filter(|own| poll_reason(later, own, &input).is_some());
         assert_eq!(asking.count(), names.len());
     }
 }
 
 #[test]
 fn asks_stay_within_their_bytes() {
-    let interval = ask_interval(8, 6_000, Duration::from_millis(250));
+    let interval = poll_interval(8, 6_000, Duration::from_millis(250));
     assert!(
         8.0 * 550.0 / interval.as_secs_f64() <= 6_001.0,
         "{interval:?}"
     );
     assert_eq!(
-        ask_interval(0, 6_000, Duration::from_millis(250)),
+        poll_interval(0, 6_000, Duration::from_millis(250)),
         Duration::from_millis(250)
     );
 }
@@ -240,9 +240,13 @@
 /// of rarely; they must not be asked by everyone all the time.
 #[test]
 fn missed_engines_are_asked_within_the_budget() {
-    assert_eq!(others_allowed(8, 0, 8_000), 1);
-    assert_eq!(others_allowed(3, 0, 8_000), 4);
-    assert_eq!(others_allowed(0, 2_900, 8_000), 32, "a starting instance");
+    assert_eq!(extra_polls_allowed(8, 0, 8_000), 1);
+    assert_eq!(extra_polls_allowed(3, 0, 8_000), 4);
+    assert_eq!(
+        extra_polls_allowed(0, 2_900, 8_000),
+        32,
+        "a starting instance"
+    );
 }
 
 /// A member whose rounds are long is waited for longer.
--- a/crates/rookferry_entry/src/claims.rs
+++ b/crates/rookferry_entry/src/claims.rs
@@ -12,7 +12,7 @@
 use rookferry_core::ClaimEvent;
 use rookferry_core::ClaimKey;
 use rookferry_core::ClaimWriter;
-use rookferry_core::home_of;
+use rookferry_core::rendezvous_owner;
 use rookferry_net::Platform;
 use rookferry_net::PlatformError;
 use rookferry_wire::CLAIMS_KIND;
@@ -129,7 +129,7 @@
 fn home_addr(entry: &EntryState, object: &str) -> Option<SocketAddr> {
     let members = entry.peers.lock();
     let live = members.live();
-    let home = home_of(object, &live)?;
+    let home = rendezvous_owner(object, &live)?;
     members.get(home).map(|member| member.heartbeat.peer_addr)
 }
 
--- a/crates/rookferry_entry/src/config_sync.rs
+++ b/crates/rookferry_entry/src/config_sync.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use rookferry_core::Adopted;
+use rookferry_core::AdoptOutcome;
 use rookferry_core::ConfigAdopter;
 use rookferry_core::RoutingTable;
 use rookferry_core::SiteConfig;
@@ -84,10 +84,10 @@
         RoutingTable::new(current.adopter.version(), current.config.clone())
     }
 
-    fn offer(&self, version: ObjectVersion, body: &str) -> Adopted {
+    fn offer(&self, version: ObjectVersion, body: &str) -> AdoptOutcome {
         let mut current = self.lock();
         let adopted = current.adopter.offer(version, body);
-        if let Adopted::InForce(config) = &adopted {
+        if let AdoptOutcome::InForce(config) = &adopted {
             current.body = Arc::from(body);
             current.config = config.clone();
         }
@@ -102,13 +102,13 @@
 /// Takes a configuration from wherever it came.
 pub(crate) fn offer(entry: &Arc<EntryState>, source: &str, version: ObjectVersion, body: &str) {
     match entry.config.offer(version, body) {
-        Adopted::InForce(_) => {
+        AdoptOutcome::InForce(_) => {
             discovery::rebuild(entry);
             entry.peers.wake.notify_waiters();
             info!(entry.log, "config: in force"; "part" => "config", "version" => version, "source" => source);
         }
-        Adopted::NotNewer => {}
-        Adopted::Invalid(faults) => {
+        AdoptOutcome::NotNewer => {}
+        AdoptOutcome::Invalid(faults) => {
             error!(entry.log, "config: refused, the one in force stays";
                 "part" => "config", "version" => version, "source" => source, "faults" => %faults);
         }
@@ -176,7 +176,7 @@
 /// The first instances of the domain, by name, watch: which ones doesn't
 /// matter, as long as all agree and another follows when one goes.
 fn is_watcher(entry: &EntryState) -> bool {
-    let near: Vec<InstanceId> = entry.peers.lock().live_near();
+    let near: Vec<InstanceId> = entry.peers.lock().live_local();
     let position = near.iter().position(|name| *name == entry.instance);
     position.is_some_and(|position| position < WATCHERS_PER_DOMAIN)
 }
--- a/crates/rookferry_entry/src/discovery.rs
+++ b/crates/rookferry_entry/src/discovery.rs
@@ -16,9 +16,9 @@
 use futures_util::StreamExt;
 use futures_util::stream;
 use rand::RngExt;
-use rookferry_core::AskReason;
 use rookferry_core::MemberState;
-use rookferry_core::ask_interval;
+use rookferry_core::PollReason;
+use rookferry_core::poll_interval;
 use rookferry_net::clock;
 use rookferry_wire::EngineDigest;
 use rookferry_wire::InstanceId;
@@ -132,7 +132,7 @@
             described_at = Some(now);
         }
         let asked = ask_all(&entry, round, is_describing).await;
-        let interval = ask_interval(asked, limits.ask_bytes_per_s, shortest);
+        let interval = poll_interval(asked, limits.ask_bytes_per_s, shortest);
         let changed = entry.list_changed.notified();
         let _ = tokio::time::timeout(jittered(interval), changed).await;
     }
@@ -188,7 +188,7 @@
         prefixes.on_events(&engine, &events);
         entry.known.cache_events_read(&engine, events.next);
     }
-    if ask.reason == AskReason::Own && !is_describing {
+    if ask.reason == PollReason::Assigned && !is_describing {
         return false;
     }
     let info = entry.engines.info(addr).await.ok();
--- a/crates/rookferry_entry/src/http/operators.rs
+++ b/crates/rookferry_entry/src/http/operators.rs
@@ -170,8 +170,11 @@
             MemberState::Leaving => "leaving",
             MemberState::Suspect => "suspect",
         },
-        silent_ms: u64::try_from(now.saturating_duration_since(member.heard_at).as_millis())
-            .unwrap_or(u64::MAX),
+        silent_ms: u64::try_from(
+            now.saturating_duration_since(member.received_at)
+                .as_millis(),
+        )
+        .unwrap_or(u64::MAX),
     });
     members.collect()
 }
--- a/crates/rookferry_entry/src/known.rs
+++ b/crates/rookferry_entry/src/known.rs
@@ -10,16 +10,16 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use rookferry_core::AskInput;
-use rookferry_core::AskReason;
 use rookferry_core::Engine;
 use rookferry_core::EngineState;
 use rookferry_core::EngineStats;
+use rookferry_core::PollInput;
+use rookferry_core::PollReason;
 use rookferry_core::ServiceInstance;
-use rookferry_core::ask_reason;
 use rookferry_core::engine_tag;
+use rookferry_core::extra_polls_allowed;
 use rookferry_core::info_tag;
-use rookferry_core::others_allowed;
+use rookferry_core::poll_reason;
 use rookferry_wire::DomainId;
 use rookferry_wire::EngineDigest;
 use rookferry_wire::EngineId;
@@ -66,7 +66,7 @@
     pub(crate) engine: EngineId,
     pub(crate) addr: SocketAddr,
     pub(crate) next_cache_event: u64,
-    pub(crate) reason: AskReason,
+    pub(crate) reason: PollReason,
 }
 
 /// All backend servers that the list names.
@@ -192,19 +192,19 @@
             }
             let is_near = server.entry.failure_domain == *asker.failure_domain;
             let reason = server.ask_reason(now, asker);
-            server.is_own = reason == Some(AskReason::Own);
+            server.is_own = reason == Some(PollReason::Assigned);
             let Some(reason) = reason else {
                 continue;
             };
             undescribed += usize::from(server.info.is_none());
-            if reason == AskReason::Own {
+            if reason == PollReason::Assigned {
                 own.push(server.ask(reason));
             } else {
                 others.push((!is_near, server.last_news, server.ask(reason)));
             }
         }
         others.sort_by_key(|(is_far, last_news, _)| (*is_far, *last_news));
-        let allowed = others_allowed(own.len(), undescribed, asker.bytes_per_s);
+        let allowed = extra_polls_allowed(own.len(), undescribed, asker.bytes_per_s);
         own.extend(others.into_iter().take(allowed).map(|(.., ask)| ask));
         own
     }
@@ -276,18 +276,18 @@
 }
 
 impl KnownServer {
-    fn ask_reason(&self, now: Instant, asker: &Asker<'_>) -> Option<AskReason> {
+    fn ask_reason(&self, now: Instant, asker: &Asker<'_>) -> Option<PollReason> {
         let of_domain = asker.by_domain.get(&self.entry.failure_domain);
-        let input = AskInput {
+        let input = PollInput {
             engine: &self.entry.name,
-            askers: of_domain.map_or(asker.all, Vec::as_slice),
+            candidates: of_domain.map_or(asker.all, Vec::as_slice),
             is_described: self.info.is_some(),
-            last_news: self.last_news,
+            last_update: self.last_news,
         };
-        ask_reason(now, asker.own, &input)
+        poll_reason(now, asker.own, &input)
     }
 
-    fn ask(&self, reason: AskReason) -> Ask {
+    fn ask(&self, reason: PollReason) -> Ask {
         Ask {
             engine: self.entry.name.clone(),
             addr: self.entry.addr,
