--- a/crates/rookferry_core/src/member/adopt.rs
+++ b/crates/rookferry_core/src/member/adopt.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub struct ConfigAdopter {
     version: ObjectVersion,
-    refused: ObjectVersion,
+    rejected: ObjectVersion,
 }
 
 impl ConfigAdopter {
@@ -41,7 +41,7 @@
     /// The highest version seen, in force or rejected.
     #[must_use]
     pub fn seen(&self) -> ObjectVersion {
-        self.version.max(self.refused)
+        self.version.max(self.rejected)
     }
 
     /// Adopts a configuration in JSON from the platform or a peer if it is newer and
@@ -56,7 +56,7 @@
                 AdoptOutcome::InForce(Arc::new(config))
             }
             Err(faults) => {
-                self.refused = version;
+                self.rejected = version;
                 AdoptOutcome::Invalid(faults)
             }
         }
--- a/crates/rookferry_core/src/member/mod.rs
+++ b/crates/rookferry_core/src/member/mod.rs
@@ -10,22 +10,22 @@
 //! A suspicion only decides where to send; correctness doesn't depend on it.
 
 mod adopt;
-mod ask;
 mod plan;
+mod poll;
 mod table;
 
 pub use adopt::AdoptOutcome;
 pub use adopt::ConfigAdopter;
-pub use ask::PollInput;
-pub use ask::PollReason;
-pub use ask::engine_tag;
-pub use ask::extra_polls_allowed;
-pub use ask::info_tag;
-pub use ask::poll_interval;
-pub use ask::poll_reason;
 pub use plan::HeartbeatPlan;
 pub use plan::PeerTarget;
 pub use plan::rendezvous_owner;
+pub use poll::PollInput;
+pub use poll::PollReason;
+pub use poll::engine_tag;
+pub use poll::extra_polls_allowed;
+pub use poll::info_tag;
+pub use poll::poll_interval;
+pub use poll::poll_reason;
 pub use table::HeartbeatFault;
 pub use table::Member;
 pub use table::MemberState;
--- a/crates/rookferry_core/src/member/plan.rs
+++ b/crates/rookferry_core/src/member/plan.rs
@@ -57,30 +57,30 @@
         datagram_bytes: usize,
     ) -> Vec<&'a PeerTarget> {
         self.round += 1;
-        let mut far: BTreeMap<&DomainId, Vec<&PeerTarget>> = BTreeMap::new();
+        let mut remote: BTreeMap<&DomainId, Vec<&PeerTarget>> = BTreeMap::new();
         let mut targets = Vec::new();
         for peer in peers {
             if peer.failure_domain == self.own_domain {
                 targets.push(peer);
             } else {
-                far.entry(&peer.failure_domain).or_default().push(peer);
+                remote.entry(&peer.failure_domain).or_default().push(peer);
             }
         }
-        let each = self.far_each(targets.len(), far.len(), datagram_bytes);
-        for members in far.values() {
-            let each = each.min(members.len());
-            let first = usize::try_from(self.round).unwrap_or(0) * each;
-            targets.extend((0..each).map(|turn| members[(first + turn) % members.len()]));
+        let per_domain = self.remote_per_domain(targets.len(), remote.len(), datagram_bytes);
+        for members in remote.values() {
+            let per_domain = per_domain.min(members.len());
+            let first = usize::try_from(self.round).unwrap_or(0) * per_domain;
+            targets.extend((0..per_domain).map(|offset| members[(first + offset) % members.len()]));
         }
         targets
     }
 
     /// Number of members of each other domain that the budget of the shortest round
     /// allows, at least one.
-    fn far_each(&self, near: usize, domains: usize, datagram_bytes: usize) -> usize {
+    fn remote_per_domain(&self, local: usize, domains: usize, datagram_bytes: usize) -> usize {
         let bytes = u128::from(self.budget_bytes_per_s) * MIN_INTERVAL.as_millis() / 1_000;
         let fitting = usize::try_from(bytes).unwrap_or(0) / datagram_bytes.max(1);
-        (fitting.saturating_sub(near) / domains.max(1)).max(1)
+        (fitting.saturating_sub(local) / domains.max(1)).max(1)
     }
 
     /// The time until the next round after `targets` datagrams of `datagram_bytes`.
--- a/crates/rookferry_core/src/member/ask.rs
+++ b/crates/rookferry_core/src/member/poll.rs
@@ -17,17 +17,17 @@
 use super::rendezvous_owner;
 
 /// Time without an update on an engine after which an instance polls it itself.
-const MISSED_AFTER: Duration = Duration::from_secs(4);
+const STALE_AFTER: Duration = Duration::from_secs(4);
 /// Bytes of a poll and its answer, headers included, as counted against the budget.
-const BYTES_AN_ASK: u32 = 550;
+const BYTES_PER_POLL: u32 = 550;
 /// Shortest and longest time between polls.
 const MIN_INTERVAL: Duration = Duration::from_millis(50);
 const MAX_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Round length that the budget for polls of further engines is computed for.
-const USUAL_ROUND: Duration = Duration::from_millis(500);
+const BUDGET_ROUND: Duration = Duration::from_millis(500);
 /// Most engines that are polled for their first description in one round.
-const MAX_UNDESCRIBED_A_ROUND: usize = 32;
+const MAX_UNDESCRIBED_PER_ROUND: usize = 32;
 
 /// Why an instance polls an engine itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -62,17 +62,17 @@
     if !input.is_described {
         return Some(PollReason::Undescribed);
     }
-    let is_missed = input
+    let is_stale = input
         .last_update
-        .is_none_or(|at| now.saturating_duration_since(at) > MISSED_AFTER);
-    is_missed.then_some(PollReason::Stale)
+        .is_none_or(|at| now.saturating_duration_since(at) > STALE_AFTER);
+    is_stale.then_some(PollReason::Stale)
 }
 
-/// The time between polls of `asked` engines that keeps within a budget, at least
+/// The time between polls of `polled` engines that keeps within a budget, at least
 /// `shortest`.
 #[must_use]
-pub fn poll_interval(asked: usize, budget_bytes_per_s: u32, shortest: Duration) -> Duration {
-    let bytes = asked as f64 * f64::from(BYTES_AN_ASK);
+pub fn poll_interval(polled: usize, budget_bytes_per_s: u32, shortest: Duration) -> Duration {
+    let bytes = polled as f64 * f64::from(BYTES_PER_POLL);
     let interval = Duration::from_secs_f64(bytes / f64::from(budget_bytes_per_s.max(1)));
     interval.clamp(shortest.max(MIN_INTERVAL), MAX_INTERVAL.max(shortest))
 }
@@ -82,11 +82,13 @@
 /// are allowed beyond the budget, since a starting instance needs them.
 #[must_use]
 pub fn extra_polls_allowed(own: usize, undescribed: usize, budget_bytes_per_s: u32) -> usize {
-    let bytes_a_round = u128::from(budget_bytes_per_s) * USUAL_ROUND.as_millis() / 1_000;
-    let asks_a_round =
-        usize::try_from(bytes_a_round / u128::from(BYTES_AN_ASK)).unwrap_or(usize::MAX);
-    let left = asks_a_round.saturating_sub(own);
-    left.max(1).max(undescribed.min(MAX_UNDESCRIBED_A_ROUND))
+    let bytes_per_round = u128::from(budget_bytes_per_s) * BUDGET_ROUND.as_millis() / 1_000;
+    let polls_per_round =
+        usize::try_from(bytes_per_round / u128::from(BYTES_PER_POLL)).unwrap_or(usize::MAX);
+    let remaining = polls_per_round.saturating_sub(own);
+    remaining
+        .max(1)
+        .max(undescribed.min(MAX_UNDESCRIBED_PER_ROUND))
 }
 
 /// Hash that identifies an engine in heartbeats; depends on its name only.
--- a/crates/rookferry_core/src/member/table.rs
+++ b/crates/rookferry_core/src/member/table.rs
@@ -15,14 +15,14 @@
 use snafu::ensure;
 
 /// Missed rounds after which a member of the own domain is suspected.
-const SUSPECT_ROUNDS: u32 = 4;
+const SUSPECT_MISSED_ROUNDS: u32 = 4;
 /// Shortest silence after which a member of the own domain is suspected.
 const SUSPECT_AFTER: Duration = Duration::from_millis(1_500);
 /// Shortest silence after which a member of another domain is suspected; its heartbeats
 /// are less frequent.
-const SUSPECT_FAR_AFTER: Duration = Duration::from_secs(10);
+const SUSPECT_REMOTE_AFTER: Duration = Duration::from_secs(10);
 /// Missed rotations after which a member of another domain is suspected.
-const SUSPECT_FAR_TURNS: u32 = 2;
+const SUSPECT_MISSED_ROTATIONS: u32 = 2;
 /// Silence after which a member is removed.
 const FORGET_AFTER: Duration = Duration::from_mins(2);
 /// Upper bound of stored members, so that a flood of names can't exhaust the memory.
@@ -139,7 +139,7 @@
         } else {
             MemberState::Live
         };
-        let is_news = known.is_none_or(|known| {
+        let is_change = known.is_none_or(|known| {
             known.state != state
                 || known.heartbeat.incarnation != heartbeat.incarnation
                 || known.heartbeat.config_version != heartbeat.config_version
@@ -151,7 +151,7 @@
         };
         self.members
             .insert(member.heartbeat.instance.clone(), member);
-        Ok(is_news)
+        Ok(is_change)
     }
 
     /// Removes members that were silent for long, and suspects those whose heartbeats are
@@ -165,14 +165,14 @@
         let mut suspected = Vec::new();
         for (name, member) in &mut self.members {
             let interval = Duration::from_millis(member.heartbeat.interval_ms.into());
-            let patience = if member.heartbeat.failure_domain == self.own_domain {
-                SUSPECT_AFTER.max(interval * SUSPECT_ROUNDS)
+            let timeout = if member.heartbeat.failure_domain == self.own_domain {
+                SUSPECT_AFTER.max(interval * SUSPECT_MISSED_ROUNDS)
             } else {
                 // It sends to the members of this domain in rotation.
-                SUSPECT_FAR_AFTER.max(interval * local_members * SUSPECT_FAR_TURNS)
+                SUSPECT_REMOTE_AFTER.max(interval * local_members * SUSPECT_MISSED_ROTATIONS)
             };
-            let is_silent = now.saturating_duration_since(member.received_at) > patience;
-            if is_silent && member.state != MemberState::Suspect {
+            let is_overdue = now.saturating_duration_since(member.received_at) > timeout;
+            if is_overdue && member.state != MemberState::Suspect {
                 member.state = MemberState::Suspect;
                 suspected.push(name.clone());
             }
@@ -193,22 +193,22 @@
 
     /// Members of the own domain that aren't suspected.
     pub fn local(&self) -> impl Iterator<Item = &Member> {
-        let answering = self
+        let unsuspected = self
             .members
             .values()
             .filter(|member| member.state != MemberState::Suspect);
-        answering.filter(|member| member.heartbeat.failure_domain == self.own_domain)
+        unsuspected.filter(|member| member.heartbeat.failure_domain == self.own_domain)
     }
 
     /// The highest configuration version among members that aren't suspected, and a member
     /// that has it.
     #[must_use]
     pub fn newest_config(&self) -> Option<(ObjectVersion, &Member)> {
-        let answering = self
+        let unsuspected = self
             .members
             .values()
             .filter(|member| member.state != MemberState::Suspect);
-        let newest = answering.max_by_key(|member| member.heartbeat.config_version)?;
+        let newest = unsuspected.max_by_key(|member| member.heartbeat.config_version)?;
         Some((newest.heartbeat.config_version, newest))
     }
 
