--- a/crates/rookferry_core/src/limits/book.rs
+++ b/crates/rookferry_core/src/limits/book.rs
@@ -30,13 +30,13 @@
 
 /// The permits that an instance was refused, and its requests sent without a permit.
 #[derive(Clone, Debug, Default)]
-pub struct PermitBook {
+pub struct PermitTracker {
     refused: HashMap<ServerKey, Refused>,
     /// Unreported requests that were recently sent without a permit, in order of time.
     sent: VecDeque<(Instant, ServerKey)>,
 }
 
-impl PermitBook {
+impl PermitTracker {
     /// An empty record.
     #[must_use]
     pub fn new() -> Self {
@@ -45,7 +45,7 @@
 
     /// Records a refused permit. `chance`, random from 0 to 1, extends the time until the
     /// next permit request.
-    pub fn note_refused(
+    pub fn record_refusal(
         &mut self,
         server: ServerKey,
         urgency: Urgency,
@@ -90,12 +90,12 @@
     }
 
     /// Clears the refusal of a server whose limit changed or was lifted.
-    pub fn forget(&mut self, server: ServerKey) {
+    pub fn clear_refusal(&mut self, server: ServerKey) {
         self.refused.remove(&server);
     }
 
     /// Records a request that was sent to a server without a permit.
-    pub fn note_sent(&mut self, server: ServerKey, now: Instant) {
+    pub fn record_sent(&mut self, server: ServerKey, now: Instant) {
         self.expire(now);
         if self.sent.len() < MOST_SENT {
             self.sent.push_back((now, server));
--- a/crates/rookferry_core/src/limits/granter.rs
+++ b/crates/rookferry_core/src/limits/granter.rs
@@ -79,7 +79,7 @@
     }
 
     /// Records a request that an instance sent without a permit, some time ago.
-    pub fn note_sent(&mut self, ago: Duration, now: Instant) {
+    pub fn record_sent(&mut self, ago: Duration, now: Instant) {
         let at = now.checked_sub(ago).unwrap_or(now);
         let place = self.sent.partition_point(|sent| *sent <= at);
         self.sent.insert(place, at);
--- a/crates/rookferry_core/src/limits/mod.rs
+++ b/crates/rookferry_core/src/limits/mod.rs
@@ -4,7 +4,7 @@
 //! |---|---|
 //! | [`ServerLimits`] | which limit did a server last state, to any instance? |
 //! | [`PermitGranter`] | may a request be sent to a server now? |
-//! | [`PermitBook`] | which permits was this instance refused, and what did it send without? |
+//! | [`PermitTracker`] | which permits was this instance refused, and what did it send without? |
 //!
 //! A fixed share per instance doesn't work: hundreds of instances with one pending request
 //! each are far over a limit of a few requests per second, and an equal share of such a
@@ -24,13 +24,13 @@
 mod rate;
 mod words;
 
-pub use book::PermitBook;
+pub use book::PermitTracker;
 pub use granter::PermitGranter;
 pub use permit::Permit;
 pub use permit::PermitAnswer;
-pub use permit::PermitAsk;
 pub use permit::PermitRefusal;
+pub use permit::PermitRequest;
 pub use rate::RequestRate;
 pub use words::LimitChange;
-pub use words::LimitSeen;
+pub use words::LimitObservation;
 pub use words::ServerLimits;
--- a/crates/rookferry_core/src/limits/permit.rs
+++ b/crates/rookferry_core/src/limits/permit.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::LimitSeen;
+use super::LimitObservation;
 use crate::serving::ServerKey;
 use crate::serving::Urgency;
 
@@ -27,7 +27,7 @@
 impl Permit {
     /// A granted permit that was requested at a time.
     #[must_use]
-    pub fn asked_at(server: ServerKey, at: Instant) -> Self {
+    pub fn requested_at(server: ServerKey, at: Instant) -> Self {
         Self {
             server,
             until: at + GOOD_FOR,
@@ -43,11 +43,11 @@
 
 /// A request to the granter of a server for one permit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     /// Number that matches the answer to this message.
     pub number: u64,
     /// The server, and its limit as last known to the sender.
-    pub seen: LimitSeen,
+    pub seen: LimitObservation,
     /// Urgency of the caller's request; none if the sender only reports what it sent.
     pub urgency: Option<Urgency>,
     /// Age in milliseconds of each request that the sender sent to the server without a
--- a/crates/rookferry_core/src/limits/rate.rs
+++ b/crates/rookferry_core/src/limits/rate.rs
@@ -20,7 +20,7 @@
     /// A limit in requests per second, raised to the lower bound. None if it is negative,
     /// not a number, or too high to have an effect.
     #[must_use]
-    pub fn bounded(per_s: f64) -> Option<Self> {
+    pub fn from_per_s(per_s: f64) -> Option<Self> {
         let bounds = (0.0..BOUNDLESS_PER_S).contains(&per_s);
         bounds.then(|| Self {
             per_s: per_s.max(LEAST_PER_S),
--- a/crates/rookferry_core/src/limits/words.rs
+++ b/crates/rookferry_core/src/limits/words.rs
@@ -44,7 +44,7 @@
 
 /// An observation of a server's limit, as advertised to other instances.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LimitSeen {
+pub struct LimitObservation {
     /// The server.
     pub server: ServerKey,
     /// The limit that it stated; none if it answered without one.
@@ -81,12 +81,12 @@
 
     /// Whether there is no observation of any server.
     #[must_use]
-    pub fn is_unknown(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.words.is_empty()
     }
 
     /// Records a limit that a server stated in an answer. Returns the change, if any.
-    pub fn named(
+    pub fn record_limit(
         &mut self,
         server: ServerKey,
         rate: RequestRate,
@@ -99,7 +99,7 @@
 
     /// Records an answer without a limit. Answers to requests sent before the server last
     /// stated its limit are ignored, since they may be older than that statement.
-    pub fn not_named(
+    pub fn record_unlimited(
         &mut self,
         server: ServerKey,
         sent_at: Instant,
@@ -117,10 +117,10 @@
     }
 
     /// Merges a peer's observation. Returns the change, if any.
-    pub fn hear(&mut self, seen: LimitSeen, now: Instant) -> Option<LimitChange> {
+    pub fn merge(&mut self, seen: LimitObservation, now: Instant) -> Option<LimitChange> {
         let rate = seen
             .rate
-            .and_then(|rate| RequestRate::bounded(rate.per_s()));
+            .and_then(|rate| RequestRate::from_per_s(rate.per_s()));
         let at = now.checked_sub(Duration::from_millis(seen.age_ms))?;
         let Some(known) = self.words.get_mut(&seen.server) else {
             // A lifted limit changes nothing for an unknown server; an old one is ignored.
@@ -150,13 +150,13 @@
     /// At most `most` observations to advertise in a heartbeat, the latest first and the
     /// older ones in rotation by `turn`.
     #[must_use]
-    pub fn told(&self, most: usize, turn: usize, now: Instant) -> Vec<LimitSeen> {
+    pub fn advertised(&self, most: usize, turn: usize, now: Instant) -> Vec<LimitObservation> {
         let words = self.words.iter();
         let told = words.filter(|(_, word)| {
             word.rate.is_some() || now.saturating_duration_since(word.at) < LIFTED_TOLD
         });
-        let mut told: Vec<LimitSeen> = told
-            .map(|(server, word)| LimitSeen {
+        let mut told: Vec<LimitObservation> = told
+            .map(|(server, word)| LimitObservation {
                 server: *server,
                 rate: word.rate,
                 age_ms: millis(now.saturating_duration_since(word.at)),
--- a/crates/rookferry_core/src/peers/message.rs
+++ b/crates/rookferry_core/src/peers/message.rs
@@ -16,7 +16,7 @@
 
 use super::Capacity;
 use super::LoadEntry;
-use crate::limits::LimitSeen;
+use crate::limits::LimitObservation;
 use crate::serving::ClosedSeen;
 use crate::serving::DepartureSeen;
 use crate::serving::ListVersion;
@@ -64,7 +64,7 @@
     /// What the sender knows of requests under which servers crashed.
     pub suspects: Vec<SuspectSeen>,
     /// Latest observations of server limits.
-    pub limits: Vec<LimitSeen>,
+    pub limits: Vec<LimitObservation>,
     /// Leaving servers, as known to the sender.
     pub departed: Vec<DepartureSeen>,
     /// A part of the members that the sender knows.
--- a/crates/rookferry_core/tests/limits.rs
+++ b/crates/rookferry_core/tests/limits.rs
@@ -16,10 +16,10 @@
 use limited_site::PATIENT;
 use limited_site::URGENT;
 use rookferry_core::LimitChange;
-use rookferry_core::LimitSeen;
-use rookferry_core::PermitBook;
+use rookferry_core::LimitObservation;
 use rookferry_core::PermitGranter;
 use rookferry_core::PermitRefusal;
+use rookferry_core::PermitTracker;
 use rookferry_core::RequestRate;
 use rookferry_core::ServerKey;
 use rookferry_core::ServerLimits;
@@ -252,7 +252,7 @@
 }
 
 fn rate(per_s: f64) -> RequestRate {
-    RequestRate::bounded(per_s).expect("a rate")
+    RequestRate::from_per_s(per_s).expect("a rate")
 }
 
 #[rstest]
@@ -261,7 +261,10 @@
 #[case::without_end(f64::INFINITY, None)]
 #[case::huge(1e300, None)]
 fn what_can_not_be_meant_bounds_nothing(#[case] per_s: f64, #[case] bounded: Option<f64>) {
-    assert_eq!(RequestRate::bounded(per_s).map(RequestRate::per_s), bounded);
+    assert_eq!(
+        RequestRate::from_per_s(per_s).map(RequestRate::per_s),
+        bounded
+    );
 }
 
 #[test]
@@ -282,7 +285,7 @@
     let now = Instant::now();
     let mut granter = PermitGranter::new(rate(3.0), now);
     for _ in 0..40 {
-        granter.note_sent(Duration::from_millis(500), now);
+        granter.record_sent(Duration::from_millis(500), now);
     }
     let soon = now + Duration::from_secs(3);
     let refusal = granter.take(URGENT, 1.0, soon).expect_err("a full span");
@@ -297,14 +300,14 @@
     let now = Instant::now();
     let mut granter = PermitGranter::new(rate(3.0), now);
     for _ in 0..20_000 {
-        granter.note_sent(Duration::ZERO, now);
+        granter.record_sent(Duration::ZERO, now);
     }
     let later = now + Duration::from_secs(5);
     granter.take(URGENT, 1.0, later).expect("a permit");
 }
 
-fn seen(per_s: Option<f64>, age_ms: u64) -> LimitSeen {
-    LimitSeen {
+fn seen(per_s: Option<f64>, age_ms: u64) -> LimitObservation {
+    LimitObservation {
         server: key(),
         rate: per_s.map(rate),
         age_ms,
@@ -316,25 +319,25 @@
     let now = Instant::now() + Duration::from_mins(1);
     let mut limits = ServerLimits::new();
     assert_eq!(
-        limits.named(key(), rate(3.0), now),
+        limits.record_limit(key(), rate(3.0), now),
         Some(LimitChange::Named(rate(3.0)))
     );
     let later = now + Duration::from_secs(2);
     let sent_at = now + Duration::from_secs(1);
     assert_eq!(
-        limits.not_named(key(), sent_at, later),
+        limits.record_unlimited(key(), sent_at, later),
         Some(LimitChange::Lifted)
     );
     // Another still tells of the time before.
-    assert_eq!(limits.hear(seen(Some(3.0), 2_000), later), None);
+    assert_eq!(limits.merge(seen(Some(3.0), 2_000), later), None);
     assert_eq!(limits.of(key()), None);
     // And then of a later one.
     let much_later = later + Duration::from_secs(3);
     assert_eq!(
-        limits.hear(seen(Some(2.0), 100), much_later),
+        limits.merge(seen(Some(2.0), 100), much_later),
         Some(LimitChange::Named(rate(2.0)))
     );
-    assert_eq!(limits.hear(seen(None, 2_000), much_later), None);
+    assert_eq!(limits.merge(seen(None, 2_000), much_later), None);
     assert_eq!(limits.of(key()), Some(rate(2.0)));
 }
 
@@ -343,9 +346,9 @@
 fn a_word_that_is_passed_on_does_not_grow_younger() {
     let now = Instant::now() + Duration::from_mins(1);
     let mut limits = ServerLimits::new();
-    limits.named(key(), rate(3.0), now);
+    limits.record_limit(key(), rate(3.0), now);
     let later = now + Duration::from_secs(30);
-    limits.hear(seen(Some(3.0), 50), later);
+    limits.merge(seen(Some(3.0), 50), later);
     assert_eq!(limits.age(key(), later), Some(Duration::from_secs(30)));
 }
 
@@ -355,9 +358,9 @@
     let now = Instant::now();
     let mut limits = ServerLimits::new();
     let named_at = now + Duration::from_millis(50);
-    limits.named(key(), rate(3.0), named_at);
+    limits.record_limit(key(), rate(3.0), named_at);
     let later = now + Duration::from_millis(90);
-    assert_eq!(limits.not_named(key(), now, later), None);
+    assert_eq!(limits.record_unlimited(key(), now, later), None);
     assert_eq!(limits.of(key()), Some(rate(3.0)));
 }
 
@@ -365,7 +368,7 @@
 fn a_limit_is_of_one_start() {
     let now = Instant::now();
     let mut limits = ServerLimits::new();
-    limits.named(key(), rate(3.0), now);
+    limits.record_limit(key(), rate(3.0), now);
     let next = ServerKey::new(key().addr, "server", Some(2));
     assert_eq!(limits.of(next), None);
 }
@@ -373,12 +376,12 @@
 #[test]
 fn a_more_urgent_request_is_not_kept_from_asking() {
     let now = Instant::now();
-    let mut book = PermitBook::new();
+    let mut book = PermitTracker::new();
     let refusal = PermitRefusal {
         ask_again_ms: 1_000,
         spread_ms: 1_000,
     };
-    book.note_refused(key(), PATIENT, refusal, 0.0, now);
+    book.record_refusal(key(), PATIENT, refusal, 0.0, now);
     assert!(book.refused_until(key(), PATIENT, now).is_some());
     assert_eq!(book.refused_until(key(), URGENT, now), None);
     let later = now + Duration::from_millis(1_001);
--- a/crates/rookferry_core/tests/support/limited_site.rs
+++ b/crates/rookferry_core/tests/support/limited_site.rs
@@ -12,13 +12,13 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use rookferry_core::LimitSeen;
+use rookferry_core::LimitObservation;
 use rookferry_core::Permit;
 use rookferry_core::PermitAnswer;
-use rookferry_core::PermitAsk;
-use rookferry_core::PermitBook;
 use rookferry_core::PermitGranter;
 use rookferry_core::PermitRefusal;
+use rookferry_core::PermitRequest;
+use rookferry_core::PermitTracker;
 use rookferry_core::RequestRate;
 use rookferry_core::ServerKey;
 use rookferry_core::Urgency;
@@ -74,7 +74,7 @@
 struct Question {
     from: usize,
     to: usize,
-    ask: PermitAsk,
+    ask: PermitRequest,
     request: Option<Request>,
     answer: Option<PermitAnswer>,
     /// Whom else to ask.
@@ -83,7 +83,7 @@
 
 #[derive(Default)]
 struct Desk {
-    book: PermitBook,
+    book: PermitTracker,
     granter: Option<PermitGranter>,
 }
 
@@ -256,7 +256,7 @@
         };
         let now = self.site.now();
         if self.site.instances[place].limits.of(self.server).is_none() {
-            self.desks[place].book.note_sent(self.server, now);
+            self.desks[place].book.record_sent(self.server, now);
             return self.send(request);
         }
         let refused = self.desks[place]
@@ -279,9 +279,9 @@
         let home = domain_name(HOME).into();
         let mut others = instance.table.permit_granters(self.server, &home, now);
         others.reverse();
-        let ask = PermitAsk {
+        let ask = PermitRequest {
             number: 0,
-            seen: LimitSeen {
+            seen: LimitObservation {
                 server: self.server,
                 rate: Some(rate),
                 age_ms: u64::try_from(age.as_millis()).expect("a time"),
@@ -295,7 +295,7 @@
     fn ask_next(
         &mut self,
         from: usize,
-        ask: PermitAsk,
+        ask: PermitRequest,
         request: Option<Request>,
         mut others: Vec<SocketAddr>,
     ) {
@@ -357,11 +357,11 @@
         }
     }
 
-    fn judge(&mut self, place: usize, ask: &PermitAsk) -> PermitAnswer {
+    fn judge(&mut self, place: usize, ask: &PermitRequest) -> PermitAnswer {
         let now = self.site.now();
         let home = domain_name(HOME).into();
         let instance = &mut self.site.instances[place];
-        instance.limits.hear(ask.seen, now);
+        instance.limits.merge(ask.seen, now);
         let granters = instance.table.permit_granters(self.server, &home, now);
         if granters[0] != instance.addr {
             return PermitAnswer::Elsewhere(Some(granters[0]));
@@ -377,7 +377,7 @@
         let granter = granter.get_or_insert_with(|| PermitGranter::new(rate, now));
         granter.set_rate(rate);
         for ago_ms in &ask.sent_ms_ago {
-            granter.note_sent(Duration::from_millis(u64::from(*ago_ms)), now);
+            granter.record_sent(Duration::from_millis(u64::from(*ago_ms)), now);
         }
         let Some(urgency) = ask.urgency else {
             return PermitAnswer::Granted;
@@ -401,7 +401,7 @@
         match question.answer.expect("an answer") {
             PermitAnswer::Granted => {
                 let asked_at = self.site.start + Duration::from_millis(request.asked_ms);
-                let permit = Permit::asked_at(self.server, asked_at);
+                let permit = Permit::requested_at(self.server, asked_at);
                 if permit.allows(self.server, self.site.now()) {
                     self.send(request);
                 }
@@ -430,7 +430,7 @@
     fn note_refused(&mut self, request: Request, refusal: PermitRefusal) {
         let chance = self.rng.random_range(0.0..1.0);
         let now = self.site.now();
-        self.desks[request.place].book.note_refused(
+        self.desks[request.place].book.record_refusal(
             self.server,
             request.urgency,
             refusal,
@@ -476,16 +476,16 @@
         let now = self.site.now();
         let sent_at: Instant = self.site.start + Duration::from_millis(sent_ms);
         let instance = &mut self.site.instances[place];
-        let rate = centi_per_s.and_then(|centi| RequestRate::bounded(f64::from(centi) / 100.0));
+        let rate = centi_per_s.and_then(|centi| RequestRate::from_per_s(f64::from(centi) / 100.0));
         if rate.is_some() {
             self.told_ms.entry(place).or_insert(self.site.now_ms);
         }
         let change = match rate {
-            Some(rate) => instance.limits.named(self.server, rate, now),
-            None => instance.limits.not_named(self.server, sent_at, now),
+            Some(rate) => instance.limits.record_limit(self.server, rate, now),
+            None => instance.limits.record_unlimited(self.server, sent_at, now),
         };
         if change.is_some() {
-            self.desks[place].book.forget(self.server);
+            self.desks[place].book.clear_refusal(self.server);
             self.ask(place, None);
         }
     }
--- a/crates/rookferry_core/tests/support/peer_site.rs
+++ b/crates/rookferry_core/tests/support/peer_site.rs
@@ -358,7 +358,7 @@
             return;
         }
         for seen in &beat.limits {
-            receiver.limits.hear(*seen, now);
+            receiver.limits.merge(*seen, now);
         }
         for seen in &beat.departed {
             receiver.departed.hear(*seen, now);
@@ -498,7 +498,7 @@
         out_count: u32::try_from(instance.out.len()).unwrap(),
         limits: instance
             .limits
-            .told(32, usize::try_from(instance.round / 2).unwrap(), now),
+            .advertised(32, usize::try_from(instance.round / 2).unwrap(), now),
         departed: instance
             .departed
             .told(24, usize::try_from(instance.round / 2).unwrap(), now),
--- a/crates/rookferry_relay/src/beliefs.rs
+++ b/crates/rookferry_relay/src/beliefs.rs
@@ -175,7 +175,7 @@
         update(&self.departed, |departed| {
             note_departures(departed, before, servers);
         });
-        if !self.limits.load().is_unknown() {
+        if !self.limits.load().is_empty() {
             self.update_limits(|limits| limits.retain(clock::now(), is_known));
         }
     }
--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -14,7 +14,7 @@
 use rookferry_core::DepartedServers;
 use rookferry_core::ModelShape;
 use rookferry_core::PathStage;
-use rookferry_core::PermitBook;
+use rookferry_core::PermitTracker;
 use rookferry_core::PipelineEngine;
 use rookferry_core::PipelinePath;
 use rookferry_core::ProbeRole;
@@ -301,7 +301,7 @@
     pub(crate) health: MutexGuard<'a, ServerHealth>,
     backoffs: Guard<Arc<Backoffs<ServerKey>>>,
     departed: Guard<Arc<DepartedServers>>,
-    book: MutexGuard<'a, PermitBook>,
+    book: MutexGuard<'a, PermitTracker>,
     urgency: Urgency,
 }
 
--- a/crates/rookferry_relay/src/exchange.rs
+++ b/crates/rookferry_relay/src/exchange.rs
@@ -106,7 +106,7 @@
     /// there is a limit.
     fn note_sent(&self, server: ServerKey, purpose: Purpose<'_>) {
         match purpose {
-            Purpose::OwnCall => self.permits.book().note_sent(server, clock::now()),
+            Purpose::OwnCall => self.permits.book().record_sent(server, clock::now()),
             Purpose::CallerRequest(permits) => self.note_passed(permits),
         }
     }
@@ -116,7 +116,7 @@
         let now = clock::now();
         let mut book = self.permits.book();
         for server in permits.unpermitted(now) {
-            book.note_sent(server, now);
+            book.record_sent(server, now);
         }
     }
 
@@ -155,7 +155,7 @@
         }
         match self.protocol.named_limit(headers) {
             Ok(named) => {
-                let rate = named.and_then(RequestRate::bounded);
+                let rate = named.and_then(RequestRate::from_per_s);
                 notice.limit = rate.map_or(LimitNotice::None, LimitNotice::Named);
             }
             Err(error) => self.note_unreadable(server, &error),
@@ -193,12 +193,12 @@
         let change = match (limit, purpose) {
             (LimitNotice::Named(rate), _) => self
                 .beliefs
-                .update_limits(|limits| limits.named(server, rate, now)),
+                .update_limits(|limits| limits.record_limit(server, rate, now)),
             (LimitNotice::None, Purpose::CallerRequest(_))
                 if self.beliefs.limits().of(server).is_some() =>
             {
                 self.beliefs
-                    .update_limits(|limits| limits.not_named(server, sent_at, now))
+                    .update_limits(|limits| limits.record_unlimited(server, sent_at, now))
             }
             _ => None,
         };
--- a/crates/rookferry_relay/src/peers/compose.rs
+++ b/crates/rookferry_relay/src/peers/compose.rs
@@ -124,7 +124,11 @@
             out_count: u32::try_from(out_count).unwrap_or(u32::MAX),
             closed,
             suspects: self.relay.quarantine.next_told(MAX_SUSPECTS, now),
-            limits: self.relay.beliefs.limits().told(MAX_LIMITS, turn, now),
+            limits: self
+                .relay
+                .beliefs
+                .limits()
+                .advertised(MAX_LIMITS, turn, now),
             departed: self.relay.beliefs.departed().told(MAX_DEPARTED, turn, now),
             members,
             instances: u32::try_from(instances).unwrap_or(u32::MAX),
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/intake.rs
@@ -129,7 +129,7 @@
             if beliefs.limits().of(seen.server) == seen.rate {
                 continue;
             }
-            if let Some(change) = beliefs.update_limits(|limits| limits.hear(*seen, now)) {
+            if let Some(change) = beliefs.update_limits(|limits| limits.merge(*seen, now)) {
                 self.relay.note_limit(seen.server, change, &beat.instance);
                 self.relay.tell_sent(seen.server);
             }
--- a/crates/rookferry_relay/src/peers/message.rs
+++ b/crates/rookferry_relay/src/peers/message.rs
@@ -7,7 +7,7 @@
 use rookferry_core::ListMark;
 use rookferry_core::ListVersion;
 use rookferry_core::PermitAnswer;
-use rookferry_core::PermitAsk;
+use rookferry_core::PermitRequest;
 use rookferry_core::ServingConfig;
 use serde::Deserialize;
 use serde::Serialize;
@@ -18,7 +18,7 @@
     /// What an instance tells of itself and of the site.
     Heartbeat(H),
     /// May a request be sent?
-    Ask(PermitAsk),
+    Ask(PermitRequest),
     /// The answer to the question of a number.
     Answer(u64, PermitAnswer),
 }
--- a/crates/rookferry_relay/src/permits.rs
+++ b/crates/rookferry_relay/src/permits.rs
@@ -17,13 +17,13 @@
 
 use metrics::counter;
 use rookferry_core::LimitChange;
-use rookferry_core::LimitSeen;
+use rookferry_core::LimitObservation;
 use rookferry_core::Permit;
 use rookferry_core::PermitAnswer;
-use rookferry_core::PermitAsk;
-use rookferry_core::PermitBook;
 use rookferry_core::PermitGranter;
 use rookferry_core::PermitRefusal;
+use rookferry_core::PermitRequest;
+use rookferry_core::PermitTracker;
 use rookferry_core::RequestRate;
 use rookferry_core::ServerKey;
 use rookferry_core::ServerLimits;
@@ -89,7 +89,7 @@
     last_number: AtomicU64,
     waiting: Mutex<HashMap<u64, oneshot::Sender<PermitAnswer>>>,
     granters: Mutex<HashMap<ServerKey, Granter>>,
-    book: Mutex<PermitBook>,
+    book: Mutex<PermitTracker>,
 }
 
 /// What this instance grants for one server.
@@ -138,7 +138,7 @@
         self.socket.get_or_init(|| socket);
     }
 
-    pub(crate) fn book(&self) -> MutexGuard<'_, PermitBook> {
+    pub(crate) fn book(&self) -> MutexGuard<'_, PermitTracker> {
         lock(&self.book)
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Asks another instance; nothing if it doesn't answer in time.
-    async fn ask(&self, to: SocketAddr, ask: &PermitAsk) -> Option<PermitAnswer> {
+    async fn ask(&self, to: SocketAddr, ask: &PermitRequest) -> Option<PermitAnswer> {
         let (sender, receiver) = oneshot::channel();
         lock(&self.waiting).insert(ask.number, sender);
         let _waiting = Waiting {
@@ -214,7 +214,7 @@
         let outcome = self.ask_granters(ask).await;
         let Err(refused) = outcome else {
             counter!("rookferry_permits_total", "outcome" => "granted").increment(1);
-            return Some(Permit::asked_at(server, asked_at));
+            return Some(Permit::requested_at(server, asked_at));
         };
         counter!("rookferry_permits_total", "outcome" => "refused").increment(1);
         self.note_refused(request, server, rate, refused);
@@ -233,7 +233,7 @@
         let now = clock::now();
         self.permits
             .book()
-            .note_refused(server, request.urgency, refusal, chance, now);
+            .record_refusal(server, request.urgency, refusal, chance, now);
         if let Some(log) = self.events.line(Weight::Routine) {
             let limits = self.beliefs.limits();
             info!(log, "request: a server with a limit takes no more now";
@@ -246,13 +246,13 @@
     }
 
     /// A question that only tells what was sent.
-    fn question(&self, server: ServerKey, rate: RequestRate, now: Instant) -> PermitAsk {
+    fn question(&self, server: ServerKey, rate: RequestRate, now: Instant) -> PermitRequest {
         let age = self.beliefs.limits().age(server, now);
         let mut sent_ms_ago = self.permits.book().take_sent(server, now);
         sent_ms_ago.truncate(MAX_SENT_TOLD);
-        PermitAsk {
+        PermitRequest {
             number: self.permits.last_number.fetch_add(1, Ordering::Relaxed),
-            seen: LimitSeen {
+            seen: LimitObservation {
                 server,
                 rate: Some(rate),
                 age_ms: age.map_or(0, millis),
@@ -263,7 +263,7 @@
     }
 
     /// Asks the instance that grants.
-    async fn ask_granters(&self, ask: PermitAsk) -> Result<(), Refused> {
+    async fn ask_granters(&self, ask: PermitRequest) -> Result<(), Refused> {
         let server = ask.seen.server;
         let domain = self.domain_of(server);
         let granters = lock(&self.peers).permit_granters(server, &domain, clock::now());
@@ -295,12 +295,12 @@
     }
 
     /// Another instance's question, or this one's own.
-    pub(crate) fn answer_ask(&self, ask: &PermitAsk) -> PermitAnswer {
+    pub(crate) fn answer_ask(&self, ask: &PermitRequest) -> PermitAnswer {
         let server = ask.seen.server;
         let now = clock::now();
         let change = self
             .beliefs
-            .update_limits(|limits| limits.hear(ask.seen, now));
+            .update_limits(|limits| limits.merge(ask.seen, now));
         if let Some(change) = change {
             self.note_limit(server, change, "question");
         }
@@ -322,7 +322,13 @@
         self.grant(ask, rate, share, now)
     }
 
-    fn grant(&self, ask: &PermitAsk, rate: RequestRate, share: f64, now: Instant) -> PermitAnswer {
+    fn grant(
+        &self,
+        ask: &PermitRequest,
+        rate: RequestRate,
+        share: f64,
+        now: Instant,
+    ) -> PermitAnswer {
         let server = ask.seen.server;
         let mut granters = lock(&self.permits.granters);
         let known_share = granters.get(&server).map(|granter| granter.share);
@@ -334,7 +340,7 @@
         granter.permits.set_rate(rate);
         for ago_ms in &ask.sent_ms_ago {
             let ago = Duration::from_millis(u64::from(*ago_ms));
-            granter.permits.note_sent(ago, now);
+            granter.permits.record_sent(ago, now);
         }
         let taken = ask
             .urgency
@@ -363,7 +369,7 @@
 
     /// A server's limit changed, by its own word or another instance's.
     pub(crate) fn note_limit(&self, server: ServerKey, change: LimitChange, source: &str) {
-        self.permits.book().forget(server);
+        self.permits.book().clear_refusal(server);
         let rate = match change {
             LimitChange::Named(rate) => Some(rate),
             LimitChange::Lifted => None,
