--- a/crates/rookferry_core/src/limits/permit.rs
+++ b/crates/rookferry_core/src/limits/permit.rs
@@ -15,13 +15,13 @@
 
 /// Lifetime of a permit, from the time of its request. Long enough to open a connection;
 /// a request sent later would add to those of the granter's next window.
-const GOOD_FOR: Duration = Duration::from_millis(300);
+const PERMIT_LIFETIME: Duration = Duration::from_millis(300);
 
 /// Permission to send one request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
     server: ServerKey,
-    until: Instant,
+    expires_at: Instant,
 }
 
 impl Permit {
@@ -30,14 +30,14 @@
     pub fn requested_at(server: ServerKey, at: Instant) -> Self {
         Self {
             server,
-            until: at + GOOD_FOR,
+            expires_at: at + PERMIT_LIFETIME,
         }
     }
 
     /// Whether the permit is for this server and hasn't expired.
     #[must_use]
     pub fn allows(&self, server: ServerKey, now: Instant) -> bool {
-        self.server == server && now < self.until
+        self.server == server && now < self.expires_at
     }
 }
 
--- a/crates/rookferry_core/src/limits/rate.rs
+++ b/crates/rookferry_core/src/limits/rate.rs
@@ -5,10 +5,10 @@
 
 /// Lower bound of a limit, in requests per second. A server that allows none still gets a
 /// request occasionally, since only its answer shows when it allows more.
-const LEAST_PER_S: f64 = 0.25;
+const MIN_PER_S: f64 = 0.25;
 /// Limits from here on have no effect on what a site sends to one server, in requests per
 /// second.
-const BOUNDLESS_PER_S: f64 = 10_000.0;
+const UNLIMITED_PER_S: f64 = 10_000.0;
 
 /// A limit in requests per second, within fixed bounds.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
@@ -21,9 +21,9 @@
     /// not a number, or too high to have an effect.
     #[must_use]
     pub fn from_per_s(per_s: f64) -> Option<Self> {
-        let bounds = (0.0..BOUNDLESS_PER_S).contains(&per_s);
-        bounds.then(|| Self {
-            per_s: per_s.max(LEAST_PER_S),
+        let is_effective = (0.0..UNLIMITED_PER_S).contains(&per_s);
+        is_effective.then(|| Self {
+            per_s: per_s.max(MIN_PER_S),
         })
     }
 
--- a/crates/rookferry_core/src/limits/words.rs
+++ b/crates/rookferry_core/src/limits/server_limits.rs
@@ -18,16 +18,16 @@
 use crate::serving::turns::told_in_turn;
 
 /// Time difference from which the order of two observations is certain.
-const ORDER_KNOWN: Duration = Duration::from_millis(200);
+const ORDER_TOLERANCE: Duration = Duration::from_millis(200);
 /// How long a lifted limit is advertised to peers.
-const LIFTED_TOLD: Duration = Duration::from_secs(30);
+const LIFTED_ADVERTISED: Duration = Duration::from_secs(30);
 /// How long the observation of an unlisted server is retained: entries disappear and
 /// return with outages of the store.
-const KEPT_UNLISTED: Duration = Duration::from_mins(10);
+const UNLISTED_RETENTION: Duration = Duration::from_mins(10);
 
 /// The latest observation of a server.
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct Observation {
     /// The limit; none once the server answered without one.
     rate: Option<RequestRate>,
     at: Instant,
@@ -56,7 +56,7 @@
 /// The latest observation of each server that ever stated a limit.
 #[derive(Clone, Debug, Default)]
 pub struct ServerLimits {
-    words: HashMap<ServerKey, Word>,
+    observations: HashMap<ServerKey, Observation>,
 }
 
 impl ServerLimits {
@@ -69,20 +69,20 @@
     /// The limit of a server, if it has one.
     #[must_use]
     pub fn of(&self, server: ServerKey) -> Option<RequestRate> {
-        self.words.get(&server)?.rate
+        self.observations.get(&server)?.rate
     }
 
     /// Age of the latest observation of a server, if there is one.
     #[must_use]
     pub fn age(&self, server: ServerKey, now: Instant) -> Option<Duration> {
-        let word = self.words.get(&server)?;
-        Some(now.saturating_duration_since(word.at))
+        let observation = self.observations.get(&server)?;
+        Some(now.saturating_duration_since(observation.at))
     }
 
     /// Whether there is no observation of any server.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.words.is_empty()
+        self.observations.is_empty()
     }
 
     /// Records a limit that a server stated in an answer. Returns the change, if any.
@@ -93,7 +93,9 @@
         now: Instant,
     ) -> Option<LimitChange> {
         let rate = Some(rate);
-        let before = self.words.insert(server, Word { rate, at: now });
+        let before = self
+            .observations
+            .insert(server, Observation { rate, at: now });
         change(before.and_then(|before| before.rate), rate)
     }
 
@@ -105,11 +107,11 @@
         sent_at: Instant,
         now: Instant,
     ) -> Option<LimitChange> {
-        let word = self.words.get_mut(&server)?;
-        if word.rate.is_none() || sent_at <= word.at {
+        let observation = self.observations.get_mut(&server)?;
+        if observation.rate.is_none() || sent_at <= observation.at {
             return None;
         }
-        *word = Word {
+        *observation = Observation {
             rate: None,
             at: now,
         };
@@ -117,15 +119,17 @@
     }
 
     /// Merges a peer's observation. Returns the change, if any.
-    pub fn merge(&mut self, seen: LimitObservation, now: Instant) -> Option<LimitChange> {
-        let rate = seen
+    pub fn merge(&mut self, reported: LimitObservation, now: Instant) -> Option<LimitChange> {
+        let rate = reported
             .rate
             .and_then(|rate| RequestRate::from_per_s(rate.per_s()));
-        let at = now.checked_sub(Duration::from_millis(seen.age_ms))?;
-        let Some(known) = self.words.get_mut(&seen.server) else {
-            // A lifted limit changes nothing for an unknown server; an old one is ignored.
-            rate.filter(|_| now.saturating_duration_since(at) < KEPT_UNLISTED)?;
-            self.words.insert(seen.server, Word { rate, at });
+        let at = now.checked_sub(Duration::from_millis(reported.age_ms))?;
+        let Some(known) = self.observations.get_mut(&reported.server) else {
+            // A lifted limit changes nothing for an unknown server; an old one is
+            // ignored.
+            rate.filter(|_| now.saturating_duration_since(at) < UNLISTED_RETENTION)?;
+            self.observations
+                .insert(reported.server, Observation { rate, at });
             return change(None, rate);
         };
         // An observation looks slightly younger each time it is forwarded, so that taking
@@ -133,43 +137,44 @@
         if known.rate == rate {
             return None;
         }
-        let is_later = at > known.at + ORDER_KNOWN;
-        let is_close = at + ORDER_KNOWN >= known.at;
+        let is_later = at > known.at + ORDER_TOLERANCE;
+        let is_close = at + ORDER_TOLERANCE >= known.at;
         let is_lower = per_s(rate) < per_s(known.rate);
         if !(is_later || is_close && is_lower) {
             return None;
         }
         let before = known.rate;
-        *known = Word {
+        *known = Observation {
             rate,
             at: at.max(known.at),
         };
         change(before, rate)
     }
 
-    /// At most `most` observations to advertise in a heartbeat, the latest first and the
-    /// older ones in rotation by `turn`.
+    /// At most `max_count` observations to advertise in a heartbeat, the latest first and
+    /// the older ones in rotation by `turn`.
     #[must_use]
-    pub fn advertised(&self, most: usize, turn: usize, now: Instant) -> Vec<LimitObservation> {
-        let words = self.words.iter();
-        let told = words.filter(|(_, word)| {
-            word.rate.is_some() || now.saturating_duration_since(word.at) < LIFTED_TOLD
+    pub fn advertised(&self, max_count: usize, turn: usize, now: Instant) -> Vec<LimitObservation> {
+        let observations = self.observations.iter();
+        let advertised = observations.filter(|(_, observation)| {
+            observation.rate.is_some()
+                || now.saturating_duration_since(observation.at) < LIFTED_ADVERTISED
         });
-        let mut told: Vec<LimitObservation> = told
-            .map(|(server, word)| LimitObservation {
+        let mut advertised: Vec<LimitObservation> = advertised
+            .map(|(server, observation)| LimitObservation {
                 server: *server,
-                rate: word.rate,
-                age_ms: millis(now.saturating_duration_since(word.at)),
+                rate: observation.rate,
+                age_ms: millis(now.saturating_duration_since(observation.at)),
             })
             .collect();
-        told.sort_by_key(|seen| (seen.age_ms, seen.server));
-        told_in_turn(&told, most, turn)
+        advertised.sort_by_key(|reported| (reported.age_ms, reported.server));
+        told_in_turn(&advertised, max_count, turn)
     }
 
     /// Removes old observations of servers for which `is_known` is false.
     pub fn retain(&mut self, now: Instant, is_known: impl Fn(ServerKey) -> bool) {
-        self.words.retain(|server, word| {
-            is_known(*server) || now.saturating_duration_since(word.at) < KEPT_UNLISTED
+        self.observations.retain(|server, observation| {
+            is_known(*server) || now.saturating_duration_since(observation.at) < UNLISTED_RETENTION
         });
     }
 }
--- a/crates/rookferry_core/src/limits/book.rs
+++ b/crates/rookferry_core/src/limits/tracker.rs
@@ -1,5 +1,5 @@
-//! An instance's own record for servers with a limit: the permits that it was refused, and
-//! the requests that it sent without one and hasn't reported to the granter yet.
+//! An instance's own record for servers with a limit: the permits that it was refused,
+//! and the requests that it sent without one and hasn't reported to the granter yet.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -11,17 +11,17 @@
 use crate::serving::ServerKey;
 use crate::serving::Urgency;
 
-/// Age up to which sent requests are reported to a granter: requests sent shortly before a
-/// server stated its limit still add to its load.
-const SENT_KEPT: Duration = Duration::from_secs(1);
+/// Age up to which sent requests are reported to a granter: requests sent shortly before
+/// a server stated its limit still add to its load.
+const MAX_SENT_AGE: Duration = Duration::from_secs(1);
 /// Upper bound of remembered sent requests.
-const MOST_SENT: usize = 4_096;
+const MAX_SENT: usize = 4_096;
 /// Largest random extension of the time until the next permit request, as a fraction of
 /// it, so that instances that were refused together don't retry together.
-const DRAWN_OUT: f64 = 0.5;
+const MAX_PAUSE_EXTENSION: f64 = 0.5;
 
 #[derive(Clone, Copy, Debug)]
-struct Refused {
+struct Refusal {
     until: Instant,
     /// Urgency of the most urgent request that was refused.
     urgency: Urgency,
@@ -31,7 +31,7 @@
 /// The permits that an instance was refused, and its requests sent without a permit.
 #[derive(Clone, Debug, Default)]
 pub struct PermitTracker {
-    refused: HashMap<ServerKey, Refused>,
+    refused: HashMap<ServerKey, Refusal>,
     /// Unreported requests that were recently sent without a permit, in order of time.
     sent: VecDeque<(Instant, ServerKey)>,
 }
@@ -43,21 +43,21 @@
         Self::default()
     }
 
-    /// Records a refused permit. `chance`, random from 0 to 1, extends the time until the
-    /// next permit request.
+    /// Records a refused permit. `extension`, random from 0 to 1, lengthens the time
+    /// until the next permit request.
     pub fn record_refusal(
         &mut self,
         server: ServerKey,
         urgency: Urgency,
         refusal: PermitRefusal,
-        chance: f64,
+        extension: f64,
         now: Instant,
     ) {
         let pause = Duration::from_millis(refusal.ask_again_ms);
-        let pause = pause.mul_f64(1.0 + chance.clamp(0.0, 1.0) * DRAWN_OUT);
+        let pause = pause.mul_f64(1.0 + extension.clamp(0.0, 1.0) * MAX_PAUSE_EXTENSION);
         let until = now + pause;
         let spread = Duration::from_millis(refusal.spread_ms);
-        let refused = Refused {
+        let refused = Refusal {
             until,
             urgency,
             spread,
@@ -78,8 +78,8 @@
         now: Instant,
     ) -> Option<Instant> {
         let refused = self.refused.get(&server)?;
-        let holds = refused.until > now && refused.urgency <= urgency;
-        holds.then_some(refused.until)
+        let applies = refused.until > now && refused.urgency <= urgency;
+        applies.then_some(refused.until)
     }
 
     /// The time over which retries of a server's refused requests are spread.
@@ -97,7 +97,7 @@
     /// Records a request that was sent to a server without a permit.
     pub fn record_sent(&mut self, server: ServerKey, now: Instant) {
         self.expire(now);
-        if self.sent.len() < MOST_SENT {
+        if self.sent.len() < MAX_SENT {
             self.sent.push_back((now, server));
         }
     }
@@ -107,8 +107,8 @@
     #[must_use]
     pub fn take_sent(&mut self, server: ServerKey, now: Instant) -> Vec<u16> {
         self.expire(now);
-        let untold = self.sent.iter().filter(|(_, sent_to)| *sent_to == server);
-        let ago = untold.map(|(at, _)| millis(now.saturating_duration_since(*at)));
+        let unreported = self.sent.iter().filter(|(_, sent_to)| *sent_to == server);
+        let ago = unreported.map(|(at, _)| millis(now.saturating_duration_since(*at)));
         let ago = ago
             .map(|ago_ms| u16::try_from(ago_ms).unwrap_or(u16::MAX))
             .collect();
@@ -118,7 +118,7 @@
 
     fn expire(&mut self, now: Instant) {
         let is_old =
-            |(at, _): &(Instant, ServerKey)| now.saturating_duration_since(*at) > SENT_KEPT;
+            |(at, _): &(Instant, ServerKey)| now.saturating_duration_since(*at) > MAX_SENT_AGE;
         while self.sent.front().is_some_and(is_old) {
             self.sent.pop_front();
         }
--- a/crates/rookferry_core/src/member/plan.rs
+++ b/crates/rookferry_core/src/member/plan.rs
@@ -1,8 +1,8 @@
 //! Choice of heartbeat targets within a budget of bytes per second.
 //!
 //! In each round all instances of the own failure domain get a heartbeat. Of each other
-//! domain as many get one, in rotation, as the budget of the shortest round allows, and at
-//! least one. The interval grows with the bytes sent, so that the rate stays bounded.
+//! domain as many get one, in rotation, as the budget of the shortest round allows, and
+//! at least one. The interval grows with the bytes sent, so that the rate stays bounded.
 
 use std::collections::BTreeMap;
 use std::hash::BuildHasher;
--- a/crates/rookferry_core/src/member/poll.rs
+++ b/crates/rookferry_core/src/member/poll.rs
@@ -77,9 +77,9 @@
     interval.clamp(shortest.max(MIN_INTERVAL), MAX_INTERVAL.max(shortest))
 }
 
-/// Number of engines besides the assigned ones (`own`) that may be polled in a round: what
-/// the budget leaves in half a second, and at least one. Engines without a description
-/// are allowed beyond the budget, since a starting instance needs them.
+/// Number of engines besides the assigned ones (`own`) that may be polled in a round:
+/// what the budget leaves in half a second, and at least one. Engines without a
+/// description are allowed beyond the budget, since a starting instance needs them.
 #[must_use]
 pub fn extra_polls_allowed(own: usize, undescribed: usize, budget_bytes_per_s: u32) -> usize {
     let bytes_per_round = u128::from(budget_bytes_per_s) * BUDGET_ROUND.as_millis() / 1_000;
--- a/crates/rookferry_core/src/member/table.rs
+++ b/crates/rookferry_core/src/member/table.rs
@@ -200,8 +200,8 @@
         unsuspected.filter(|member| member.heartbeat.failure_domain == self.own_domain)
     }
 
-    /// The highest configuration version among members that aren't suspected, and a member
-    /// that has it.
+    /// The highest configuration version among members that aren't suspected, and a
+    /// member that has it.
     #[must_use]
     pub fn newest_config(&self) -> Option<(ObjectVersion, &Member)> {
         let unsuspected = self
@@ -238,7 +238,8 @@
         self.live_by_domain().into_values().flatten().collect()
     }
 
-    /// Live instances of the own domain in order of their names, the own instance included.
+    /// Live instances of the own domain in order of their names, the own instance
+    /// included.
     #[must_use]
     pub fn live_local(&self) -> Vec<InstanceId> {
         let mut local = self
--- a/crates/rookferry_core/src/peers/body_source.rs
+++ b/crates/rookferry_core/src/peers/body_source.rs
@@ -21,7 +21,8 @@
 /// A source's answer to a request for a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BodyOffer {
-    /// Send the body; the caller calls [`BodySource::finish_transfer`] when the transfer is over.
+    /// Send the body; the caller calls [`BodySource::finish_transfer`] when the transfer
+    /// is over.
     Body,
     /// Peers that have the body; while there are none, the receiver retries later.
     Elsewhere(Vec<SocketAddr>),
--- a/crates/rookferry_core/src/peers/fanout.rs
+++ b/crates/rookferry_core/src/peers/fanout.rs
@@ -28,9 +28,9 @@
 /// so that each member is occasionally received by others whichever the aggregators are.
 const RANDOM_LOCAL: usize = 1;
 /// The same for an instance that has just started and received nothing from aggregators
-/// yet, besides those that it expects to be aggregators by the advertised members. Sending
-/// to the whole domain until then would make a simultaneous start of all instances cost
-/// the square of their number.
+/// yet, besides those that it expects to be aggregators by the advertised members.
+/// Sending to the whole domain until then would make a simultaneous start of all
+/// instances cost the square of their number.
 const RANDOM_LOCAL_AT_START: usize = 8;
 /// Rounds between an instance's heartbeats to members of other domains.
 const REMOTE_ROUNDS: u32 = 4;
--- a/crates/rookferry_core/src/peers/message.rs
+++ b/crates/rookferry_core/src/peers/message.rs
@@ -132,7 +132,8 @@
 
 impl Echo {
     /// When the sender knew something that was `age_ms` old when it sent this, by the
-    /// receiver's steady clock, which counts from `epoch`; none if a figure is out of range.
+    /// receiver's steady clock, which counts from `epoch`; none if a figure is out of
+    /// range.
     ///
     /// The result may lie before `epoch`: peers' knowledge may be older than an instance
     /// that has just started.
--- a/crates/rookferry_core/src/peers/permits.rs
+++ b/crates/rookferry_core/src/peers/permits.rs
@@ -56,8 +56,8 @@
     }
 
     /// The fraction of a limit, 0 to 1, that this instance may grant: all of it while it
-    /// is connected to the majority of the known instances, less while the others may form
-    /// another side of a partition that grants as well.
+    /// is connected to the majority of the known instances, less while the others may
+    /// form another side of a partition that grants as well.
     #[must_use]
     pub fn permit_share(&self, domain: &DomainId, now: Instant) -> f64 {
         let (live, known) = if *domain == self.own_domain {
--- a/crates/rookferry_core/src/peers/suspected.rs
+++ b/crates/rookferry_core/src/peers/suspected.rs
@@ -12,8 +12,8 @@
 use crate::serving::ServerKey;
 
 /// First-ranked instances of a failure domain that probe a suspected server, besides
-/// those with requests in flight there. As many as a large domain has aggregators, so that
-/// probing goes on when one of them exits or stalls.
+/// those with requests in flight there. As many as a large domain has aggregators, so
+/// that probing goes on when one of them exits or stalls.
 const PROBING_INSTANCES: usize = 2;
 
 /// An instance's relation to a suspected server, which decides whether it probes it.
--- a/crates/rookferry_core/src/peers/table.rs
+++ b/crates/rookferry_core/src/peers/table.rs
@@ -173,7 +173,8 @@
         !is_known
     }
 
-    /// Returns the servers that a peer's heartbeat lists as unresponsive for the first time.
+    /// Returns the servers that a peer's heartbeat lists as unresponsive for the first
+    /// time.
     ///
     /// A server counts as responsive to the peer again once a complete list lacks it.
     /// Where the peer lists them in rotation, it does once it was missing from several
