--- a/crates/rookferry_core/src/member/mod.rs
+++ b/crates/rookferry_core/src/member/mod.rs
@@ -1,4 +1,5 @@
-//! Membership of a site, adoption of configurations, and sharing of engine polls.
+//! Membership of a site, adoption of configurations, and sharing of engine polls, as
+//! `rookferry_entry` runs them.
 //!
 //! | part | question it answers |
 //! |---|---|
--- a/crates/rookferry_core/src/member/table.rs
+++ b/crates/rookferry_core/src/member/table.rs
@@ -1,7 +1,7 @@
 //! Members of a site by their heartbeats: live, leaving or suspected.
 //!
-//! Heartbeats and the passing of time are the input; the state of each member and the
-//! newest configuration version are the output. The heartbeat tasks of the daemon own it.
+//! Input are heartbeats and the time; output are the state of each member and the newest
+//! configuration version.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/rookferry_core/src/peers/mod.rs
+++ b/crates/rookferry_core/src/peers/mod.rs
@@ -1,4 +1,5 @@
-//! Membership and load exchange between the instances of a site.
+//! Membership and load exchange between the instances of a site, as `rookferry_relay`
+//! runs it.
 //!
 //! | part | question it answers |
 //! |---|---|
--- a/crates/rookferry_core/src/peers/peer.rs
+++ b/crates/rookferry_core/src/peers/peer.rs
@@ -25,9 +25,11 @@
     pub(super) reported_at: Instant,
 }
 
+/// An entry of the peer table.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub(super) domain: Option<DomainId>,
+    /// None before the first heartbeat, and after the peer was reported as lost.
     pub(super) instance: Option<InstanceId>,
     pub(super) incarnation: Incarnation,
     /// Capacity for the duties of its domain; the lowest while it is unknown.
@@ -45,7 +47,7 @@
     pub(super) store_known_at: Option<Instant>,
     pub(super) loads: Vec<LoadEntry>,
     /// Servers that the peer reports as unresponsive.
-    pub(super) out: BTreeMap<ServerKey, UnresponsiveReport>,
+    pub(super) unresponsive: BTreeMap<ServerKey, UnresponsiveReport>,
     /// Its domain's loads and when they were received, if it acts as an aggregator.
     pub(super) sums: Option<(DomainLoads, Instant)>,
 }
@@ -64,7 +66,7 @@
             config_version: None,
             store_known_at: None,
             loads: Vec::new(),
-            out: BTreeMap::new(),
+            unresponsive: BTreeMap::new(),
             sums: None,
         }
     }
@@ -75,7 +77,7 @@
     }
 
     /// The peer as advertised to other instances.
-    pub(super) fn seen(&self, addr: SocketAddr, now: Instant) -> MemberObservation {
+    pub(super) fn observation(&self, addr: SocketAddr, now: Instant) -> MemberObservation {
         let age = now.saturating_duration_since(self.seen_at);
         MemberObservation {
             addr,
--- a/crates/rookferry_core/src/peers/table.rs
+++ b/crates/rookferry_core/src/peers/table.rs
@@ -1,8 +1,7 @@
 //! The known instances of a site and the last report of each.
 //!
 //! Input are received heartbeats and the time. Output are the live instances, their
-//! rank order in the own failure domain, and what heartbeats repeat about them. The
-//! heartbeat tasks of the daemon own the table; nothing here sends.
+//! rank order in the own failure domain, and what own heartbeats advertise about them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -197,30 +196,30 @@
         };
         let mut newly_listed = Vec::new();
         for server in &beat.out {
-            let seen = peer.out.entry(*server).or_insert_with(|| {
+            let report = peer.unresponsive.entry(*server).or_insert_with(|| {
                 newly_listed.push(*server);
                 UnresponsiveReport {
                     since: now,
                     reported_at: now,
                 }
             });
-            seen.reported_at = now;
+            report.reported_at = now;
         }
-        peer.out
-            .retain(|_, seen| now.saturating_duration_since(seen.reported_at) <= timeout);
+        peer.unresponsive
+            .retain(|_, report| now.saturating_duration_since(report.reported_at) <= timeout);
         newly_listed
     }
 
     /// The servers that live peers of the own domain report as unresponsive.
     #[must_use]
     pub fn suspected_servers(&self, now: Instant) -> SuspectedServers {
-        let mut doubted = SuspectedServers::default();
+        let mut suspected = SuspectedServers::default();
         for (_, peer) in self.live_local(now) {
-            for (server, seen) in &peer.out {
-                doubted.add(*server, seen.since);
+            for (server, report) in &peer.unresponsive {
+                suspected.add(*server, report.since);
             }
         }
-        doubted
+        suspected
     }
 
     /// Drops addresses that no instance received a heartbeat from for too long. Returns
@@ -283,7 +282,7 @@
         for (addr, peer) in window {
             if let Some(domain) = &peer.domain {
                 let members = advertised.entry(domain).or_default();
-                members.push(peer.seen(*addr, now));
+                members.push(peer.observation(*addr, now));
             }
         }
         let advertised = advertised.into_iter();
@@ -304,7 +303,7 @@
             domain: domain.clone(),
             members: members
                 .take(limit)
-                .map(|(addr, peer)| peer.seen(*addr, now))
+                .map(|(addr, peer)| peer.observation(*addr, now))
                 .collect(),
         }
     }
