--- a/crates/rookferry_core/src/peers/fanout.rs
+++ b/crates/rookferry_core/src/peers/fanout.rs
@@ -1,8 +1,12 @@
-//! To whom an instance writes in a round.
+//! Choice of the peers that get a heartbeat in a round.
 //!
-//! Load pattern: hundreds of instances, each with a few requests under way at
-//! engines that all of its failure domain use. What others have under way must
-//! be known within a few tenths of a second, or all choose the same engines.
+//! Load pattern: hundreds of instances, each with a few requests in flight at engines
+//! that its whole failure domain uses. The others' loads must be known within a few
+//! tenths of a second, or all instances choose the same engines.
+//!
+//! A small domain is a full mesh. In a larger one members send to the aggregators, which
+//! send the domain's sums to all members. The first-ranked instance of each domain, its
+//! representative, sends the domain's loads to the other domains.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -12,76 +16,77 @@
 
 use super::PeerTable;
 
-/// Most other instances in a domain in which each writes to all: their word is
-/// fresher than by a head, and costs a small instance too much where there are more.
-pub(super) const MESH_MEMBERS: usize = 24;
-/// Instances that gather the loads of a larger domain; the second stands in
-/// without delay when the first ends.
-const HEADS: usize = 2;
-/// Rounds between a head's heartbeats to its domain. With two heads each
-/// member hears the sums as often as there are rounds.
-const HEAD_ROUNDS: u32 = 2;
-/// Members of its domain, drawn anew each round, that an instance writes to
-/// besides the heads, so that all are heard now and then whoever the heads are.
-const DRAWN_NEAR: usize = 1;
-/// The same of one that has just started and hears no heads yet, besides those that
-/// would be by what it was told. Where each wrote to all of its domain until it heard
-/// them, a start of all would cost the square of its size.
-const NEAR_AT_START: usize = 8;
-/// Rounds between heartbeats to members of other domains.
-const FAR_ROUNDS: u32 = 4;
-/// The same for the instance that speaks for its domain. What a domain has
-/// under way at another's engines must be known there before they are full.
-const SPEAKER_ROUNDS: u32 = 2;
-/// Most members of other domains that an instance of a small domain, or one
-/// that looks for its domain's others, writes to in one round.
-const FAR_MEMBERS: usize = 8;
-/// The same in a domain with heads, which pass on what one of them hears.
-const FAR_MEMBERS_BESIDE_HEADS: usize = 1;
-/// The same for a speaker, in turn: hundreds are told within a second or so.
-const SPEAKER_FAR_MEMBERS: usize = 64;
+/// Largest number of peers in a domain that is a full mesh. Direct reports are fresher
+/// than an aggregator's, but with more peers they cost a small instance too much.
+pub(super) const MAX_MESH_PEERS: usize = 24;
+/// Aggregators of a larger domain; with two of them the failure of one causes no delay.
+const AGGREGATORS: usize = 2;
+/// Rounds between an aggregator's heartbeats to its domain. With two aggregators each
+/// member gets sums once a round on average.
+const AGGREGATOR_ROUNDS: u32 = 2;
+/// Random members of the domain that get a heartbeat in a round besides the aggregators,
+/// so that each member is occasionally received by others whichever the aggregators are.
+const RANDOM_LOCAL: usize = 1;
+/// The same for an instance that has just started and received nothing from aggregators
+/// yet, besides those that it expects to be aggregators by the advertised members.
+/// Sending to the whole domain until then would make a simultaneous start of all
+/// instances cost the square of their number.
+const RANDOM_LOCAL_AT_START: usize = 8;
+/// Rounds between an instance's heartbeats to members of other domains.
+const REMOTE_ROUNDS: u32 = 4;
+/// The same for the representative of a domain. A domain's load at another domain's
+/// engines must be known there before they are full.
+const REPRESENTATIVE_ROUNDS: u32 = 2;
+/// Most members of other domains that get a heartbeat in one round from an instance of a
+/// small domain, or from one that is joining.
+const REMOTE_PEERS: usize = 8;
+/// The same in a domain with aggregators, which forward what each of them receives.
+const REMOTE_PEERS_WITH_AGGREGATORS: usize = 1;
+/// The same for a representative, in rotation: reaches hundreds of members within about
+/// a second.
+const REPRESENTATIVE_REMOTE_PEERS: usize = 64;
 
-/// A round of heartbeats.
+/// One round of heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub struct Round {
-    /// Its number.
+    /// Number of the round; some targets get a heartbeat only in every few rounds.
     pub number: u32,
-    /// Whether news brought it forward, which all are told at once.
-    pub has_news: bool,
-    /// Whether the instance is old enough to know whether it is the first.
-    pub may_speak: bool,
-    /// Whether it has just started and looks for the others of its domain.
+    /// Whether the round is sent early because of a change, which goes to all at once.
+    pub has_changes: bool,
+    /// Whether the instance has run long enough to know its rank in the domain.
+    pub is_rank_known: bool,
+    /// Whether the instance has just started and is discovering the peers of its domain.
     pub is_joining: bool,
 }
 
-/// Whom to write to.
+/// The peer addresses that get a heartbeat in a round.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Targets {
     /// Members of the own domain.
-    pub near: Vec<SocketAddr>,
-    /// Members of the own domain that are told its sums as well.
-    pub near_with_sums: Vec<SocketAddr>,
+    pub local: Vec<SocketAddr>,
+    /// Members of the own domain that also get the domain's summed loads.
+    pub local_with_loads: Vec<SocketAddr>,
     /// Members of other domains.
-    pub far: Vec<SocketAddr>,
-    /// Members of other domains that are told the domain's loads as well.
-    pub far_with_loads: Vec<SocketAddr>,
+    pub remote: Vec<SocketAddr>,
+    /// Members of other domains that also get the own domain's summed loads.
+    pub remote_with_loads: Vec<SocketAddr>,
 }
 
-/// Decides whom an instance writes to.
+/// Chooses the targets of each round.
 #[derive(Clone, Debug, Default)]
 pub struct Fanout {
-    /// The place among the members of other domains to go on from.
-    far_from: usize,
+    /// Index among the members of other domains at which the rotation continues.
+    remote_index: usize,
 }
 
 impl Fanout {
-    /// Before the first round.
+    /// The state before the first round.
     #[must_use]
     pub const fn new() -> Self {
-        Self { far_from: 0 }
+        Self { remote_index: 0 }
     }
 
-    /// Whom to write to in a round.
+    /// Returns the targets of a round.
     pub fn round<R: Rng + ?Sized>(
         &mut self,
         table: &PeerTable,
@@ -90,65 +95,69 @@
         rng: &mut R,
     ) -> Targets {
         let mut targets = Targets::default();
-        let near: Vec<SocketAddr> = table.near().collect();
-        let is_mesh = near.len() <= MESH_MEMBERS;
+        let local: Vec<SocketAddr> = table.local().collect();
+        let is_mesh = local.len() <= MAX_MESH_PEERS;
         if is_mesh {
-            targets.near = near;
+            targets.local = local;
         } else {
-            Self::add_near(&mut targets, near, table, round, now, rng);
+            Self::add_local(&mut targets, local, table, round, now, rng);
         }
-        let far: Vec<SocketAddr> = table.far().collect();
-        let speaks = round.may_speak && !round.is_joining && table.is_first(now);
-        if speaks && round.number.is_multiple_of(SPEAKER_ROUNDS) {
-            targets.far_with_loads = self.next_far(&far);
-        } else if round.is_joining || (speaks && round.has_news) {
-            targets.far = far.sample(rng, FAR_MEMBERS).copied().collect();
-        } else if !speaks && round.number.is_multiple_of(FAR_ROUNDS) {
-            let most = if is_mesh {
-                FAR_MEMBERS
+        let remote: Vec<SocketAddr> = table.remote().collect();
+        let is_representative =
+            round.is_rank_known && !round.is_joining && table.is_first_ranked(now);
+        if is_representative && round.number.is_multiple_of(REPRESENTATIVE_ROUNDS) {
+            targets.remote_with_loads = self.next_remote(&remote);
+        } else if round.is_joining || (is_representative && round.has_changes) {
+            targets.remote = remote.sample(rng, REMOTE_PEERS).copied().collect();
+        } else if !is_representative && round.number.is_multiple_of(REMOTE_ROUNDS) {
+            let limit = if is_mesh {
+                REMOTE_PEERS
             } else {
-                FAR_MEMBERS_BESIDE_HEADS
+                REMOTE_PEERS_WITH_AGGREGATORS
             };
-            targets.far = far.sample(rng, most).copied().collect();
+            targets.remote = remote.sample(rng, limit).copied().collect();
         }
         targets
     }
 
-    /// In a domain with heads: the heads, and a few others; a head writes to
-    /// all.
-    fn add_near<R: Rng + ?Sized>(
+    /// Adds the local targets in a domain with aggregators: an aggregator sends to all
+    /// members, the others to the aggregators and a few random members.
+    fn add_local<R: Rng + ?Sized>(
         targets: &mut Targets,
-        near: Vec<SocketAddr>,
+        local: Vec<SocketAddr>,
         table: &PeerTable,
         round: Round,
         now: Instant,
         rng: &mut R,
     ) {
-        let before = table.first_before(HEADS, now);
-        let is_head = before.len() < HEADS;
-        if is_head && !round.may_speak && !round.has_news {
-            // It hasn't heard the heads yet, and isn't one because of that.
-            targets.near = near.sample(rng, NEAR_AT_START).copied().collect();
-            targets.near.extend(table.first_known(HEADS));
-            targets.near.sort_unstable();
-            targets.near.dedup();
+        let ranked_before = table.first_ranked_before(AGGREGATORS, now);
+        let is_aggregator = ranked_before.len() < AGGREGATORS;
+        if is_aggregator && !round.is_rank_known && !round.has_changes {
+            // It lacks heartbeats of the aggregators only because it has just started.
+            targets.local = local.sample(rng, RANDOM_LOCAL_AT_START).copied().collect();
+            targets.local.extend(table.first_ranked_known(AGGREGATORS));
+            targets.local.sort_unstable();
+            targets.local.dedup();
             return;
         }
-        if is_head && (round.has_news || round.number.is_multiple_of(HEAD_ROUNDS)) {
-            targets.near_with_sums = near;
+        if is_aggregator && (round.has_changes || round.number.is_multiple_of(AGGREGATOR_ROUNDS)) {
+            targets.local_with_loads = local;
             return;
         }
-        let drawn = near.sample(rng, DRAWN_NEAR).copied();
-        let drawn: Vec<_> = drawn.filter(|addr| !before.contains(addr)).collect();
-        targets.near = before;
-        targets.near.extend(drawn);
+        let random = local.sample(rng, RANDOM_LOCAL).copied();
+        let random: Vec<_> = random
+            .filter(|addr| !ranked_before.contains(addr))
+            .collect();
+        targets.local = ranked_before;
+        targets.local.extend(random);
     }
 
-    fn next_far(&mut self, far: &[SocketAddr]) -> Vec<SocketAddr> {
-        let count = SPEAKER_FAR_MEMBERS.min(far.len());
-        let start = self.far_from.checked_rem(far.len()).unwrap_or(0);
-        self.far_from = start + count;
-        far.iter()
+    fn next_remote(&mut self, remote: &[SocketAddr]) -> Vec<SocketAddr> {
+        let count = REPRESENTATIVE_REMOTE_PEERS.min(remote.len());
+        let start = self.remote_index.checked_rem(remote.len()).unwrap_or(0);
+        self.remote_index = start + count;
+        remote
+            .iter()
             .cycle()
             .skip(start)
             .take(count)
--- a/crates/rookferry_core/src/peers/mod.rs
+++ b/crates/rookferry_core/src/peers/mod.rs
@@ -1,50 +1,51 @@
-//! What the instances of a site tell each other, and who writes to whom.
+//! Membership and load exchange between the instances of a site, as `rookferry_relay`
+//! runs it.
 //!
 //! | part | question it answers |
 //! |---|---|
-//! | [`Heartbeat`] | what does one instance tell another? |
-//! | [`PeerTable`] | who is there, and what has each under way? |
-//! | [`Fanout`] | to whom does this instance write in this round? |
-//! | [`DoubtedServers`] | which servers do others have trouble with? |
-//! | [`PeerTable::permit_granters`] | who grants the permits of a server with a limit? |
-//! | [`BodySource`] | who gives a new configuration on to whom? |
+//! | [`Heartbeat`] | what does one instance report to another? |
+//! | [`PeerTable`] | which instances are live, and what does each have in flight? |
+//! | [`Fanout`] | which peers get a heartbeat in this round? |
+//! | [`SuspectedServers`] | which servers do other instances report as unresponsive? |
+//! | [`PeerTable::permit_granters`] | which instance grants the permits of a limited server? |
+//! | [`BodySource`] | which peer gets a new configuration from which? |
 //!
-//! In a small failure domain each instance writes to all others. In a larger
-//! one that would grow with the square of the instances, so two of them, its
-//! heads, gather what each has under way and tell the sums to all. Nobody is
-//! elected: whoever hears fewer than two members before itself acts as a head,
-//! so that two instances that can't hear each other both do, and no safety
-//! rests on who does.
+//! In a small failure domain each instance sends to all others. In a larger one
+//! the traffic would grow with the square of the instances, so two of them, the
+//! aggregators, collect the load of each and send the sums to all. There is no
+//! election: an instance that receives heartbeats from fewer than two members
+//! ranked before it acts as an aggregator. Two instances that can't reach each
+//! other may both act; correctness doesn't depend on which ones do.
 
+mod aggregate;
+mod body_source;
 mod capacity;
-mod doubt;
 mod fanout;
 mod load;
 mod message;
 mod peer;
 mod permits;
-mod source;
-mod sums;
+mod suspected;
 mod table;
 
+pub use aggregate::AggregatedLoads;
+pub use body_source::BodyOffer;
+pub use body_source::BodySource;
 pub use capacity::Capacity;
-pub use doubt::DoubtedServers;
-pub use doubt::DoubtedUse;
 pub use fanout::Fanout;
 pub use fanout::Round;
 pub use fanout::Targets;
 pub use load::LoadEntry;
-pub use load::ReportSeen;
+pub use load::ReportObservation;
 pub use load::ServerLoad;
 pub use message::ConfigState;
 pub use message::DomainLoads;
+pub use message::DomainMembers;
 pub use message::Echo;
 pub use message::Heartbeat;
-pub use message::HolderSeen;
+pub use message::HolderObservation;
 pub use message::ListState;
-pub use message::MemberSeen;
-pub use message::MembersOf;
-pub use source::BodySource;
-pub use source::Offer;
-pub use sums::DomainSums;
+pub use message::MemberObservation;
+pub use suspected::ProbeRole;
+pub use suspected::SuspectedServers;
 pub use table::PeerTable;
--- a/crates/rookferry_core/src/peers/table.rs
+++ b/crates/rookferry_core/src/peers/table.rs
@@ -1,4 +1,7 @@
-//! The members that are known, and what they said last.
+//! The known instances of a site and the last report of each.
+//!
+//! Input are received heartbeats and the time. Output are the live instances, their
+//! rank order in the own failure domain, and what own heartbeats advertise about them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,167 +12,173 @@
 use rookferry_wire::InstanceId;
 
 use super::Capacity;
-use super::DoubtedServers;
+use super::DomainMembers;
 use super::Echo;
 use super::Heartbeat;
-use super::HolderSeen;
+use super::HolderObservation;
 use super::LoadEntry;
-use super::MemberSeen;
-use super::MembersOf;
+use super::MemberObservation;
 use super::ServerLoad;
-use super::capacity::Standing;
-use super::peer::OutSeen;
+use super::SuspectedServers;
+use super::capacity::RankKey;
 use super::peer::Peer;
+use super::peer::UnresponsiveReport;
 use super::peer::is_within;
 use crate::millis::millis;
 use crate::serving::PropagationBudget;
 use crate::serving::ServerKey;
 
-/// How long a silent member's load counts. Several heartbeats to its own
-/// failure domain fit in, and four of a head's.
-pub(super) const LOAD_KEPT: Duration = Duration::from_millis(1_200);
-/// How long a silent holder of the lease counts as one; two heartbeats to
-/// other failure domains fit in.
-const HOLDER_KEPT: Duration = Duration::from_millis(1_400);
-/// How long a member that nobody hears counts as there, and how much longer for
-/// each member: they are told of in turn, so that the word on each is the older the
-/// more there are.
-const MEMBER_KEPT: Duration = Duration::from_secs(5);
-const MEMBER_KEPT_EACH: Duration = Duration::from_millis(50);
-/// The longest that it does.
-const MEMBER_KEPT_LONGEST: Duration = Duration::from_secs(25);
-/// Within which time a peer tells of each server that doesn't answer it, where it tells
-/// them in turn: some turns of a head.
-const OUT_TOLD_WITHIN: Duration = Duration::from_secs(3);
-/// How long an address that nobody heard is written to, and counts as one of
-/// those that share budgets.
-const ADDRESS_KEPT: Duration = Duration::from_secs(30);
-
-/// The members by address, as one of them knows them.
+/// Silence after which a peer is no longer live and its load no longer counts. Covers
+/// several heartbeats within a failure domain, and four of an aggregator's.
+pub(super) const LOAD_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Age up to which a report of the lease's holder counts; covers two heartbeats to
+/// other failure domains.
+const HOLDER_TIMEOUT: Duration = Duration::from_millis(1_400);
+/// Time after which a member counts as lost if no instance received a heartbeat from it,
+/// and the extension for each known member: members are advertised in rotation, so that
+/// with more of them the reports on each are older.
+const MEMBER_TIMEOUT: Duration = Duration::from_secs(5);
+const MEMBER_TIMEOUT_PER_MEMBER: Duration = Duration::from_millis(50);
+/// Upper bound of that time.
+const MAX_MEMBER_TIMEOUT: Duration = Duration::from_secs(25);
+/// How long a server counts as unresponsive after a peer last listed it, where the peer
+/// lists such servers in rotation; covers several rotations of an aggregator.
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after which an address is dropped if no instance received a heartbeat from it.
+/// Until then it gets heartbeats and counts among the instances that share budgets.
+const ADDRESS_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// One instance's view of all others, by peer address.
 #[derive(Clone, Debug)]
 pub struct PeerTable {
-    pub(super) own: SocketAddr,
-    /// What this instance can carry of its domain's duties.
+    pub(super) own_addr: SocketAddr,
+    /// Capacity of this instance for the duties of its domain.
     capacity: Capacity,
-    pub(super) home: DomainId,
+    pub(super) own_domain: DomainId,
     pub(super) peers: BTreeMap<SocketAddr, Peer>,
-    /// The holder of the lease and when it was last known to hold it.
+    /// The lease's holder, and when it was last known to hold the lease.
     holder: Option<(InstanceId, Instant)>,
-    /// What other domains have under way, as their speakers told last.
-    pub(super) far_loads: BTreeMap<DomainId, (Vec<LoadEntry>, Instant)>,
-    /// What the instance itself has under way, as it last told.
+    /// Loads of other domains, as their representatives last reported.
+    pub(super) remote_loads: BTreeMap<DomainId, (Vec<LoadEntry>, Instant)>,
+    /// Own loads, as last sent to peers.
     pub(super) own_loads: BTreeMap<ServerKey, ServerLoad>,
-    /// The same when a head's sums last came.
-    pub(super) own_at_sums: BTreeMap<ServerKey, ServerLoad>,
+    /// Own loads at the time when an aggregator's sums were last received.
+    pub(super) own_loads_at_sums: BTreeMap<ServerKey, ServerLoad>,
 }
 
 impl PeerTable {
-    /// Nobody known, for an instance at an address in a domain.
+    /// An empty table for the instance that listens at `own_addr` in `own_domain`.
     #[must_use]
-    pub const fn new(own: SocketAddr, home: DomainId) -> Self {
+    pub const fn new(own_addr: SocketAddr, own_domain: DomainId) -> Self {
         Self {
-            own,
-            capacity: Capacity::LEAST,
-            home,
+            own_addr,
+            capacity: Capacity::LOWEST,
+            own_domain,
             peers: BTreeMap::new(),
             holder: None,
-            far_loads: BTreeMap::new(),
+            remote_loads: BTreeMap::new(),
             own_loads: BTreeMap::new(),
-            own_at_sums: BTreeMap::new(),
+            own_loads_at_sums: BTreeMap::new(),
         }
     }
 
-    /// What the instance can carry of its domain's duties.
+    /// Sets the capacity of this instance for the duties of its domain.
     #[must_use]
     pub const fn capacity(mut self, capacity: Capacity) -> Self {
         self.capacity = capacity;
         self
     }
 
-    /// The instance's own place in line for its domain's duties.
-    pub(super) const fn standing(&self) -> Standing {
-        Standing::new(self.capacity, self.own)
+    /// The instance's own sort key in the rank order of its domain.
+    pub(super) const fn rank_key(&self) -> RankKey {
+        RankKey::new(self.capacity, self.own_addr)
     }
 
-    /// Learns of an address that may be a member's.
-    pub fn learn(&mut self, addr: SocketAddr, now: Instant) {
-        if addr != self.own {
-            self.peers.entry(addr).or_insert(Peer::unheard(now));
+    /// Adds an address that may belong to an instance, such as a configured seed.
+    pub fn add_address(&mut self, addr: SocketAddr, now: Instant) {
+        if addr != self.own_addr {
+            self.peers
+                .entry(addr)
+                .or_insert(Peer::without_heartbeat(now));
         }
     }
 
-    /// What the instance itself has under way, as it tells others now.
-    pub fn tell_own(&mut self, loads: &[LoadEntry]) {
+    /// Sets the own loads, as sent to peers now.
+    pub fn set_own_loads(&mut self, loads: &[LoadEntry]) {
         let loads = loads.iter();
         self.own_loads = loads.map(|entry| (entry.server, entry.load())).collect();
     }
 
-    /// Takes another member's word on who is there.
-    fn learn_members(&mut self, told: &[MembersOf], now: Instant) {
-        for (domain, member) in told
+    /// Merges the members that a peer advertises.
+    fn merge_members(&mut self, advertised: &[DomainMembers], now: Instant) {
+        for (domain, member) in advertised
             .iter()
             .flat_map(|of| of.members.iter().map(move |member| (&of.domain, member)))
         {
             let age = Duration::from_millis(u64::from(member.age_tenths_s) * 100);
-            let Some(seen_at) = now.checked_sub(age).filter(|_| age < ADDRESS_KEPT) else {
+            let Some(seen_at) = now.checked_sub(age).filter(|_| age < ADDRESS_TIMEOUT) else {
                 continue;
             };
-            if member.addr == self.own {
+            if member.addr == self.own_addr {
                 continue;
             }
             let peer = self.peers.entry(member.addr);
-            let peer = peer.or_insert(Peer::unheard(seen_at));
+            let peer = peer.or_insert(Peer::without_heartbeat(seen_at));
             peer.seen_at = peer.seen_at.max(seen_at);
             peer.domain.get_or_insert_with(|| domain.clone());
-            if peer.heard_at.is_none() {
+            if peer.received_at.is_none() {
                 peer.capacity = peer.capacity.max(member.capacity);
             }
         }
     }
 
-    /// Takes a heartbeat in; tells whether its member wasn't heard before, or
-    /// not for long.
-    pub fn heard(&mut self, from: SocketAddr, beat: &Heartbeat, now: Instant) -> bool {
-        self.learn_members(&beat.members, now);
-        if from == self.own {
+    /// Records a received heartbeat. Returns whether its sender is new: unknown so far,
+    /// reported as lost by [`Self::expire`], or running under a new incarnation.
+    pub fn on_heartbeat(&mut self, from: SocketAddr, beat: &Heartbeat, now: Instant) -> bool {
+        self.merge_members(&beat.members, now);
+        if from == self.own_addr {
             return false;
         }
-        let is_near = beat.domain == self.home;
-        let peer = self.peers.entry(from).or_insert(Peer::unheard(now));
+        let is_local = beat.domain == self.own_domain;
+        let peer = self
+            .peers
+            .entry(from)
+            .or_insert(Peer::without_heartbeat(now));
         let is_known = peer.instance.is_some() && peer.incarnation == beat.incarnation;
         peer.domain = Some(beat.domain.clone());
         peer.instance = Some(beat.instance.clone());
         peer.incarnation = beat.incarnation;
         peer.capacity = beat.capacity;
-        peer.heard_at = Some(now);
+        peer.received_at = Some(now);
         peer.seen_at = now;
         peer.clock = Some((beat.sent_ms, now));
         peer.config_version = beat.config.map(|config| config.version);
-        peer.store_at = beat
+        peer.store_known_at = beat
             .store_age_ms
             .and_then(|age_ms| now.checked_sub(Duration::from_millis(age_ms)));
-        if is_near {
+        if is_local {
             peer.loads.clone_from(&beat.loads);
             if let Some(sums) = &beat.domain_loads {
                 peer.sums = Some((sums.clone(), now));
-                self.own_at_sums.clone_from(&self.own_loads);
+                self.own_loads_at_sums.clone_from(&self.own_loads);
             }
-        } else if let Some(told) = &beat.domain_loads {
-            let loads = (told.loads.clone(), now);
-            self.far_loads.insert(beat.domain.clone(), loads);
+        } else if let Some(reported) = &beat.domain_loads {
+            let loads = (reported.loads.clone(), now);
+            self.remote_loads.insert(beat.domain.clone(), loads);
         }
         if let Some(holder) = &beat.holder {
-            self.note_holder(holder, now);
+            self.record_holder(holder, now);
         }
         !is_known
     }
 
-    /// Servers that a peer has newly lost, by its heartbeat.
+    /// Returns the servers that a peer's heartbeat lists as unresponsive for the first
+    /// time.
     ///
-    /// A server counts as answering the peer again once a heartbeat that names all of
-    /// them lacks it. Where the peer names them in turn, it does once it wasn't named for
-    /// some turns.
-    pub fn newly_out(
+    /// A server counts as responsive to the peer again once a complete list lacks it.
+    /// Where the peer lists them in rotation, it does once it was missing from several
+    /// rotations.
+    pub fn newly_unresponsive(
         &mut self,
         from: SocketAddr,
         beat: &Heartbeat,
@@ -178,66 +187,67 @@
         let Some(peer) = self.peers.get_mut(&from) else {
             return Vec::new();
         };
-        let is_whole = usize::try_from(beat.out_count).is_ok_and(|count| count <= beat.out.len());
-        let kept = if is_whole {
+        let is_complete =
+            usize::try_from(beat.out_count).is_ok_and(|count| count <= beat.out.len());
+        let timeout = if is_complete {
             Duration::ZERO
         } else {
-            OUT_TOLD_WITHIN
+            UNRESPONSIVE_TIMEOUT
         };
-        let mut news = Vec::new();
+        let mut newly_listed = Vec::new();
         for server in &beat.out {
-            let seen = peer.out.entry(*server).or_insert_with(|| {
-                news.push(*server);
-                OutSeen {
+            let report = peer.unresponsive.entry(*server).or_insert_with(|| {
+                newly_listed.push(*server);
+                UnresponsiveReport {
                     since: now,
-                    told_at: now,
+                    reported_at: now,
                 }
             });
-            seen.told_at = now;
+            report.reported_at = now;
         }
-        peer.out
-            .retain(|_, seen| now.saturating_duration_since(seen.told_at) <= kept);
-        news
+        peer.unresponsive
+            .retain(|_, report| now.saturating_duration_since(report.reported_at) <= timeout);
+        newly_listed
     }
 
-    /// The servers that members of the own domain have trouble with.
+    /// The servers that live peers of the own domain report as unresponsive.
     #[must_use]
-    pub fn doubted(&self, now: Instant) -> DoubtedServers {
-        let mut doubted = DoubtedServers::default();
-        for (_, peer) in self.heard_near(now) {
-            for (server, seen) in &peer.out {
-                doubted.add(*server, seen.since);
+    pub fn suspected_servers(&self, now: Instant) -> SuspectedServers {
+        let mut suspected = SuspectedServers::default();
+        for (_, peer) in self.live_local(now) {
+            for (server, report) in &peer.unresponsive {
+                suspected.add(*server, report.since);
             }
         }
-        doubted
+        suspected
     }
 
-    /// Drops addresses that nobody has heard for long; tells which instances
-    /// have fallen silent to all since the last call.
+    /// Drops addresses that no instance received a heartbeat from for too long. Returns
+    /// the instances that became lost since the last call.
     pub fn expire(&mut self, now: Instant) -> Vec<InstanceId> {
         let is_seen = |peer: &Peer, within| is_within(Some(peer.seen_at), now, within);
-        let kept = self.member_kept();
+        let timeout = self.member_timeout();
         let peers = self.peers.values_mut();
-        let silent = peers.filter(|peer| !is_seen(peer, kept));
+        let silent = peers.filter(|peer| !is_seen(peer, timeout));
         let silent = silent.filter_map(|peer| peer.instance.take()).collect();
-        self.peers.retain(|_, peer| is_seen(peer, ADDRESS_KEPT));
+        self.peers.retain(|_, peer| is_seen(peer, ADDRESS_TIMEOUT));
         silent
     }
 
-    fn member_kept(&self) -> Duration {
+    fn member_timeout(&self) -> Duration {
         let members = u32::try_from(self.peers.len()).unwrap_or(u32::MAX);
-        let kept = MEMBER_KEPT + MEMBER_KEPT_EACH.saturating_mul(members);
-        kept.min(MEMBER_KEPT_LONGEST)
+        let timeout = MEMBER_TIMEOUT + MEMBER_TIMEOUT_PER_MEMBER.saturating_mul(members);
+        timeout.min(MAX_MEMBER_TIMEOUT)
     }
 
-    /// Addresses in the own domain, in order.
-    pub fn near(&self) -> impl Iterator<Item = SocketAddr> {
-        self.addresses(|domain| domain == Some(&self.home))
+    /// Peer addresses in the own domain, in address order.
+    pub fn local(&self) -> impl Iterator<Item = SocketAddr> {
+        self.addresses(|domain| domain == Some(&self.own_domain))
     }
 
-    /// Addresses in other domains, and those of which it isn't known.
-    pub fn far(&self) -> impl Iterator<Item = SocketAddr> {
-        self.addresses(|domain| domain != Some(&self.home))
+    /// Peer addresses in other domains or in unknown ones, in address order.
+    pub fn remote(&self) -> impl Iterator<Item = SocketAddr> {
+        self.addresses(|domain| domain != Some(&self.own_domain))
     }
 
     fn addresses(
@@ -250,55 +260,55 @@
             .map(|(addr, _)| *addr)
     }
 
-    /// How many instances there are, this one included, heard or told of.
+    /// Number of known instances, this one included, live or advertised by peers.
     #[must_use]
     pub fn instances(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// How many of them are in the own domain.
+    /// Number of known instances in the own domain, this one included.
     #[must_use]
-    pub fn near_instances(&self) -> usize {
-        self.near().count() + 1
+    pub fn local_instances(&self) -> usize {
+        self.local().count() + 1
     }
 
-    /// Some of the members: at most `most`, from place `from` of all on, and
-    /// again from the first after the last.
+    /// At most `limit` members from index `from` on, wrapping around at the end.
     #[must_use]
-    pub fn members(&self, from: usize, most: usize, now: Instant) -> Vec<MembersOf> {
+    pub fn members(&self, from: usize, limit: usize, now: Instant) -> Vec<DomainMembers> {
         let count = self.peers.len();
         let start = from.checked_rem(count).unwrap_or(0);
-        let window = self.peers.iter().cycle().skip(start).take(most.min(count));
-        let mut told: BTreeMap<&DomainId, Vec<MemberSeen>> = BTreeMap::new();
+        let window = self.peers.iter().cycle().skip(start).take(limit.min(count));
+        let mut advertised: BTreeMap<&DomainId, Vec<MemberObservation>> = BTreeMap::new();
         for (addr, peer) in window {
             if let Some(domain) = &peer.domain {
-                let members = told.entry(domain).or_default();
-                members.push(peer.seen(*addr, now));
+                let members = advertised.entry(domain).or_default();
+                members.push(peer.observation(*addr, now));
             }
         }
-        let told = told.into_iter();
-        told.map(|(domain, members)| MembersOf {
-            domain: domain.clone(),
-            members,
-        })
-        .collect()
+        let advertised = advertised.into_iter();
+        advertised
+            .map(|(domain, members)| DomainMembers {
+                domain: domain.clone(),
+                members,
+            })
+            .collect()
     }
 
-    /// The members of a domain, at most `most`.
+    /// At most `limit` members of a domain, in address order.
     #[must_use]
-    pub fn members_in(&self, domain: &DomainId, most: usize, now: Instant) -> MembersOf {
+    pub fn members_in(&self, domain: &DomainId, limit: usize, now: Instant) -> DomainMembers {
         let peers = self.peers.iter();
         let members = peers.filter(|(_, peer)| peer.domain.as_ref() == Some(domain));
-        MembersOf {
+        DomainMembers {
             domain: domain.clone(),
             members: members
-                .take(most)
-                .map(|(addr, peer)| peer.seen(*addr, now))
+                .take(limit)
+                .map(|(addr, peer)| peer.observation(*addr, now))
                 .collect(),
         }
     }
 
-    /// The clock to send back to a member.
+    /// The clock value to send back to a peer; none before its first heartbeat.
     #[must_use]
     pub fn echo(&self, to: SocketAddr, now: Instant) -> Option<Echo> {
         let (sent_ms, at) = self.peers.get(&to)?.clock?;
@@ -309,7 +319,7 @@
         })
     }
 
-    fn note_holder(&mut self, holder: &HolderSeen, now: Instant) {
+    fn record_holder(&mut self, holder: &HolderObservation, now: Instant) {
         let Some(at) = now.checked_sub(Duration::from_millis(holder.age_ms)) else {
             return;
         };
@@ -322,128 +332,133 @@
         }
     }
 
-    /// The holder of the lease that was last heard of.
+    /// The last known holder of the lease, with the age of that knowledge.
     #[must_use]
-    pub fn holder(&self, now: Instant) -> Option<HolderSeen> {
+    pub fn holder(&self, now: Instant) -> Option<HolderObservation> {
         let (instance, at) = self.holder.as_ref()?;
         let age = now.saturating_duration_since(*at);
-        Some(HolderSeen {
+        Some(HolderObservation {
             instance: instance.clone(),
             age_ms: millis(age),
         })
     }
 
-    /// When another member was last known to hold the lease.
+    /// When a peer was last known to hold the lease.
     #[must_use]
-    pub fn holder_at(&self) -> Option<Instant> {
+    pub fn holder_known_at(&self) -> Option<Instant> {
         self.holder.as_ref().map(|(_, at)| *at)
     }
 
-    /// Whether another member that holds the lease was heard of lately.
+    /// Whether a peer was recently known to hold the lease.
     #[must_use]
-    pub fn hears_holder(&self, now: Instant) -> bool {
-        is_within(self.holder_at(), now, HOLDER_KEPT)
+    pub fn has_live_holder(&self, now: Instant) -> bool {
+        is_within(self.holder_known_at(), now, HOLDER_TIMEOUT)
     }
 
-    /// Whether this instance reads the store for its domain: the first of those that
-    /// were heard lately, and knew what the store has.
+    /// Whether this instance reads the store for its domain: no live instance that is
+    /// ranked before it has recent knowledge of the store.
     #[must_use]
-    pub fn reads_store(&self, budget: PropagationBudget, now: Instant) -> bool {
-        let (kept, bound) = (budget.reader_timeout(), budget.max_report_age());
-        let mut before = self.heard_before(now);
-        before.all(|(_, peer)| !(peer.is_heard(now, kept) && is_within(peer.store_at, now, bound)))
+    pub fn is_store_reader(&self, budget: PropagationBudget, now: Instant) -> bool {
+        let (timeout, max_age) = (budget.reader_timeout(), budget.max_report_age());
+        let mut before = self.live_before(now);
+        before.all(|(_, peer)| {
+            !(peer.received_within(now, timeout) && is_within(peer.store_known_at, now, max_age))
+        })
     }
 
-    /// How old what this instance knows may grow before it reads the store itself.
+    /// Age that this instance's knowledge of the store may reach before it reads the
+    /// store itself; grows with its rank.
     #[must_use]
-    pub fn reliance(&self, budget: PropagationBudget, now: Instant) -> Duration {
+    pub fn max_store_age(&self, budget: PropagationBudget, now: Instant) -> Duration {
         budget.max_report_age() + budget.rank_delay(self.rank(now))
     }
 
-    /// Whether a member of the domain has a newer configuration than a version.
+    /// Whether a live peer of the domain has a configuration newer than `version`.
     #[must_use]
     pub fn has_newer_config(&self, version: u64, now: Instant) -> bool {
-        let mut near = self.heard_near(now);
-        near.any(|(_, peer)| peer.config_version > Some(version))
+        let mut local = self.live_local(now);
+        local.any(|(_, peer)| peer.config_version > Some(version))
     }
 
-    /// How many of the domain's instances stand before this one: those that it
-    /// hears, or more by the word of one that hears all.
+    /// Number of the domain's instances ranked before this one: the live ones, or the
+    /// count in an aggregator's sums where that is higher.
     #[must_use]
     pub fn rank(&self, now: Instant) -> usize {
-        let heard = self.heard_before(now).count();
-        let told = self.sums(now).map_or(0, |(sums, _)| sums.rank);
-        heard.max(usize::try_from(told).unwrap_or(0))
+        let live = self.live_before(now).count();
+        let reported = self.sums(now).map_or(0, |(sums, _)| sums.rank);
+        live.max(usize::try_from(reported).unwrap_or(0))
     }
 
-    /// The first `most` members of the domain in line by what is known of them, heard or
-    /// told of.
-    pub(super) fn first_known(&self, most: usize) -> Vec<SocketAddr> {
-        let near = self.known_near();
-        first_in_line(near, most)
+    /// The first-ranked `limit` members of the domain, live or only advertised by peers.
+    pub(super) fn first_ranked_known(&self, limit: usize) -> Vec<SocketAddr> {
+        let local = self.known_local();
+        first_ranked(local, limit)
     }
 
-    fn known_near(&self) -> impl Iterator<Item = Standing> {
+    fn known_local(&self) -> impl Iterator<Item = RankKey> {
         let peers = self.peers.iter();
-        let near = peers.filter(|(_, peer)| peer.domain.as_ref() == Some(&self.home));
-        near.map(|(addr, peer)| peer.standing(*addr))
+        let local = peers.filter(|(_, peer)| peer.domain.as_ref() == Some(&self.own_domain));
+        local.map(|(addr, peer)| peer.rank_key(*addr))
     }
 
-    /// How many instances of the domain stand before this one by what is known of
-    /// them, heard or told of.
+    /// Number of the domain's known instances ranked before this one, live or only
+    /// advertised by peers.
     #[must_use]
-    pub fn known_before(&self) -> usize {
-        let own = self.standing();
-        self.known_near().filter(|known| *known < own).count()
+    pub fn known_rank(&self) -> usize {
+        let own = self.rank_key();
+        self.known_local().filter(|known| *known < own).count()
     }
 
-    /// Whether this instance is the first of those it hears in its domain.
+    /// Whether no live instance of the domain is ranked before this one.
     #[must_use]
-    pub fn is_first(&self, now: Instant) -> bool {
-        self.heard_before(now).next().is_none()
+    pub fn is_first_ranked(&self, now: Instant) -> bool {
+        self.live_before(now).next().is_none()
     }
 
-    /// The members that are heard in the own domain, in order.
-    pub(super) fn heard_near(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Peer)> {
-        let near = move |(_, peer): &(&SocketAddr, &Peer)| {
-            peer.domain.as_ref() == Some(&self.home) && peer.is_heard(now, LOAD_KEPT)
+    /// The live peers of the own domain, in address order.
+    pub(super) fn live_local(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Peer)> {
+        let is_live_local = move |(_, peer): &(&SocketAddr, &Peer)| {
+            peer.domain.as_ref() == Some(&self.own_domain)
+                && peer.received_within(now, LOAD_TIMEOUT)
         };
         let peers = self.peers.iter();
-        peers.filter(near).map(|(addr, peer)| (*addr, peer))
+        peers
+            .filter(is_live_local)
+            .map(|(addr, peer)| (*addr, peer))
     }
 
-    /// Those of them before this instance in line.
-    fn heard_before(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Peer)> {
-        let own = self.standing();
-        self.heard_near(now)
-            .filter(move |(addr, peer)| peer.standing(*addr) < own)
+    /// The live peers of the own domain that are ranked before this instance.
+    fn live_before(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Peer)> {
+        let own = self.rank_key();
+        self.live_local(now)
+            .filter(move |(addr, peer)| peer.rank_key(*addr) < own)
     }
 
-    /// The first `most` members that are heard in the own domain before this
-    /// instance in line.
-    pub(super) fn first_before(&self, most: usize, now: Instant) -> Vec<SocketAddr> {
-        let before = self.heard_before(now);
-        first_in_line(before.map(|(addr, peer)| peer.standing(addr)), most)
+    /// The first-ranked `limit` live peers of the own domain, of those ranked before this
+    /// instance.
+    pub(super) fn first_ranked_before(&self, limit: usize, now: Instant) -> Vec<SocketAddr> {
+        let before = self.live_before(now);
+        first_ranked(before.map(|(addr, peer)| peer.rank_key(addr)), limit)
     }
 
-    /// Whether any member of the own domain is heard.
+    /// Whether any peer of the own domain is live.
     #[must_use]
-    pub fn hears_near(&self, now: Instant) -> bool {
-        self.heard_near(now).next().is_some()
+    pub fn has_live_local(&self, now: Instant) -> bool {
+        self.live_local(now).next().is_some()
     }
 
-    /// Whether any member is heard.
+    /// Whether any peer is live.
     #[must_use]
-    pub fn hears_any(&self, now: Instant) -> bool {
+    pub fn has_live_peer(&self, now: Instant) -> bool {
         let mut peers = self.peers.values();
-        peers.any(|peer| peer.is_heard(now, LOAD_KEPT))
+        peers.any(|peer| peer.received_within(now, LOAD_TIMEOUT))
     }
 }
 
-/// The addresses of the first `most` of some members in line.
-fn first_in_line(members: impl Iterator<Item = Standing>, most: usize) -> Vec<SocketAddr> {
-    let mut members: Vec<Standing> = members.collect();
+/// The addresses of the first-ranked `limit` members.
+fn first_ranked(members: impl Iterator<Item = RankKey>, limit: usize) -> Vec<SocketAddr> {
+    let mut members: Vec<RankKey> = members.collect();
     members.sort_unstable();
-    members.truncate(most);
-    members.into_iter().map(Standing::addr).collect()
+    members.truncate(limit);
+    members.into_iter().map(RankKey::addr).collect()
 }
--- a/crates/rookferry_relay/src/exchange.rs
+++ b/crates/rookferry_relay/src/exchange.rs
@@ -110,7 +110,7 @@
     /// server has a limit.
     fn record_sent(&self, server: ServerKey, purpose: Purpose<'_>) {
         match purpose {
-            Purpose::OwnCall => self.permits.tracker().note_sent(server, clock::now()),
+            Purpose::OwnCall => self.permits.tracker().record_sent(server, clock::now()),
             Purpose::CallerRequest(permits) => self.record_unpermitted(permits),
         }
     }
@@ -120,7 +120,7 @@
         let now = clock::now();
         let mut tracker = self.permits.tracker();
         for server in permits.unpermitted(now) {
-            tracker.note_sent(server, now);
+            tracker.record_sent(server, now);
         }
     }
 
@@ -159,7 +159,7 @@
         }
         match self.protocol.named_limit(headers) {
             Ok(named) => {
-                let rate = named.and_then(RequestRate::bounded);
+                let rate = named.and_then(RequestRate::from_per_s);
                 notice.limit = rate.map_or(LimitNotice::None, LimitNotice::Named);
             }
             Err(error) => self.log_invalid_notice(server, &error),
@@ -197,12 +197,12 @@
         let change = match (limit, purpose) {
             (LimitNotice::Named(rate), _) => self
                 .beliefs
-                .update_limits(|limits| limits.named(server, rate, now)),
+                .update_limits(|limits| limits.record_limit(server, rate, now)),
             (LimitNotice::None, Purpose::CallerRequest(_))
                 if self.beliefs.limits().of(server).is_some() =>
             {
                 self.beliefs
-                    .update_limits(|limits| limits.not_named(server, sent_at, now))
+                    .update_limits(|limits| limits.record_unlimited(server, sent_at, now))
             }
             _ => None,
         };
--- a/crates/rookferry_relay/src/permits.rs
+++ b/crates/rookferry_relay/src/permits.rs
@@ -19,13 +19,13 @@
 
 use metrics::counter;
 use rookferry_core::LimitChange;
-use rookferry_core::LimitSeen;
+use rookferry_core::LimitObservation;
 use rookferry_core::Permit;
 use rookferry_core::PermitAnswer;
-use rookferry_core::PermitAsk;
-use rookferry_core::PermitBook;
 use rookferry_core::PermitGranter;
 use rookferry_core::PermitRefusal;
+use rookferry_core::PermitRequest;
+use rookferry_core::PermitTracker;
 use rookferry_core::RequestRate;
 use rookferry_core::ServerKey;
 use rookferry_core::ServerLimits;
@@ -92,7 +92,7 @@
     last_number: AtomicU64,
     pending: Mutex<HashMap<u64, oneshot::Sender<PermitAnswer>>>,
     granters: Mutex<HashMap<ServerKey, Granter>>,
-    tracker: Mutex<PermitBook>,
+    tracker: Mutex<PermitTracker>,
 }
 
 /// This instance's granter for one server.
@@ -142,7 +142,7 @@
     }
 
     /// Locks the record of refused permits and unpermitted sends.
-    pub(crate) fn tracker(&self) -> MutexGuard<'_, PermitBook> {
+    pub(crate) fn tracker(&self) -> MutexGuard<'_, PermitTracker> {
         lock(&self.tracker)
     }
 
@@ -163,7 +163,7 @@
     async fn request_from(
         &self,
         to: SocketAddr,
-        permit_request: &PermitAsk,
+        permit_request: &PermitRequest,
     ) -> Option<PermitAnswer> {
         let (sender, receiver) = oneshot::channel();
         lock(&self.pending).insert(permit_request.number, sender);
@@ -226,7 +226,7 @@
         let outcome = self.request_from_granters(permit_request).await;
         let Err(refused) = outcome else {
             counter!("rookferry_permits_total", "outcome" => "granted").increment(1);
-            return Some(Permit::asked_at(server, asked_at));
+            return Some(Permit::requested_at(server, asked_at));
         };
         counter!("rookferry_permits_total", "outcome" => "refused").increment(1);
         self.record_refused_permit(request, server, rate, refused);
@@ -246,7 +246,7 @@
         let now = clock::now();
         self.permits
             .tracker()
-            .note_refused(server, request.urgency, refusal, chance, now);
+            .record_refusal(server, request.urgency, refusal, chance, now);
         if let Some(log) = self.events.line(Weight::Routine) {
             let limits = self.beliefs.limits();
             info!(log, "request: permit refused, the server's limit is reached";
@@ -260,13 +260,18 @@
 
     /// Builds a message that reports unpermitted sends; without an urgency it requests
     /// no permit.
-    fn new_permit_request(&self, server: ServerKey, rate: RequestRate, now: Instant) -> PermitAsk {
+    fn new_permit_request(
+        &self,
+        server: ServerKey,
+        rate: RequestRate,
+        now: Instant,
+    ) -> PermitRequest {
         let age = self.beliefs.limits().age(server, now);
         let mut sent_ms_ago = self.permits.tracker().take_sent(server, now);
         sent_ms_ago.truncate(MAX_SENT_REPORTED);
-        PermitAsk {
+        PermitRequest {
             number: self.permits.last_number.fetch_add(1, Ordering::Relaxed),
-            seen: LimitSeen {
+            seen: LimitObservation {
                 server,
                 rate: Some(rate),
                 age_ms: age.map_or(0, millis),
@@ -277,7 +282,10 @@
     }
 
     /// Sends a permit request to the granter, which may be this instance.
-    async fn request_from_granters(&self, permit_request: PermitAsk) -> Result<(), RefusedPermit> {
+    async fn request_from_granters(
+        &self,
+        permit_request: PermitRequest,
+    ) -> Result<(), RefusedPermit> {
         let server = permit_request.seen.server;
         let domain = self.granting_domain(server);
         let granters = lock(&self.peers).permit_granters(server, &domain, clock::now());
@@ -312,12 +320,12 @@
     ///
     /// The limit that it carries is taken over first. `Elsewhere` is returned if
     /// another instance is the granter, or this one started too recently to grant.
-    pub(crate) fn answer_permit_request(&self, permit_request: &PermitAsk) -> PermitAnswer {
+    pub(crate) fn answer_permit_request(&self, permit_request: &PermitRequest) -> PermitAnswer {
         let server = permit_request.seen.server;
         let now = clock::now();
         let change = self
             .beliefs
-            .update_limits(|limits| limits.hear(permit_request.seen, now));
+            .update_limits(|limits| limits.merge(permit_request.seen, now));
         if let Some(change) = change {
             self.record_limit_change(server, change, "question");
         }
@@ -342,7 +350,7 @@
     /// Counts the reported sends, and grants a permit if one is requested.
     fn grant(
         &self,
-        permit_request: &PermitAsk,
+        permit_request: &PermitRequest,
         rate: RequestRate,
         share: f64,
         now: Instant,
@@ -358,7 +366,7 @@
         granter.permits.set_rate(rate);
         for ago_ms in &permit_request.sent_ms_ago {
             let ago = Duration::from_millis(u64::from(*ago_ms));
-            granter.permits.note_sent(ago, now);
+            granter.permits.record_sent(ago, now);
         }
         let taken = permit_request
             .urgency
@@ -388,7 +396,7 @@
 
     /// Logs and advertises a changed limit; `source` names where it came from.
     pub(crate) fn record_limit_change(&self, server: ServerKey, change: LimitChange, source: &str) {
-        self.permits.tracker().forget(server);
+        self.permits.tracker().clear_refusal(server);
         let rate = match change {
             LimitChange::Named(rate) => Some(rate),
             LimitChange::Lifted => None,
