--- a/crates/rookferry_core/src/admission/drain.rs
+++ b/crates/rookferry_core/src/admission/drain.rs
@@ -1,15 +1,15 @@
-//! How fast waiting requests get their turn, for honest waits.
+//! Estimates how long queued requests wait, from the rate at which the queue drains.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time over which the rate is averaged.
+/// Time constant of the average.
 const WINDOW: Duration = Duration::from_secs(5);
-/// The shortest and longest time told to a caller.
+/// Bounds of the retry delay given to callers.
 const MIN_RETRY: Duration = Duration::from_millis(100);
 const MAX_RETRY: Duration = Duration::from_secs(30);
 
-/// Requests a second that get their turn, as a decaying average.
+/// Requests taken from a queue per second, as an exponentially decaying average.
 #[derive(Clone, Debug)]
 pub struct DrainRate {
     per_s: f64,
@@ -23,7 +23,7 @@
 }
 
 impl DrainRate {
-    /// A rate of which nothing is known.
+    /// A rate without any sample.
     #[must_use]
     pub const fn new() -> Self {
         Self {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A request got its turn.
+    /// Records that a request was taken from the queue; the first only starts the average.
     pub fn drained(&mut self, now: Instant) {
         let Some(last) = self.last.replace(now) else {
             return;
@@ -42,7 +42,7 @@
         self.per_s = self.per_s * kept + 1.0 / WINDOW.as_secs_f64();
     }
 
-    /// Requests a second, at `now`.
+    /// Requests per second, decayed to `now`; 0 before the second request.
     #[must_use]
     pub fn per_s(&self, now: Instant) -> f64 {
         let Some(last) = self.last else {
@@ -52,7 +52,7 @@
         self.per_s * (-gap_s / WINDOW.as_secs_f64()).exp()
     }
 
-    /// The expected wait behind a number of requests; `None` if not known.
+    /// Expected wait behind `ahead` requests; `None` if the rate is unknown.
     #[must_use]
     pub fn wait(&self, now: Instant, ahead: usize) -> Option<Duration> {
         let per_s = self.per_s(now);
@@ -62,7 +62,8 @@
         Duration::try_from_secs_f64(ahead as f64 / per_s).ok()
     }
 
-    /// When a caller that is turned away should come back.
+    /// Delay after which a refused caller should retry, from 100 ms to 30 s; 1 s if the
+    /// rate is unknown.
     #[must_use]
     pub fn retry_after(&self, now: Instant, ahead: usize) -> Duration {
         let wait = self.wait(now, ahead + 1).unwrap_or(Duration::from_secs(1));
--- a/crates/rookferry_core/src/admission/fair_queue.rs
+++ b/crates/rookferry_core/src/admission/fair_queue.rs
@@ -1,30 +1,30 @@
-//! A bounded queue that shares turns among client accounts by weight.
+//! A bounded weighted fair queue over client accounts.
 //!
-//! Each account's requests carry virtual finish times, a cost apart divided
-//! by its weight; the earliest goes next. An account that sends more than its
-//! share thus waits behind its own requests. When the queue is full, the last
-//! request of the account that is furthest over its share is turned away, so
-//! that a flood can't keep others out.
+//! The virtual finish time of a request is that of its account's previous request (or
+//! the current virtual time, if later) plus its cost divided by the account's weight.
+//! The earliest is dequeued first, so an account that exceeds its share waits behind its
+//! own requests. When the queue is full, the newest request of the account that is
+//! furthest over its share is evicted, so that a flood can't shut out other accounts.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
 use rookferry_wire::AccountId;
 
-/// A request that waits.
+/// A queued request.
 #[derive(Debug)]
 pub struct Waiting<T> {
-    /// Its account.
+    /// Client account of the request.
     pub account: AccountId,
-    /// What waits.
+    /// The queued item.
     pub item: T,
     finish: f64,
 }
 
-/// What became of a push.
+/// Result of a push.
 #[derive(Debug)]
 pub struct Pushed<T> {
-    /// The request that was turned away to make room; it may be the pushed one.
+    /// The request evicted from a full queue; it may be the pushed one.
     pub evicted: Option<Waiting<T>>,
 }
 
@@ -34,7 +34,7 @@
     last_finish: f64,
 }
 
-/// The queue.
+/// A fair queue of items, limited in length.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     limit: usize,
@@ -44,7 +44,7 @@
 }
 
 impl<T> FairQueue<T> {
-    /// A queue for at most `limit` requests.
+    /// An empty queue for at most `limit` requests.
     #[must_use]
     pub const fn new(limit: usize) -> Self {
         Self {
@@ -55,14 +55,14 @@
         }
     }
 
-    /// Changes the limit; what waits stays.
+    /// Changes the limit; requests already queued stay.
     pub const fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
     /// Adds a request of an account with a weight above 0.
     ///
-    /// `cost` is in any unit that is the same for all, such as tokens.
+    /// `cost` is in any unit that is common to all requests, such as tokens.
     pub fn push(&mut self, account: AccountId, weight: f64, cost: f64, item: T) -> Pushed<T> {
         let virtual_now = self.virtual_now;
         let lane = self.lanes.entry(account.clone()).or_insert_with(|| Lane {
@@ -86,7 +86,7 @@
         Pushed { evicted }
     }
 
-    /// The request whose turn it is.
+    /// Removes the request with the earliest virtual finish time.
     pub fn pop(&mut self) -> Option<Waiting<T>> {
         let account = self.first_account()?;
         let lane = self.lanes.get_mut(&account)?;
@@ -99,7 +99,7 @@
         Some(next)
     }
 
-    /// The request whose turn it is, left in place.
+    /// The request that [`Self::pop`] would remove.
     #[must_use]
     pub fn peek(&self) -> Option<&T> {
         let account = self.first_account()?;
@@ -107,7 +107,7 @@
         lane.waiting.front().map(|waiting| &waiting.item)
     }
 
-    /// Takes out all that no longer need their turn.
+    /// Removes and returns all requests for which the predicate holds.
     pub fn remove_if(&mut self, mut is_over: impl FnMut(&T) -> bool) -> Vec<Waiting<T>> {
         let mut removed = Vec::new();
         for lane in self.lanes.values_mut() {
@@ -124,13 +124,13 @@
         removed
     }
 
-    /// How many wait.
+    /// Number of queued requests.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether nothing waits.
+    /// Whether no request is queued.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.length == 0
--- a/crates/rookferry_core/src/admission/mod.rs
+++ b/crates/rookferry_core/src/admission/mod.rs
@@ -1,4 +1,7 @@
-//! Who goes next when there isn't room for all, and who is turned away.
+//! Admission of requests while the engines are full: the order in which queued requests
+//! are placed, which are refused, and the wait to expect.
+//!
+//! Entry instances hold one queue and one rate for each pool and model.
 
 mod drain;
 mod fair_queue;
--- a/crates/rookferry_core/src/bound.rs
+++ b/crates/rookferry_core/src/bound.rs
@@ -1,5 +1,7 @@
-//! The bound that the hardware sets: the greatest flow of tokens over a layer
-//! graph whose engines have known rates.
+//! Upper bound on the throughput of a pool: the maximum flow of tokens over its layer
+//! graph, given the rate of each engine.
+//!
+//! Experiments compare the measured throughput with it.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +10,17 @@
 use petgraph::graph::NodeIndex;
 use rookferry_wire::LayerRange;
 
-/// An engine's share in the bound.
+/// An engine and its maximum rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RatedEngine {
-    /// The layers that it holds.
+    /// Layers that the engine holds.
     pub layers: LayerRange,
-    /// Tokens a second that it can put through them, its link included.
+    /// Tokens per second that it can pass through them, its link included.
     pub tokens_per_s: u64,
 }
 
-/// Tokens a second that the engines can generate together at most.
+/// Maximum tokens per second that the engines can generate together; 0 if they form no
+/// chain over all layers.
 ///
 /// ```
 /// use rookferry_core::RatedEngine;
@@ -47,7 +50,7 @@
     flow
 }
 
-/// Engines with the same layers act as one edge.
+/// Summed rate per layer range; engines with the same range form one edge.
 fn merged(engines: &[RatedEngine]) -> BTreeMap<LayerRange, u64> {
     let mut rates = BTreeMap::new();
     for engine in engines {
--- a/crates/rookferry_core/src/outcome.rs
+++ b/crates/rookferry_core/src/outcome.rs
@@ -1,8 +1,8 @@
-//! What may be told about a request, as types.
+//! Types that track whether a request may have run on a backend server.
 //!
-//! Only an [`Undispatched`] request, or the engines' own refusals, can make a
-//! [`NotRun`]. Dispatching consumes the `Undispatched`, so that no path of
-//! code can call a dispatched request "not run" by mistake.
+//! Only an [`Undispatched`] request, or refusals by the engines, can produce a
+//! [`NotRun`]. Dispatching consumes the `Undispatched`, so that no code path can report
+//! a dispatched request as not run by mistake.
 
 use rookferry_wire::Outcome;
 use rookferry_wire::ReasonCode;
@@ -10,43 +10,43 @@
 
 use crate::StreamDriver;
 
-/// A request of which nothing has been sent to any backend server.
+/// A request that hasn't been sent to any backend server, not even in part.
 #[derive(Debug)]
 pub struct Undispatched {
     request_id: RequestId,
 }
 
-/// A request of which something may have run.
+/// A request that may have run, at least in part.
 #[derive(Debug)]
 pub struct Dispatched {
     request_id: RequestId,
 }
 
-/// The proof that nothing of a request ran or will run.
+/// Proof that no part of a request ran or will run.
 #[derive(Debug)]
 pub struct NotRun {
     request_id: RequestId,
     reason: ReasonCode,
 }
 
-/// A request whose result is lost.
+/// A request that may have run and whose result is lost.
 #[derive(Debug)]
 pub struct Unknown {
     request_id: RequestId,
     reason: ReasonCode,
 }
 
-/// What is told about a request that gets no answer.
+/// Outcome of a request that gets no answer, as reported to its caller.
 #[derive(Debug)]
 pub enum Verdict {
-    /// Nothing ran.
+    /// No part of it ran.
     NotRun(NotRun),
-    /// Something may have run.
+    /// It may have run, at least in part.
     Unknown(Unknown),
 }
 
 impl Undispatched {
-    /// Starts the life of a request.
+    /// A request that was just accepted.
     #[must_use]
     pub const fn new(request_id: RequestId) -> Self {
         Self { request_id }
@@ -58,7 +58,7 @@
         &self.request_id
     }
 
-    /// Gives the request up before anything was sent.
+    /// Refuses the request before anything was sent.
     #[must_use]
     pub fn refuse(self, reason: ReasonCode) -> NotRun {
         NotRun {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Gives the request up where an earlier one under its key may have run.
+    /// Fails the request because an earlier one with its idempotency key may have run.
     #[must_use]
     pub fn unknown(self, reason: ReasonCode) -> Unknown {
         Unknown {
@@ -76,7 +76,8 @@
         }
     }
 
-    /// To be called before the first byte goes to a backend server.
+    /// Marks the request as dispatched; must be called before the first byte is sent to a
+    /// backend server.
     #[must_use]
     pub fn dispatch(self) -> Dispatched {
         Dispatched {
@@ -92,7 +93,7 @@
         &self.request_id
     }
 
-    /// The result is lost.
+    /// Fails the request because its result is lost.
     #[must_use]
     pub fn lost(self, reason: ReasonCode) -> Unknown {
         Unknown {
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Not run if the stream's engines each refused it before admission,
-    /// unknown in all other cases.
+    /// Fails the request: not run if the engines refused every step of its stream,
+    /// unknown otherwise.
     #[must_use]
     pub fn settle(self, stream: &StreamDriver, reason: ReasonCode) -> Verdict {
         if stream.nothing_ran() {
@@ -114,11 +115,11 @@
         Verdict::Unknown(self.lost(reason))
     }
 
-    /// No connection to the backend server was made, so that no byte of the
-    /// request can have left.
+    /// Reverts the dispatch because no connection to the backend server was made, so no
+    /// byte of the request can have been sent.
     ///
-    /// The caller vouches for that; the one place that may is the client's
-    /// report of a failed connect.
+    /// This can't be checked here: call it only when the HTTP client reports that the
+    /// connect failed.
     #[must_use]
     pub fn never_connected(self) -> Undispatched {
         Undispatched {
@@ -128,7 +129,7 @@
 }
 
 impl Verdict {
-    /// As callers see it.
+    /// Outcome as sent to callers.
     #[must_use]
     pub const fn outcome(&self) -> Outcome {
         match self {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Why there is no answer.
+    /// Reason why there is no answer.
     #[must_use]
     pub const fn reason(&self) -> ReasonCode {
         match self {
--- a/crates/rookferry_core/src/placement.rs
+++ b/crates/rookferry_core/src/placement.rs
@@ -1,11 +1,12 @@
-//! Which orders engines need so that the placement rules hold.
+//! Plans the orders that make the engines of a failure domain follow the placement rules.
 //!
-//! An engine that is to load something else is first told to drain: its role
-//! becomes [`DRAINING_ROLE`], instances give it no new work, and its streams
-//! finish. Only then is it told to load, and after that to serve. Engines are
-//! taken out a few at a time, and only while the others cover every layer, so
-//! that a change of version cuts off no request. All of it is read from what
-//! engines say of themselves, so that another holder of the lease can go on.
+//! The controller that holds the domain's lease runs the planner on the current engines.
+//! An engine that must load other layers is first ordered to drain: its role becomes
+//! [`DRAINING_ROLE`], instances give it no new work, and its streams finish. Only then is
+//! it ordered to load, and after that to serve. Few engines drain at once, and only
+//! while the others cover every layer, so that a change of version interrupts no request.
+//! The state is derived from what engines report, so that another lease holder can
+//! continue.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,35 +23,35 @@
 
 /// Role of an engine that gets no new work.
 pub const DRAINING_ROLE: &str = "draining";
-/// Role of an engine whose rule names none.
+/// Role of an engine whose rule sets none.
 pub const SERVING_ROLE: &str = "serving";
 
-/// Label that holds an engine's role.
+/// Label that contains an engine's role.
 const ROLE_LABEL: &str = "role";
-/// How long instances may take to hear that an engine drains.
+/// Time for all instances to learn that an engine drains; until then it may get work.
 const HEARD_AFTER: Duration = Duration::from_secs(2);
-/// How long an order may take to show before it is given again.
+/// Time for an order to take effect before it is repeated.
 const ORDER_PATIENCE: Duration = Duration::from_secs(5);
 
-/// An order that an engine needs.
+/// An order that is due for an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NeededOrder {
-    /// The engine.
+    /// Engine to send it to.
     pub engine: EngineId,
-    /// The rule that asks for it.
+    /// Name of the placement rule behind it.
     pub rule: String,
-    /// The order.
+    /// The order to send.
     pub order: Order,
 }
 
-/// Bounds on what is ordered.
+/// Bounds on the pace of orders.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementLimits {
-    /// Engines that drain or load at once.
+    /// Maximum number of engines that drain or load at once.
     pub at_once: usize,
-    /// The least time between two loads, for the weight store's rate.
+    /// Minimum time between two loads, which limits the load on the weight store.
     pub load_interval: Duration,
-    /// How long streams may take to finish; then they go on elsewhere.
+    /// Time for streams to finish on a draining engine; then they move to other engines.
     pub drain_timeout: Duration,
 }
 
@@ -64,7 +65,7 @@
 }
 
 impl PlacementPlanner {
-    /// A planner that has ordered nothing.
+    /// A planner that has given no order.
     #[must_use]
     pub const fn new(limits: PlacementLimits) -> Self {
         Self {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The orders that are due.
+    /// The orders that are due now; a repeated one only after it had time to take effect.
     pub fn plan(
         &mut self,
         now: Instant,
@@ -175,7 +176,7 @@
             .count()
     }
 
-    /// Whether the same order was given a moment ago.
+    /// Whether the same order was given so recently that it may still take effect.
     fn is_pending(&self, now: Instant, engine: &EngineId, order: &Order) -> bool {
         let given = self.ordered.get(engine);
         given.is_some_and(|(at, given)| {
@@ -184,7 +185,7 @@
     }
 }
 
-/// Whether an engine says that it gets no new work.
+/// Whether an engine reports the draining role, in which it gets no new work.
 #[must_use]
 pub fn is_draining(engine: &Engine) -> bool {
     role_of(engine) == Some(DRAINING_ROLE)
@@ -205,8 +206,8 @@
     }
 }
 
-/// Whether the model that an engine serves stays covered when it goes, or
-/// wasn't covered anyway.
+/// Whether the engine can stop serving: the other serving engines cover its model, or
+/// the model isn't covered with it either.
 fn is_covered_without(
     config: &SiteConfig,
     engines: &[Engine],
--- a/crates/rookferry_core/src/retry.rs
+++ b/crates/rookferry_core/src/retry.rs
@@ -1,14 +1,17 @@
-//! A budget for retries, so that they can't multiply load in a fault.
+//! A retry budget, so that retries can't multiply the load during a fault.
+//!
+//! Each new request adds a share of a retry, each retry takes a whole one, and a retry
+//! without budget is denied. Entry instances share one budget among all requests.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// Units of one retry.
+/// Budget units per retry.
 const UNITS_PER_RETRY: u64 = 1_000;
-/// Retries that may be saved up.
+/// Maximum balance, in retries.
 const MAX_SAVED_RETRIES: u64 = 20;
 
-/// Retries as a share of fresh work; shared by all requests without a lock.
+/// Limits retries to a share of the new requests; lock-free.
 #[derive(Debug)]
 pub struct RetryBudget {
     units: AtomicU64,
@@ -23,13 +26,13 @@
 }
 
 impl RetryBudget {
-    /// A budget that is full, so that a quiet instance may retry.
+    /// A full budget, so that an instance with few requests may retry.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A fresh request came; it earns a share of a retry.
+    /// Adds a share of a retry, from 0 to 1, for a new request.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -45,7 +48,7 @@
             });
     }
 
-    /// Takes one retry if there is one.
+    /// Takes one retry; false if the balance is too low.
     pub fn spend(&self) -> bool {
         let spent = self
             .units
--- a/crates/rookferry_core/src/routing/affinity.rs
+++ b/crates/rookferry_core/src/routing/affinity.rs
@@ -1,7 +1,7 @@
-//! Which engines likely hold a prompt's prefix.
+//! Index of the engines that probably cache a prompt's prefix.
 //!
-//! Cache events come late and with gaps, so the index is only a hint; a gap
-//! makes it forget the engine.
+//! It is built from the engines' cache events. These arrive late and with gaps, so the
+//! index is only a hint; a gap in the sequence removes all entries of the engine.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -12,12 +12,12 @@
 use rookferry_wire::CacheEvents;
 use rookferry_wire::EngineId;
 
-/// Tokens of a prompt that make its prefix.
+/// Length of a prefix, in tokens.
 const PREFIX_TOKENS: usize = 32;
-/// Prefixes kept for each engine.
+/// Prefixes stored per engine; beyond it, the oldest is removed.
 const MAX_PREFIXES_PER_ENGINE: usize = 4_096;
 
-/// Hash of a prompt's prefix, `None` for prompts too short to be cached.
+/// Hash of a prompt's prefix; `None` if the prompt is too short to be cached.
 #[must_use]
 pub fn prefix_hash(prompt: &[u64]) -> Option<u64> {
     let prefix = prompt.get(..PREFIX_TOKENS)?;
@@ -30,7 +30,7 @@
     order: VecDeque<u64>,
 }
 
-/// Prefixes by engine.
+/// Engines by cached prefix, and prefixes by engine.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     engines: HashMap<EngineId, EnginePrefixes>,
@@ -44,7 +44,8 @@
         Self::default()
     }
 
-    /// Takes an engine's events; a gap forgets what was known of it.
+    /// Applies an engine's cache events; skips those already seen, and removes the
+    /// engine's entries at a gap in the sequence.
     pub fn on_events(&mut self, engine: &EngineId, events: &CacheEvents) {
         for event in &events.events {
             let known = self.engines.entry(engine.clone()).or_default();
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Forgets an engine.
+    /// Removes all entries of an engine.
     pub fn forget(&mut self, engine: &EngineId) {
         let Some(known) = self.engines.remove(engine) else {
             return;
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Engines that likely hold the prefix.
+    /// Engines that probably cache the prefix.
     #[must_use]
     pub fn holders(&self, prefix: u64) -> &[EngineId] {
         self.holders.get(&prefix).map_or(&[], Vec::as_slice)
--- a/crates/rookferry_core/src/routing/candidate.rs
+++ b/crates/rookferry_core/src/routing/candidate.rs
@@ -1,34 +1,34 @@
-//! Why each engine was chosen or not, for the record of a decision.
+//! Verdicts on the engines considered for a request, for decision records.
 
 use rookferry_wire::EngineId;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// An engine that was considered.
+/// An engine or service instance that was considered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Candidate {
-    /// The engine.
+    /// Name of the engine or service instance.
     pub engine: EngineId,
-    /// Expected time a token, link included.
+    /// Expected time per token in microseconds, link included; of a call for a service.
     pub cost_us: u64,
-    /// Chosen, or why not.
+    /// Whether it was chosen, or why not.
     pub verdict: CandidateVerdict,
 }
 
-/// What was decided about a candidate.
+/// Whether a candidate was chosen, or why not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CandidateVerdict {
-    /// It runs a stage.
+    /// Runs a stage, or the call.
     Chosen,
-    /// Another chain was expected to finish earlier.
+    /// Usable, but another was cheaper.
     Costlier,
-    /// Its streams are at the limit.
+    /// At its stream limit.
     Full,
-    /// It leaves.
+    /// Leaving; gets no new work.
     Leaving,
-    /// It doesn't answer.
+    /// Doesn't answer.
     Lost,
-    /// This request has lost it before.
+    /// Excluded because it failed under this request earlier.
     Excluded,
 }
--- a/crates/rookferry_core/src/routing/chooser.rs
+++ b/crates/rookferry_core/src/routing/chooser.rs
@@ -1,8 +1,8 @@
-//! The choice of a chain of engines over the layer graph.
+//! Policies that choose a chain of engines over the layer graph.
 //!
-//! One search serves all policies: the cheapest path from the first boundary
-//! to the last. A policy says only what an engine costs. `ExpectedFinish` is
-//! the product's; the others are baselines to measure it against.
+//! All policies share one search for the cheapest path from the first layer boundary to
+//! the last; a policy only sets the cost of each engine. `ExpectedFinish` is the policy
+//! for production; the others are baselines to compare it with.
 
 use std::collections::BTreeMap;
 use std::hash::BuildHasher;
@@ -22,51 +22,52 @@
 use crate::PolicyConfig;
 use crate::Stage;
 
-/// Cost of an engine that nothing is known about, so that it gets tried.
+/// Assumed cost and step time of an engine without measurements, in microseconds, so
+/// that it gets tried.
 pub(super) const UNKNOWN_COST_US: u64 = 1_000;
-/// Spread of costs by chance, as one in this many, so that instances that see
-/// the same reports don't all choose the same engine.
+/// The cost divided by this is the range of its random part, which keeps instances with
+/// the same load reports from all choosing the same engine.
 const JITTER_PART: u64 = 8;
-/// Extra cost for each loss in a row, as a multiple of the cost.
+/// Extra cost per consecutive failure, as a multiple of the cost.
 const FAILURE_PENALTY: u64 = 4;
-/// Losses in a row beyond which the penalty doesn't grow.
+/// Consecutive failures beyond which the penalty doesn't grow.
 const MAX_COUNTED_FAILURES: u64 = 8;
 
-/// What a chain is asked for.
+/// Input of the search for a chain.
 #[derive(Clone, Copy, Debug)]
 pub struct ChainRequest<'a> {
-    /// The layers to cover.
+    /// Layers to cover.
     pub layers: LayerRange,
-    /// Engines not to use.
+    /// Engines that must not be used.
     pub excluded: &'a [EngineId],
-    /// Engines that likely hold the prompt's prefix.
+    /// Engines that probably cache the prompt's prefix.
     pub cached: &'a [EngineId],
-    /// A number that differs from request to request.
+    /// Seed of the random part of costs; differs between requests.
     pub seed: u64,
-    /// Whether engines at their limit may be used, as they may for a stream
-    /// that is under way.
+    /// Whether engines at their stream limit may be used, as for a stream that is
+    /// already in flight.
     pub beyond_limit: bool,
 }
 
-/// A chain and how it was found.
+/// A chain and the engines considered for it.
 #[derive(Clone, Debug, Default)]
 pub struct ChosenChain {
-    /// The stages in order; empty if there is no chain.
+    /// Stages in order of layers; empty if there is no chain.
     pub stages: Vec<Stage>,
-    /// Each engine that was considered.
+    /// Engines considered, each with cost and verdict.
     pub candidates: Vec<Candidate>,
-    /// Whether only full engines stood in the way.
+    /// Whether no chain was found and at least one engine was at its stream limit.
     pub is_full: bool,
 }
 
-/// Chooses chains.
+/// A policy that chooses a chain of engines.
 pub trait ChainChooser: Send + Sync {
-    /// What the engine costs; lower is better.
+    /// Cost of an engine; the chain with the lowest sum wins.
     ///
-    /// `pass_us` is what a typical chain takes for a token when it is idle.
+    /// `pass_us` is the time that a typical idle chain takes for a token.
     fn cost_us(&self, engine: &Engine, pass_us: u64, seed: u64) -> u64;
 
-    /// The cheapest chain over the graph.
+    /// The cheapest chain over the graph; without stages if there is none.
     fn choose(
         &self,
         policy: &PolicyConfig,
@@ -79,26 +80,26 @@
     }
 }
 
-/// The lowest expected time a token.
+/// Prefers the lowest expected time per token.
 #[derive(Debug, Default)]
 pub struct ExpectedFinish;
 
-/// Any chain.
+/// Assigns random costs.
 #[derive(Debug, Default)]
 pub struct RandomChain;
 
-/// Each engine in turn.
+/// Prefers the engines that were chosen least recently.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     turn: AtomicU64,
     last: std::sync::Mutex<BTreeMap<EngineId, u64>>,
 }
 
-/// The engines with the fewest own streams.
+/// Prefers the engines with the fewest streams of this instance.
 #[derive(Debug, Default)]
 pub struct LeastOutstanding;
 
-/// The chooser that the configuration names.
+/// The chooser of a configured kind.
 #[must_use]
 pub fn chooser_for(kind: ChooserKind) -> Box<dyn ChainChooser> {
     match kind {
@@ -131,14 +132,15 @@
     }
 }
 
-/// Expected time of a step on an engine that `streams` others share.
+/// Expected response time of a step on an engine shared with `streams` other streams,
+/// in microseconds.
 ///
-/// Each of them comes back once a pass: it spends a time here and
-/// `elsewhere_us` on other stages. The queue that a step finds is then the
-/// share of the streams that is here at a time, and the time `r` solves
-/// `r = s * (1 + streams * r / (elsewhere + r))`, with `s` the engine's time
-/// for one of its slots. An idle engine gives its step time; a crowded one
-/// gives `streams` steps less the time elsewhere.
+/// Each of them returns once per pass, after `elsewhere_us` on other stages (a closed
+/// queueing network). The expected queue is the share of the streams that are at this
+/// engine, so the response time `r` solves
+/// `r = s * (1 + streams * r / (elsewhere + r))`, where `s` is the step time divided by
+/// the number of slots. An idle engine yields its step time; a saturated one yields
+/// `streams` service times less the time on other stages.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/crates/rookferry_core/src/routing/engine.rs
+++ b/crates/rookferry_core/src/routing/engine.rs
@@ -1,4 +1,4 @@
-//! One engine as this instance sees it.
+//! An engine as seen by this instance.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,31 +12,32 @@
 /// Whether an engine gets new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineState {
-    /// It does.
+    /// Gets new work.
     Live,
-    /// The list, the engine itself or a selector says that it leaves.
+    /// Leaving, according to the server list, the engine itself or a selector.
     Leaving,
-    /// It doesn't answer.
+    /// Doesn't answer.
     Lost,
 }
 
-/// An engine: what it says, where it is, and what was learned about it.
+/// An engine: its description, address, state and measurements.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// What it says about itself.
+    /// Description that the engine gives of itself.
     pub info: EngineInfo,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the engine.
     pub failure_domain: DomainId,
     /// Whether it gets new work.
     pub state: EngineState,
-    /// Learned figures, shared with the path of requests.
+    /// Measurements, shared with the request path.
     pub stats: Arc<EngineStats>,
 }
 
 impl Engine {
-    /// The labels that selectors see: the engine's own and the derived ones.
+    /// Labels that selectors match: the engine's own and those derived from its
+    /// description.
     #[must_use]
     pub fn labels(&self) -> Labels {
         let mut labels = self.info.labels.clone();
--- a/crates/rookferry_core/src/routing/fleet.rs
+++ b/crates/rookferry_core/src/routing/fleet.rs
@@ -8,8 +8,8 @@
 use super::LayerGraph;
 use crate::SiteConfig;
 
-/// The engines known to this instance. It is built anew when they change and
-/// read by many requests at once.
+/// The engines known to this instance; immutable, rebuilt on each change and shared by
+/// concurrent requests.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     engines: Vec<Engine>,
@@ -18,7 +18,7 @@
 }
 
 impl Fleet {
-    /// Builds the graphs of all pools over the engines.
+    /// Builds the layer graph of each pool and model in the configuration.
     #[must_use]
     pub fn new(config: &SiteConfig, engines: Vec<Engine>) -> Self {
         let labels: Vec<_> = engines.iter().map(Engine::labels).collect();
@@ -53,13 +53,13 @@
         &self.engines
     }
 
-    /// An engine by name.
+    /// The engine of a name, if known.
     #[must_use]
     pub fn engine(&self, name: &str) -> Option<&Engine> {
         self.by_name.get(name).map(|index| &self.engines[*index])
     }
 
-    /// The layer graph of a pool and model.
+    /// The layer graph of a pool and model; `None` if either isn't configured.
     #[must_use]
     pub fn graph(&self, pool: &str, model: &str) -> Option<&LayerGraph> {
         self.graphs.get(pool)?.get(model)
--- a/crates/rookferry_core/src/routing/graph.rs
+++ b/crates/rookferry_core/src/routing/graph.rs
@@ -1,5 +1,7 @@
-//! The layer graph of a pool: boundaries between layers, and the engines that
-//! lead from one boundary to a later one.
+//! The layer graph of a pool and model.
+//!
+//! Its nodes are the boundaries between layers, its edges the engines, each from the
+//! start of its layer range to the end.
 
 use std::collections::BTreeMap;
 
@@ -8,9 +10,9 @@
 use super::Engine;
 use super::EngineState;
 
-/// The engines of one pool and model, by the layer they start at.
+/// The engines of one pool and model, by the first layer of their range.
 ///
-/// Engines are named by their index in the fleet's list.
+/// Engines are given as indices into the fleet's list.
 #[derive(Clone, Debug, Default)]
 pub struct LayerGraph {
     layers: u16,
@@ -18,7 +20,8 @@
 }
 
 impl LayerGraph {
-    /// The graph of the engines that `members` names.
+    /// Builds the graph from the engines at the indices `members`; ranges that are empty
+    /// or exceed the model are skipped.
     #[must_use]
     pub fn new(layers: u16, engines: &[Engine], members: impl IntoIterator<Item = usize>) -> Self {
         let mut by_start: BTreeMap<u16, Vec<usize>> = BTreeMap::new();
@@ -38,7 +41,7 @@
         self.layers
     }
 
-    /// The whole range of layers.
+    /// The range of all layers.
     #[must_use]
     pub const fn whole(&self) -> LayerRange {
         LayerRange {
@@ -47,18 +50,18 @@
         }
     }
 
-    /// Engines whose range starts at a layer.
+    /// Indices of the engines whose range starts at a layer.
     #[must_use]
     pub fn starting_at(&self, layer: u16) -> &[usize] {
         self.by_start.get(&layer).map_or(&[], Vec::as_slice)
     }
 
-    /// All engines of the graph.
+    /// Indices of all engines in the graph, by first layer.
     pub fn engines(&self) -> impl Iterator<Item = usize> + '_ {
         self.by_start.values().flatten().copied()
     }
 
-    /// Whether live engines cover every layer.
+    /// Whether live engines form a chain over all layers.
     #[must_use]
     pub fn is_covered(&self, engines: &[Engine]) -> bool {
         let mut reached = vec![false; usize::from(self.layers) + 1];
--- a/crates/rookferry_core/src/routing/mod.rs
+++ b/crates/rookferry_core/src/routing/mod.rs
@@ -1,5 +1,8 @@
-//! Where requests go: the fleet as seen from one instance, estimates of its
-//! engines, and the choice of a chain over the layer graph.
+//! Request routing: from labels to a route, and from a route to a chain of engines or
+//! to an instance of a service.
+//!
+//! The inputs are the active configuration, a snapshot of the engines and measurements
+//! of each. Entry instances call this for each request; nothing here does I/O.
 
 mod affinity;
 mod candidate;
--- a/crates/rookferry_core/src/routing/search.rs
+++ b/crates/rookferry_core/src/routing/search.rs
@@ -1,4 +1,8 @@
-//! The cheapest path over the layer graph, whatever an engine's cost is.
+//! Search for the cheapest chain over a layer graph, for any cost function.
+//!
+//! Visits the layer boundaries in ascending order and stores the cheapest chain that
+//! ends at each. An engine that is leaving, lost, excluded or at its stream limit gets
+//! a verdict, but is part of no chain.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +19,7 @@
 use crate::PolicyConfig;
 use crate::Stage;
 
-/// Cheapest way to a boundary found so far.
+/// The last engine of the cheapest chain to a boundary found so far.
 #[derive(Clone, Copy)]
 struct Reached {
     cost_us: u64,
@@ -117,7 +121,7 @@
         }
     }
 
-    /// `Costlier` until the chain is known.
+    /// Verdict on an engine; a usable one is `Costlier` until the chain is known.
     fn verdict(&self, engine: &Engine) -> CandidateVerdict {
         match engine.state {
             EngineState::Leaving => return CandidateVerdict::Leaving,
@@ -133,12 +137,13 @@
         CandidateVerdict::Costlier
     }
 
-    /// Streams that keep an engine busy, times the overcommitment: as many as
-    /// come by once a pass, one after the other, in each of its slots.
+    /// Number of streams that keep all slots of an engine busy, times the configured
+    /// overcommit factor.
     ///
-    /// Slow engines end up in chains with other slow ones, since the fast ones
-    /// fill up first, so that a pass there is as long as their own kind makes
-    /// it.
+    /// A stream needs the engine for one step per pass, so a slot serves pass time
+    /// divided by step time streams. Fast engines fill up first, which leaves slow ones
+    /// in chains with other slow ones; the pass time is therefore at least that of a
+    /// chain of engines like this one.
     fn limit(&self, engine: &Engine) -> u32 {
         let step_us = known_step_us(engine);
         let layers = u64::from(engine.info.layers.len().max(1));
@@ -165,7 +170,7 @@
     limit.ceil().max(1.0) as u32
 }
 
-/// A cached prefix is worth a bounded share of the cost, never more.
+/// Cost of an engine that caches the prefix; the discount is a bounded share of it.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -175,8 +180,10 @@
     (cost_us as f64 / (1.0 + bound)) as u64
 }
 
-/// What a typical chain takes for a token: the time a layer, averaged over
-/// engines by their rates, since the faster ones get more of the streams.
+/// Time that a typical idle chain takes for a token, in microseconds.
+///
+/// The time per layer is averaged over the engines, weighted by their step rates, since
+/// faster engines get more of the streams.
 fn typical_pass_us(graph: &LayerGraph, engines: &[Engine]) -> u64 {
     let mut weights = 0.0;
     let mut weighted = 0.0;
--- a/crates/rookferry_core/src/routing/service.rs
+++ b/crates/rookferry_core/src/routing/service.rs
@@ -1,4 +1,4 @@
-//! Plain services beside the engines: the choice of an instance.
+//! Choice of an instance of a plain service, that is, a backend other than engines.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,30 +12,30 @@
 use super::EngineState;
 use super::EngineStats;
 
-/// Cost of an instance that nothing is known about, so that it gets tried.
+/// Assumed cost of an instance without measurements, so that it gets tried.
 const UNKNOWN_COST_US: u64 = 500;
-/// Extra cost for each loss in a row.
+/// Extra cost per consecutive failure.
 const FAILURE_COST_US: u64 = 100_000;
 
 /// An instance of a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceInstance {
-    /// Its name.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: DomainId,
-    /// Its labels.
+    /// Own labels, without the derived ones.
     pub labels: Labels,
     /// Whether it gets new work.
     pub state: EngineState,
-    /// Learned figures.
+    /// Measurements, shared with the request path.
     pub stats: Arc<EngineStats>,
 }
 
 impl ServiceInstance {
-    /// The labels that selectors see.
+    /// Labels that selectors match: the own ones, the name and the failure domain.
     #[must_use]
     pub fn selector_labels(&self) -> Labels {
         let mut labels = self.labels.clone();
@@ -44,8 +44,8 @@
         labels
     }
 
-    /// Expected time of a call: the learned one, for each call under way and
-    /// this one.
+    /// Expected time of a call in microseconds: the mean round trip, times the calls in
+    /// flight and this one, plus a penalty per consecutive failure.
     #[must_use]
     pub fn cost_us(&self) -> u64 {
         let round_trip = self.stats.round_trip();
@@ -57,9 +57,9 @@
     }
 }
 
-/// The instance that is expected to answer first, and why the others lost.
+/// The usable instance with the lowest expected time, and a verdict on each instance.
 ///
-/// Instances of `own_domain` are preferred while any of them is live.
+/// An instance in `own_domain` is preferred while any there is usable.
 #[must_use]
 pub fn choose_service<'a>(
     instances: &'a [ServiceInstance],
--- a/crates/rookferry_core/src/routing/stats.rs
+++ b/crates/rookferry_core/src/routing/stats.rs
@@ -1,8 +1,9 @@
-//! What one instance has learned about one engine.
+//! Load and latency of one engine (or service instance), as measured by one instance.
 //!
-//! All of it is atomics, written on the path of a request without a lock.
-//! Reports from the engine come late, so that what was sent since a report's
-//! own time is added to it.
+//! All figures are atomics, so that the request path updates them without a lock; only
+//! the history of stream counts is behind a mutex. Load reports arrive with a delay: of
+//! the streams in a report, those that this instance had at the time of the report are
+//! subtracted, and its current ones are added.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -15,56 +16,57 @@
 
 use rookferry_wire::LoadReport;
 
-/// Weight of a new sample in the moving averages, as one in this many.
+/// Reciprocal of the weight of a new sample in the moving averages.
 const AVERAGE_SPAN: u64 = 8;
-/// Round trips after which the least one is forgotten, so that a link that
-/// has become slower is seen.
+/// Round trips after which the minimum is reset, so that a link that has become slower
+/// is detected.
 const FLOOR_WINDOW: u32 = 256;
-/// Floors that an engine of which nothing is known may take.
+/// Step timeout of an engine without measurements, in multiples of the minimum timeout.
 const UNKNOWN_TIMEOUT_FLOORS: u32 = 10;
-/// Positions of a prefill that are guessed to take a step's time before any
-/// prefill was seen.
+/// Prefill positions that are assumed to take as long as one step, until a prefill was
+/// measured.
 const GUESSED_POSITIONS_A_STEP: u64 = 8;
-/// How far back own counts are kept, for reports that come late.
+/// How long own stream counts are retained, for load reports that arrive late.
 const HISTORY: Duration = Duration::from_secs(3);
-/// How often the own count is noted.
+/// Resolution of the history of own stream counts.
 const HISTORY_STEP: Duration = Duration::from_millis(20);
 
-/// Learned figures of one engine.
+/// Measurements of one engine, updated concurrently.
 #[derive(Debug, Default)]
 pub struct EngineStats {
-    /// Own streams on the engine.
+    /// Streams of this instance on the engine.
     own_streams: AtomicU32,
-    /// Streams of other instances, from the last report.
+    /// Streams of other instances, from the last load report.
     other_streams: AtomicU32,
-    /// Step time as the engine reports it, 0 before the first report.
+    /// Step time reported by the engine; 0 before the first report.
     step_us: AtomicU64,
-    /// Moving average of a one-position step's round trip.
+    /// Moving average of the round trip of a one-position step; 0 before the first.
     round_trip_us: AtomicU64,
-    /// The least round trip of the window, for the link's share.
+    /// Minimum round trip of the window, from which the link time is derived.
     floor_us: AtomicU64,
     floor_samples: AtomicU32,
-    /// Moving average of a prefill's time a position.
+    /// Moving average of the prefill time per position.
     position_us: AtomicU64,
-    /// Losses in a row.
+    /// Consecutive failures.
     failures: AtomicU32,
+    /// Own stream counts, each with the time from which it applies; oldest first.
     history: Mutex<VecDeque<(Instant, u32)>>,
 }
 
 impl EngineStats {
-    /// Figures of an engine that nothing is known about.
+    /// Statistics without any measurement.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A stream was placed on the engine.
+    /// Counts a stream that was placed on the engine.
     pub fn stream_started(&self, now: Instant) {
         let count = self.own_streams.fetch_add(1, Ordering::Relaxed) + 1;
         self.note(now, count);
     }
 
-    /// A stream left the engine.
+    /// Counts a stream out that has left the engine.
     pub fn stream_ended(&self, now: Instant) {
         let count = self
             .own_streams
@@ -73,7 +75,7 @@
         self.note(now, count);
     }
 
-    /// A one-position step came back.
+    /// Adds the round trip of a one-position step and clears the failures.
     pub fn step_returned(&self, round_trip: Duration) {
         let sample_us = micros(round_trip);
         let average_us = average(self.round_trip_us.load(Ordering::Relaxed), sample_us);
@@ -86,7 +88,7 @@
         self.failures.store(0, Ordering::Relaxed);
     }
 
-    /// A step of several positions came back.
+    /// Adds the round trip of a step of several positions and clears the failures.
     pub fn prefill_returned(&self, round_trip: Duration, positions: u32) {
         let one_us = self.round_trip_us.load(Ordering::Relaxed);
         let sample_us = micros(round_trip).saturating_sub(one_us) / u64::from(positions.max(1));
@@ -95,10 +97,10 @@
         self.failures.store(0, Ordering::Relaxed);
     }
 
-    /// How long to wait for a step before its engine is taken for lost: a
-    /// multiple of what was learned, or else of what the engine reports, but
-    /// never less than the floor. An engine of which nothing at all is known
-    /// gets ten floors.
+    /// Time to wait for a step before its engine counts as lost.
+    ///
+    /// `factor` times the measured duration, or else the one the engine reports, but at
+    /// least `floor`. Ten times `floor` for an engine with neither.
     #[must_use]
     pub fn step_timeout(&self, factor: f64, floor: Duration, positions: u32) -> Duration {
         let reported_us = self.step_us();
@@ -116,12 +118,12 @@
         (one + prefill).mul_f64(factor).max(floor)
     }
 
-    /// The engine did not answer; returns the failures in a row.
+    /// Counts a step without answer; returns the number of consecutive failures.
     pub fn step_lost(&self) -> u32 {
         self.failures.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Takes a load report that was received at `now`.
+    /// Applies a load report received at `now`, corrected for its age.
     pub fn reported(&self, now: Instant, report: &LoadReport) {
         let age = Duration::from_millis(report.age_ms);
         let own_then = self.own_at(now.checked_sub(age).unwrap_or(now));
@@ -132,33 +134,34 @@
         }
     }
 
-    /// Own streams now.
+    /// Streams of this instance on the engine.
     #[must_use]
     pub fn own_streams(&self) -> u32 {
         self.own_streams.load(Ordering::Relaxed)
     }
 
-    /// Streams of all instances, as estimated now.
+    /// Estimated streams of all instances on the engine.
     #[must_use]
     pub fn streams(&self) -> u32 {
         self.own_streams()
             .saturating_add(self.other_streams.load(Ordering::Relaxed))
     }
 
-    /// Losses in a row.
+    /// Consecutive failures since the last answer.
     #[must_use]
     pub fn failures(&self) -> u32 {
         self.failures.load(Ordering::Relaxed)
     }
 
-    /// Moving average of the round trip, `None` before the first.
+    /// Moving average of the round trip; `None` before the first sample.
     #[must_use]
     pub fn round_trip(&self) -> Option<Duration> {
         let us = self.round_trip_us.load(Ordering::Relaxed);
         (us > 0).then(|| Duration::from_micros(us))
     }
 
-    /// Step time of the engine itself, in microseconds; 0 if not known.
+    /// Step time in microseconds: as reported, else the minimum round trip; 0 if neither
+    /// is known.
     #[must_use]
     pub fn step_us(&self) -> u64 {
         let reported_us = self.step_us.load(Ordering::Relaxed);
@@ -168,7 +171,7 @@
         self.floor_us.load(Ordering::Relaxed)
     }
 
-    /// The link's share of the least round trip, in microseconds.
+    /// Link time in microseconds: minimum round trip less the reported step time.
     #[must_use]
     pub fn link_us(&self) -> u64 {
         let step_us = self.step_us.load(Ordering::Relaxed);
@@ -186,7 +189,8 @@
             return;
         }
         history.push_back((now, count));
-        // The last count before the history begins stays in force within it.
+        // The newest count older than the retention stays: it applies at the start of the
+        // history.
         while let Some((next_at, _)) = history.get(1)
             && now.saturating_duration_since(*next_at) > HISTORY
         {
--- a/crates/rookferry_core/src/routing/table.rs
+++ b/crates/rookferry_core/src/routing/table.rs
@@ -1,4 +1,5 @@
-//! From a request's labels to a route.
+//! Lookups in the active configuration: the client account of a bearer key, the route of
+//! a request and whether a backend server is leaving.
 
 use std::sync::Arc;
 
@@ -14,27 +15,27 @@
 use crate::RouteConfig;
 use crate::SiteConfig;
 
-/// A route that was tried.
+/// A route that was evaluated for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteTrial {
-    /// The route.
+    /// Name of the route.
     pub route: String,
-    /// Its selector.
+    /// Text of its selector.
     pub selector: String,
     /// Whether it matched.
     pub matched: bool,
 }
 
-/// The route of a request and those tried before it.
+/// The route of a request, with all routes evaluated for it.
 #[derive(Clone, Debug)]
 pub struct RouteChoice<'a> {
-    /// The route, if any matched.
+    /// The first matching route; `None` if none matches.
     pub route: Option<&'a RouteConfig>,
-    /// What was tried, in order.
+    /// Evaluated routes, in order of the configuration.
     pub trials: Vec<RouteTrial>,
 }
 
-/// The configuration in force, prepared for the path of requests.
+/// The active configuration, prepared for lookups on the request path.
 #[derive(Clone, Debug)]
 pub struct RoutingTable {
     version: ObjectVersion,
@@ -43,7 +44,8 @@
 }
 
 impl RoutingTable {
-    /// Prepares a checked configuration.
+    /// Prepares a validated configuration; an account whose key digest isn't hexadecimal
+    /// gets no key.
     #[must_use]
     pub fn new(version: ObjectVersion, config: Arc<SiteConfig>) -> Self {
         let accounts = config.accounts.iter();
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Its version on the platform.
+    /// Version of the configuration object on the platform.
     #[must_use]
     pub const fn version(&self) -> ObjectVersion {
         self.version
@@ -74,10 +76,10 @@
         &self.config
     }
 
-    /// The account that a bearer key belongs to.
+    /// The client account that a bearer key belongs to, if any.
     ///
-    /// Every account is compared in constant time, so that the time taken
-    /// tells nothing about the keys.
+    /// Compares the digests of all accounts in constant time, so that the duration
+    /// reveals nothing about the keys.
     #[must_use]
     pub fn account(&self, bearer: &str) -> Option<(Arc<str>, &AccountConfig)> {
         let digest = Sha256::digest(bearer.as_bytes());
@@ -91,7 +93,7 @@
         Some((name.clone(), self.config.accounts.get(&**name)?))
     }
 
-    /// The first route whose selector matches.
+    /// Finds the first route whose selector matches.
     #[must_use]
     pub fn route(&self, labels: &Labels) -> RouteChoice<'_> {
         let mut trials = Vec::new();
@@ -115,7 +117,8 @@
         }
     }
 
-    /// The selector that says that a backend server with these labels leaves.
+    /// Text of the `leaving` selector that matches a backend server with these labels;
+    /// `None` if it isn't leaving.
     #[must_use]
     pub fn leaving_selector(&self, labels: &Labels) -> Option<&str> {
         let found = self
--- a/crates/rookferry_core/src/selector/expr.rs
+++ b/crates/rookferry_core/src/selector/expr.rs
@@ -1,4 +1,4 @@
-//! A parsed selector and how it matches.
+//! A parsed selector and its evaluation.
 
 use std::fmt;
 use std::str::FromStr;
@@ -15,8 +15,8 @@
 
 /// A predicate over labels.
 ///
-/// Operators write it as text in the configuration; it is kept with its text,
-/// so that records of decisions show it as it was written.
+/// It is parsed from text in the configuration and retains that text, so that decision
+/// records show it as it was written.
 ///
 /// ```
 /// use rookferry_core::Selector;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether it matches the labels.
+    /// Whether the labels satisfy the predicate.
     #[must_use]
     pub fn matches(&self, labels: &Labels) -> bool {
         self.expr.matches(labels)
--- a/crates/rookferry_core/src/selector/lexer.rs
+++ b/crates/rookferry_core/src/selector/lexer.rs
@@ -1,4 +1,4 @@
-//! Splits a selector's text into tokens, each with its column.
+//! Lexer: splits a selector's text into tokens, each with its column.
 
 /// One token of a selector.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -12,14 +12,14 @@
     Close,
 }
 
-/// A token and the column, from 1, where it starts.
+/// A token and the column where it starts, in characters from 1.
 #[derive(Clone, Debug)]
 pub(super) struct Spanned {
     pub(super) token: Token,
     pub(super) column: usize,
 }
 
-/// A character that starts no token, or a quote left open.
+/// An unexpected character, or a quote (`"`) without a closing one.
 #[derive(Debug)]
 pub(super) struct LexError {
     pub(super) column: usize,
--- a/crates/rookferry_core/src/selector/mod.rs
+++ b/crates/rookferry_core/src/selector/mod.rs
@@ -1,4 +1,4 @@
-//! Selectors over labels.
+//! Label selectors, the predicates that operators write in the configuration.
 //!
 //! Grammar, loosest binding first:
 //!
@@ -12,8 +12,8 @@
 //!           | key ( "in" | "notin" ) "(" value ( "," value )* ")"
 //! ```
 //!
-//! A bare key asks whether the label exists. `!=` and `notin` also match where
-//! the label is absent. An empty selector matches everything. Keys and values
+//! A bare key matches if the label exists. `!=` and `notin` also match if the label is
+//! absent. An empty selector matches everything. Keys and values
 //! are words of letters, digits, `.`, `_`, `-` and `/`, or quoted with `"`.
 
 mod expr;
--- a/crates/rookferry_core/src/selector/parser.rs
+++ b/crates/rookferry_core/src/selector/parser.rs
@@ -1,4 +1,4 @@
-//! Recursive descent over a selector's tokens.
+//! Recursive-descent parser of selectors.
 
 use snafu::Snafu;
 
@@ -7,18 +7,18 @@
 use super::lexer::Token;
 use super::lexer::lex;
 
-/// Deepest nesting of a selector; it bounds the parser's stack.
+/// Maximum nesting of a selector; bounds the parser's stack.
 const MAX_DEPTH: usize = 32;
 
-/// What is wrong with a selector's text.
+/// A syntax error in a selector.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("selector {text:?}, column {column}: {message}"))]
 pub struct SelectorError {
-    /// The whole text.
+    /// The selector's whole text.
     pub text: String,
-    /// Column of the fault, from 1.
+    /// Column of the error, in characters from 1.
     pub column: usize,
-    /// What was found, and what would do.
+    /// What was unexpected, or what was expected instead.
     pub message: String,
 }
 
@@ -44,16 +44,16 @@
     };
     let expr = parser.or(0)?;
     if parser.peek().is_some() {
-        return Err(parser.fault("expected `and`, `or` or the end"));
+        return Err(parser.fault("expected `and`, `or` or the end of the selector"));
     }
     Ok(expr)
 }
 
 fn lex_message(found: char) -> String {
     if found == '"' {
-        "this quote is never closed".to_owned()
+        "unterminated quote".to_owned()
     } else {
-        format!("{found:?} can't stand here; quote values that hold it")
+        format!("unexpected character {found:?}; quote values that contain it")
     }
 }
 
@@ -93,7 +93,7 @@
     }
 
     fn term(&mut self) -> Result<Expr, SelectorError> {
-        let key = self.word("expected a label's name")?;
+        let key = self.word("expected a label name")?;
         if self.take(&Token::Equal) {
             let value = self.word("expected a value after `=`")?;
             return Ok(Expr::In(key, vec![value]));
@@ -112,12 +112,12 @@
     }
 
     fn set(&mut self) -> Result<Vec<String>, SelectorError> {
-        self.expect(&Token::Open, "expected `(` before the set's values")?;
-        let mut values = vec![self.word("expected a value")?];
+        self.expect(&Token::Open, "expected `(` before the values of a set")?;
+        let mut values = vec![self.word("expected a value of the set")?];
         while self.take(&Token::Comma) {
             values.push(self.word("expected a value after `,`")?);
         }
-        self.expect(&Token::Close, "expected `,` or `)` after a set's value")?;
+        self.expect(&Token::Close, "expected `,` or `)` after a value of a set")?;
         Ok(values)
     }
 
--- a/crates/rookferry_core/src/stream/driver.rs
+++ b/crates/rookferry_core/src/stream/driver.rs
@@ -1,10 +1,10 @@
-//! Carries one stream hop by hop through its stages.
+//! State machine that runs one stream through its stages, one step at a time.
 //!
-//! The driver has at most one step under way. It learns of a lost stage, asks
-//! for other engines for those layers, opens a new attempt on all stages and
-//! goes on from what each of them still holds: a stage that holds a position
-//! gives the recorded output, a new one runs the replayed prefix. What has
-//! run is thus not run again, and the caller sees each position once.
+//! It takes events and returns actions, which the caller carries out. When a stage is
+//! lost, the driver requests other engines for its layers, opens a new attempt on all
+//! stages and continues from the positions that each still holds: a stage that holds a
+//! position returns the recorded output, a new one runs the replayed prefix. Positions
+//! that have run are thus not run again, and the client sees each position once.
 
 use rookferry_wire::Attempt;
 use rookferry_wire::AttemptRequest;
@@ -20,41 +20,42 @@
 use super::message::StreamAction;
 use super::message::StreamSpec;
 
-/// Attempts after which a stream is given up; each loss costs one. Whoever
-/// looks for other engines paces them, so that a stream's deadline comes first.
+/// Attempts after which a stream is abandoned; each lost stage costs one. The caller
+/// paces the search for other engines, so that the stream's deadline is reached first.
 const MAX_ATTEMPTS_PER_DRIVER: u32 = 64;
-/// The first attempt needs no opening on the engines.
+/// Number of the first attempt, which needs no opening on the engines.
 const FIRST_ATTEMPT: Attempt = 1;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
     /// Not started.
     Ready,
-    /// Waits for answers to attempts.
+    /// Waits for the engines to open the attempt; positions held, by stage.
     Opening { kept: Vec<Option<Position>> },
-    /// Waits for a step's result.
+    /// Waits for the result of a step.
     Stepping { stage: usize },
-    /// Waits for other engines.
+    /// Waits for other engines for a stage's layers.
     Replacing { stage: usize },
-    /// Finished or given up.
+    /// Finished or abandoned.
     Ended,
 }
 
-/// Drives one stream; takes events and returns actions.
+/// Runs one stream; takes events and returns actions.
 #[derive(Clone, Debug)]
 pub struct StreamDriver {
     spec: StreamSpec,
     attempt: Attempt,
     first_attempt: Attempt,
+    /// Prompt and generated tokens.
     tokens: Vec<u64>,
-    /// Per stage, the first position of the current pass.
+    /// First position of the current pass, by stage.
     starts: Vec<Position>,
     phase: Phase,
-    /// Whether another instance began the stream.
+    /// Whether another instance started the stream.
     is_resumed: bool,
-    /// Whether the first stage is known to hold it.
+    /// Whether the first stage is known to hold the stream.
     is_held: bool,
-    /// Steps sent and not known to have been refused before they ran.
+    /// Steps that were sent and not refused, so that they may have run.
     steps_at_risk: u32,
 }
 
@@ -65,11 +66,11 @@
         Self::with_attempt(spec, FIRST_ATTEMPT, false)
     }
 
-    /// A driver for a stream that another instance began.
+    /// A driver for a stream that another instance started.
     ///
-    /// Its engines give what they recorded, and it goes on from there. The
-    /// first stage must hold the stream; otherwise it is given up with
-    /// [`AbandonReason::NotHeld`], so that work isn't run a second time.
+    /// Opens an attempt higher than `above` and continues from the positions that the
+    /// engines recorded. The first stage must hold the stream; otherwise it is abandoned
+    /// with [`AbandonReason::NotHeld`], so that work isn't run a second time.
     #[must_use]
     pub fn resume(spec: StreamSpec, above: Attempt) -> Self {
         Self::with_attempt(spec, above + 1, true)
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The first actions.
+    /// The first actions: a step or, for a resumed stream, requests to open an attempt.
     pub fn start(&mut self) -> Vec<StreamAction> {
         if self.is_resumed {
             return self.open_all();
@@ -98,8 +99,8 @@
         vec![self.send(0, self.tokens.clone())]
     }
 
-    /// Takes an event; one that belongs to an older attempt, or to an engine
-    /// that isn't asked, changes nothing.
+    /// Handles an event and returns the next actions; an event of another attempt, or of
+    /// an engine without a pending request, has no effect.
     pub fn on_event(&mut self, event: StageEvent) -> Vec<StreamAction> {
         match event {
             StageEvent::Opened {
@@ -134,7 +135,7 @@
         self.attempt
     }
 
-    /// The stages as they are now.
+    /// The current stages, replacements included.
     #[must_use]
     pub fn stages(&self) -> &[Stage] {
         &self.spec.stages
@@ -146,19 +147,20 @@
         self.spec.stream
     }
 
-    /// The generated tokens so far.
+    /// The tokens generated so far.
     #[must_use]
     pub fn generated(&self) -> &[u64] {
         &self.tokens[self.spec.prompt.len()..]
     }
 
-    /// Whether every step so far was refused by its engine before it ran.
+    /// Whether the engines refused every step so far before it ran; never for a resumed
+    /// stream.
     #[must_use]
     pub const fn nothing_ran(&self) -> bool {
         self.steps_at_risk == 0 && !self.is_resumed
     }
 
-    /// Whether it has finished or been given up.
+    /// Whether the stream has finished or been abandoned.
     #[must_use]
     pub fn is_ended(&self) -> bool {
         self.phase == Phase::Ended
@@ -343,8 +345,8 @@
             .collect()
     }
 
-    /// Each stage begins where it, or any later stage, lacks positions; the
-    /// newest position always runs through all.
+    /// Starts each stage at the first position that it or a later stage lacks; the newest
+    /// position always runs through all stages.
     fn set_starts(&mut self, kept: &[Position]) {
         let newest = self.tokens.len() - 1;
         let mut start = Position::try_from(newest).unwrap_or(Position::MAX);
--- a/crates/rookferry_core/src/stream/gate.rs
+++ b/crates/rookferry_core/src/stream/gate.rs
@@ -1,4 +1,5 @@
-//! The guard of one stream on one stage.
+//! The gate of one stream on one stage: which steps the engine runs, returns from its
+//! records or refuses.
 
 use rookferry_wire::Attempt;
 use rookferry_wire::AttemptAnswer;
@@ -6,24 +7,24 @@
 use rookferry_wire::Refusal;
 use rookferry_wire::Step;
 
-/// The first attempt; it needs no opening.
+/// Number of the first attempt, which needs no opening.
 const FIRST_ATTEMPT: Attempt = 1;
 
-/// What a stage is to do with a step.
+/// How a stage handles a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateVerdict {
-    /// Run the positions from this one; those before have run.
+    /// Run the positions from `from`; those before it have run.
     Run {
         /// The first position to run.
         from: Position,
     },
-    /// All positions have run; give what was recorded.
+    /// Return the recorded outputs; all positions have run.
     Recorded,
-    /// Run nothing.
+    /// Refuse the step; run nothing.
     Refuse(Refusal),
 }
 
-/// Decides which steps of one stream a stage runs, and keeps their outputs.
+/// Decides which steps of one stream a stage runs, and records their outputs.
 ///
 /// ```
 /// use rookferry_core::GateVerdict;
@@ -48,7 +49,7 @@
 }
 
 impl StageGate {
-    /// A gate that has seen nothing.
+    /// A gate that has run no position.
     #[must_use]
     pub const fn new() -> Self {
         Self {
@@ -57,13 +58,13 @@
         }
     }
 
-    /// A gate for positions that were imported with their outputs.
+    /// A gate for positions that were imported from another engine with their outputs.
     #[must_use]
     pub const fn imported(attempt: Attempt, outputs: Vec<u64>) -> Self {
         Self { attempt, outputs }
     }
 
-    /// What to do with a step.
+    /// How to handle a step.
     #[must_use]
     pub fn check(&self, step: &Step) -> GateVerdict {
         let Ok(count) = Position::try_from(step.input.len()) else {
@@ -72,7 +73,7 @@
         self.verdict(step.attempt, step.position, count)
     }
 
-    /// What to do with `count` positions from `position` of an attempt.
+    /// How to handle `count` positions from `position` in an attempt.
     #[must_use]
     pub fn verdict(&self, attempt: Attempt, position: Position, count: u32) -> GateVerdict {
         if attempt < self.attempt {
@@ -93,12 +94,12 @@
         GateVerdict::Run { from: next }
     }
 
-    /// Keeps the outputs of the positions that ran.
+    /// Records the outputs of positions that ran, one per position.
     pub fn record(&mut self, outputs: &[u64]) {
         self.outputs.extend_from_slice(outputs);
     }
 
-    /// The kept outputs of `count` positions from `position`.
+    /// Recorded outputs of up to `count` positions from `position`.
     #[must_use]
     pub fn outputs(&self, position: Position, count: usize) -> &[u64] {
         let start = (position as usize).min(self.outputs.len());
@@ -106,10 +107,10 @@
         &self.outputs[start..end]
     }
 
-    /// Opens an attempt and cuts back to `keep` positions.
+    /// Opens an attempt and truncates the records to `keep` positions.
     ///
-    /// The current attempt may be opened again: a driver whose answer was
-    /// lost asks twice.
+    /// The current attempt may be opened again, since a driver that lost the answer
+    /// repeats the request. An older attempt is refused.
     pub fn open(&mut self, attempt: Attempt, keep: Position) -> AttemptAnswer {
         if attempt < self.attempt {
             return AttemptAnswer::Refused {
@@ -127,7 +128,7 @@
         self.attempt
     }
 
-    /// The position it would run next.
+    /// The position to run next, which is the number of recorded ones.
     #[must_use]
     pub fn next(&self) -> Position {
         Position::try_from(self.outputs.len()).unwrap_or(Position::MAX)
--- a/crates/rookferry_core/src/stream/message.rs
+++ b/crates/rookferry_core/src/stream/message.rs
@@ -1,4 +1,4 @@
-//! What a stream's driver asks for and is told.
+//! Input events and output actions of a stream's driver.
 
 use rookferry_wire::Attempt;
 use rookferry_wire::AttemptRequest;
@@ -12,135 +12,135 @@
 /// One stage of a stream's pipeline.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stage {
-    /// The engine.
+    /// Engine that runs the stage.
     pub engine: EngineId,
-    /// The layers that it runs.
+    /// Layers of the stage.
     pub layers: LayerRange,
 }
 
-/// What a stream is to do.
+/// Input of a stream.
 #[derive(Clone, Debug)]
 pub struct StreamSpec {
-    /// Its id.
+    /// Id of the stream.
     pub stream: StreamId,
-    /// Its stages in order of layers, without gap or overlap.
+    /// Stages in order of layers, without gap or overlap.
     pub stages: Vec<Stage>,
     /// The prompt's tokens, at least one.
     pub prompt: Vec<u64>,
-    /// How many tokens to generate at most.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
     /// The token that ends the answer early.
     pub stop_token: Option<u64>,
-    /// Higher goes first on the engines.
+    /// Priority of its steps on the engines; higher runs first.
     pub priority: u8,
 }
 
-/// What the driver asks of its surroundings.
+/// An action that the caller of the driver must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamAction {
-    /// Open an attempt.
+    /// Open an attempt on an engine.
     Open {
-        /// On this engine.
+        /// Receiver of the request.
         engine: EngineId,
         /// The request.
         request: AttemptRequest,
     },
-    /// Send a step.
+    /// Send a step to an engine.
     Send {
-        /// To this engine.
+        /// Receiver of the step.
         engine: EngineId,
         /// The step.
         step: Step,
     },
-    /// Show a token to the caller.
+    /// Send a generated token to the client.
     Emit {
-        /// Its index in the answer.
+        /// Index of the token in the answer, from 0.
         index: u32,
         /// The token.
         token: u64,
     },
     /// Find other engines for a stage's layers.
     Replace {
-        /// The layers.
+        /// Layers to cover.
         layers: LayerRange,
-        /// The engine that doesn't serve them any more.
+        /// The engine that no longer serves them.
         lost: EngineId,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Finish,
-    /// The stream can't go on.
+    /// The stream can't continue.
     Abandon {
-        /// Why.
+        /// Reason of the failure.
         reason: AbandonReason,
     },
 }
 
-/// Why a stream can't go on.
+/// Why a stream can't continue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbandonReason {
     /// Another driver has opened a newer attempt.
     TakenOver,
-    /// No engines are left for a stage.
+    /// No other engines are available for a stage's layers.
     NoReplacement,
-    /// A stage that had to hold the stream doesn't.
+    /// The first stage of a resumed stream doesn't hold it, or can't be reached.
     NotHeld,
-    /// It was cancelled on an engine.
+    /// The stream was cancelled on an engine.
     Cancelled,
-    /// Too many stages were lost.
+    /// The limit of attempts was reached; each lost stage costs one.
     TooManyAttempts,
 }
 
-/// What the driver is told.
+/// An event that the caller of the driver reports.
 #[derive(Clone, Debug)]
 pub enum StageEvent {
-    /// An attempt is open.
+    /// An engine opened an attempt.
     Opened {
-        /// On this engine.
+        /// Engine that answered.
         engine: EngineId,
-        /// The attempt.
+        /// The opened attempt.
         attempt: Attempt,
-        /// Positions held there.
+        /// Number of positions that it holds.
         kept: Position,
     },
-    /// An attempt was refused.
+    /// An engine refused to open an attempt.
     OpenRefused {
-        /// By this engine.
+        /// Engine that answered.
         engine: EngineId,
-        /// The attempt.
+        /// The refused attempt.
         attempt: Attempt,
-        /// The newest attempt there; 0 if the stream isn't held.
+        /// Newest attempt on the engine; 0 if it doesn't hold the stream.
         newest: Attempt,
     },
-    /// A step is done.
+    /// An engine returned the output of a step.
     Done {
-        /// By this engine.
+        /// Engine that answered.
         engine: EngineId,
-        /// For this attempt.
+        /// Attempt of the step.
         attempt: Attempt,
-        /// One output a position.
+        /// One output per position.
         output: Vec<u64>,
     },
-    /// A step was refused and did not run.
+    /// An engine refused a step and did not run it.
     Refused {
-        /// By this engine.
+        /// Engine that answered.
         engine: EngineId,
-        /// For this attempt.
+        /// Attempt of the step.
         attempt: Attempt,
-        /// Why.
+        /// Reason of the refusal.
         refusal: Refusal,
     },
     /// An engine doesn't answer.
     Lost {
-        /// The engine.
+        /// The lost engine.
         engine: EngineId,
-        /// The attempt in which it was asked.
+        /// Attempt of the request that got no answer.
         attempt: Attempt,
     },
-    /// Other engines for the layers asked for.
+    /// Other engines were found for the layers of a [`StreamAction::Replace`].
     Replaced {
-        /// They cover the same layers.
+        /// Stages that cover the same layers.
         stages: Vec<Stage>,
     },
-    /// There are no other engines.
+    /// No other engines were found.
     NoReplacement,
 }
--- a/crates/rookferry_core/src/stream/mod.rs
+++ b/crates/rookferry_core/src/stream/mod.rs
@@ -1,10 +1,10 @@
-//! Streams of tokens through stages: the side that drives them and the side
-//! that guards each stage.
+//! Token streams through the stages of a pipeline: the driver on an entry instance and
+//! the gate on the engine of each stage.
 //!
-//! A token runs through every layer once and in order because of two rules. A
-//! [`StageGate`] takes only the next position of the newest attempt that it
-//! has seen. A [`StreamDriver`] feeds a stage only with what the stage before
-//! gave for the same attempt, and shows each position to the caller once.
+//! Two rules make each token run through every layer once and in order. A [`StageGate`]
+//! runs only the next position, and only for the newest attempt it has seen. A
+//! [`StreamDriver`] sends a stage only the output of the previous stage for the same
+//! attempt, and emits each position to the caller once.
 
 mod driver;
 mod gate;
