--- a/crates/rookferry_core/src/routing/search.rs
+++ b/crates/rookferry_core/src/routing/search.rs
@@ -21,7 +21,7 @@
 
 /// The last engine of the cheapest chain to a boundary found so far.
 #[derive(Clone, Copy)]
-struct Reached {
+struct BestPath {
     cost_us: u64,
     engine: usize,
     from: u16,
@@ -54,11 +54,11 @@
 
     pub(super) fn run(&self, cost: impl Fn(&Engine, u64, u64) -> u64) -> ChosenChain {
         let LayerRange { start, end } = self.request.layers;
-        let mut reached: BTreeMap<u16, Reached> = BTreeMap::new();
+        let mut paths: BTreeMap<u16, BestPath> = BTreeMap::new();
         let mut chosen = ChosenChain::default();
         for boundary in start..end {
-            let so_far_us = reached.get(&boundary).map_or(0, |way| way.cost_us);
-            if boundary != start && !reached.contains_key(&boundary) {
+            let so_far_us = paths.get(&boundary).map_or(0, |path| path.cost_us);
+            if boundary != start && !paths.contains_key(&boundary) {
                 continue;
             }
             for index in self.graph.starting_at(boundary) {
@@ -79,34 +79,34 @@
                 if verdict != CandidateVerdict::Costlier {
                     continue;
                 }
-                let way = Reached {
+                let path = BestPath {
                     cost_us: so_far_us + cost_us,
                     engine: *index,
                     from: boundary,
                 };
-                let best = reached.entry(layers_end).or_insert(way);
-                if way.cost_us < best.cost_us {
-                    *best = way;
+                let best = paths.entry(layers_end).or_insert(path);
+                if path.cost_us < best.cost_us {
+                    *best = path;
                 }
             }
         }
-        self.walk_back(&reached, &mut chosen);
+        self.rebuild_chain(&paths, &mut chosen);
         chosen
     }
 
-    fn walk_back(&self, reached: &BTreeMap<u16, Reached>, chosen: &mut ChosenChain) {
+    fn rebuild_chain(&self, paths: &BTreeMap<u16, BestPath>, chosen: &mut ChosenChain) {
         let mut boundary = self.request.layers.end;
         while boundary != self.request.layers.start {
-            let Some(way) = reached.get(&boundary) else {
+            let Some(path) = paths.get(&boundary) else {
                 chosen.stages.clear();
                 return;
             };
-            let engine = &self.engines[way.engine].info;
+            let engine = &self.engines[path.engine].info;
             chosen.stages.push(Stage {
                 engine: engine.engine.clone(),
                 layers: engine.layers,
             });
-            boundary = way.from;
+            boundary = path.from;
         }
         chosen.stages.reverse();
         chosen.is_full = false;
@@ -145,12 +145,12 @@
     /// in chains with other slow ones; the pass time is therefore at least that of a
     /// chain of engines like this one.
     fn limit(&self, engine: &Engine) -> u32 {
-        let step_us = known_step_us(engine);
+        let step_us = step_us_or_default(engine);
         let layers = u64::from(engine.info.layers.len().max(1));
-        let own_kind_us = step_us * u64::from(self.graph.layers()) / layers;
-        let passing = self.pass_us.max(own_kind_us) as f64 / step_us as f64;
+        let homogeneous_pass_us = step_us * u64::from(self.graph.layers()) / layers;
+        let streams_per_slot = self.pass_us.max(homogeneous_pass_us) as f64 / step_us as f64;
         let slots = f64::from(engine.info.batch_slots.max(1));
-        stream_limit(slots * passing * self.policy.overcommit)
+        stream_limit(slots * streams_per_slot * self.policy.overcommit)
     }
 
     fn discounted(&self, engine: &Engine, cost_us: u64) -> u64 {
@@ -185,24 +185,24 @@
 /// The time per layer is averaged over the engines, weighted by their step rates, since
 /// faster engines get more of the streams.
 fn typical_pass_us(graph: &LayerGraph, engines: &[Engine]) -> u64 {
-    let mut weights = 0.0;
-    let mut weighted = 0.0;
+    let mut rate_sum = 0.0;
+    let mut weighted_sum = 0.0;
     for index in graph.engines() {
         let engine = &engines[index];
-        let step_us = known_step_us(engine);
+        let step_us = step_us_or_default(engine);
         let slots = f64::from(engine.info.batch_slots.max(1));
         let rate = slots / step_us as f64;
         let layers = f64::from(engine.info.layers.len().max(1));
-        weights += rate;
-        weighted += rate * (step_us + engine.stats.link_us()) as f64 / layers;
+        rate_sum += rate;
+        weighted_sum += rate * (step_us + engine.stats.link_us()) as f64 / layers;
     }
-    if weights <= 0.0 {
+    if rate_sum <= 0.0 {
         return UNKNOWN_COST_US;
     }
-    mean_us(f64::from(graph.layers()) * weighted / weights)
+    truncated_us(f64::from(graph.layers()) * weighted_sum / rate_sum)
 }
 
-fn known_step_us(engine: &Engine) -> u64 {
+fn step_us_or_default(engine: &Engine) -> u64 {
     match engine.stats.step_us() {
         0 => UNKNOWN_COST_US,
         known => known,
@@ -214,6 +214,6 @@
     clippy::cast_sign_loss,
     reason = "a mean of positive times"
 )]
-fn mean_us(mean: f64) -> u64 {
+fn truncated_us(mean: f64) -> u64 {
     mean as u64
 }
