--- a/crates/rookferry_core/src/routing/chooser.rs
+++ b/crates/rookferry_core/src/routing/chooser.rs
@@ -24,12 +24,12 @@
 
 /// Assumed cost and step time of an engine without measurements, in microseconds, so
 /// that it gets tried.
-pub(super) const UNKNOWN_COST_US: u64 = 1_000;
+pub(super) const UNMEASURED_COST_US: u64 = 1_000;
 /// The cost divided by this is the range of its random part, which keeps instances with
 /// the same load reports from all choosing the same engine.
-const JITTER_PART: u64 = 8;
+const JITTER_DIVISOR: u64 = 8;
 /// Extra cost per consecutive failure, as a multiple of the cost.
-const FAILURE_PENALTY: u64 = 4;
+const FAILURE_PENALTY_FACTOR: u64 = 4;
 /// Consecutive failures beyond which the penalty doesn't grow.
 const MAX_COUNTED_FAILURES: u64 = 8;
 
@@ -92,7 +92,7 @@
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     turn: AtomicU64,
-    last: std::sync::Mutex<BTreeMap<EngineId, u64>>,
+    last_turns: std::sync::Mutex<BTreeMap<EngineId, u64>>,
 }
 
 /// Prefers the engines with the fewest streams of this instance.
@@ -116,29 +116,29 @@
         let step_us = stats.step_us();
         let failures = u64::from(stats.failures()).min(MAX_COUNTED_FAILURES);
         let base_us = if step_us == 0 {
-            UNKNOWN_COST_US
+            UNMEASURED_COST_US
         } else {
-            let elsewhere_us = pass_us.saturating_sub(step_us);
+            let other_stages_us = pass_us.saturating_sub(step_us);
             stats.link_us()
                 + response_us(
                     step_us,
                     engine.info.batch_slots,
                     stats.streams(),
-                    elsewhere_us,
+                    other_stages_us,
                 )
         };
-        let cost_us = base_us + base_us * failures * FAILURE_PENALTY;
-        cost_us + hash(seed, &engine.info.engine) % (cost_us / JITTER_PART).max(1)
+        let cost_us = base_us + base_us * failures * FAILURE_PENALTY_FACTOR;
+        cost_us + hash(seed, &engine.info.engine) % (cost_us / JITTER_DIVISOR).max(1)
     }
 }
 
 /// Expected response time of a step on an engine shared with `streams` other streams,
 /// in microseconds.
 ///
-/// Each of them returns once per pass, after `elsewhere_us` on other stages (a closed
+/// Each of them returns once per pass, after `other_stages_us` on other stages (a closed
 /// queueing network). The expected queue is the share of the streams that are at this
 /// engine, so the response time `r` solves
-/// `r = s * (1 + streams * r / (elsewhere + r))`, where `s` is the step time divided by
+/// `r = s * (1 + streams * r / (other_stages + r))`, where `s` is the step time divided by
 /// the number of slots. An idle engine yields its step time; a saturated one yields
 /// `streams` service times less the time on other stages.
 #[expect(
@@ -146,15 +146,15 @@
     clippy::cast_sign_loss,
     reason = "the root of a quadratic with a negative constant is positive"
 )]
-fn response_us(step_us: u64, batch_slots: u32, streams: u32, elsewhere_us: u64) -> u64 {
+fn response_us(step_us: u64, batch_slots: u32, streams: u32, other_stages_us: u64) -> u64 {
     let slots = f64::from(batch_slots.max(1));
     let step = step_us as f64;
     let service = step / slots;
-    let elsewhere = elsewhere_us as f64 + step - service;
-    let linear = service * (1.0 + f64::from(streams)) - elsewhere;
-    let root = (linear * linear + 4.0 * service * elsewhere).sqrt();
-    let queued = f64::midpoint(linear, root);
-    (step - service + queued) as u64
+    let other_stages = other_stages_us as f64 + step - service;
+    let linear = service * (1.0 + f64::from(streams)) - other_stages;
+    let root = (linear * linear + 4.0 * service * other_stages).sqrt();
+    let response = f64::midpoint(linear, root);
+    (step - service + response) as u64
 }
 
 impl ChainChooser for RandomChain {
@@ -165,11 +165,11 @@
 
 impl ChainChooser for RoundRobin {
     fn cost_us(&self, engine: &Engine, _pass_us: u64, _seed: u64) -> u64 {
-        let last = self
-            .last
+        let last_turns = self
+            .last_turns
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        1 + last.get(&engine.info.engine).copied().unwrap_or(0)
+        1 + last_turns.get(&engine.info.engine).copied().unwrap_or(0)
     }
 
     fn choose(
@@ -182,12 +182,12 @@
         let search = Search::new(policy, graph, engines, request);
         let chosen = search.run(|engine, pass_us, seed| self.cost_us(engine, pass_us, seed));
         let turn = self.turn.fetch_add(1, Ordering::Relaxed) + 1;
-        let mut last = self
-            .last
+        let mut last_turns = self
+            .last_turns
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         for stage in &chosen.stages {
-            last.insert(stage.engine.clone(), turn);
+            last_turns.insert(stage.engine.clone(), turn);
         }
         chosen
     }
--- a/crates/rookferry_core/src/routing/search.rs
+++ b/crates/rookferry_core/src/routing/search.rs
@@ -15,7 +15,7 @@
 use super::Engine;
 use super::EngineState;
 use super::LayerGraph;
-use super::chooser::UNKNOWN_COST_US;
+use super::chooser::UNMEASURED_COST_US;
 use crate::PolicyConfig;
 use crate::Stage;
 
@@ -197,14 +197,14 @@
         weighted_sum += rate * (step_us + engine.stats.link_us()) as f64 / layers;
     }
     if rate_sum <= 0.0 {
-        return UNKNOWN_COST_US;
+        return UNMEASURED_COST_US;
     }
     truncated_us(f64::from(graph.layers()) * weighted_sum / rate_sum)
 }
 
 fn step_us_or_default(engine: &Engine) -> u64 {
     match engine.stats.step_us() {
-        0 => UNKNOWN_COST_US,
+        0 => UNMEASURED_COST_US,
         known => known,
     }
 }
--- a/crates/rookferry_core/src/routing/service.rs
+++ b/crates/rookferry_core/src/routing/service.rs
@@ -13,7 +13,7 @@
 use super::EngineStats;
 
 /// Assumed cost of an instance without measurements, so that it gets tried.
-const UNKNOWN_COST_US: u64 = 500;
+const UNMEASURED_COST_US: u64 = 500;
 /// Extra cost per consecutive failure.
 const FAILURE_COST_US: u64 = 100_000;
 
@@ -49,7 +49,7 @@
     #[must_use]
     pub fn cost_us(&self) -> u64 {
         let round_trip = self.stats.round_trip();
-        let one_us = round_trip.map_or(UNKNOWN_COST_US, |time| {
+        let one_us = round_trip.map_or(UNMEASURED_COST_US, |time| {
             u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
         });
         let calls = u64::from(self.stats.own_streams()) + 1;
