--- a/crates/rookferry_core/src/routing/stats.rs
+++ b/crates/rookferry_core/src/routing/stats.rs
@@ -17,19 +17,19 @@
 use rookferry_wire::LoadReport;
 
 /// Reciprocal of the weight of a new sample in the moving averages.
-const AVERAGE_SPAN: u64 = 8;
+const AVERAGE_DIVISOR: u64 = 8;
 /// Round trips after which the minimum is reset, so that a link that has become slower
 /// is detected.
-const FLOOR_WINDOW: u32 = 256;
+const MIN_ROUND_TRIP_WINDOW: u32 = 256;
 /// Step timeout of an engine without measurements, in multiples of the minimum timeout.
-const UNKNOWN_TIMEOUT_FLOORS: u32 = 10;
+const UNMEASURED_TIMEOUT_FLOORS: u32 = 10;
 /// Prefill positions that are assumed to take as long as one step, until a prefill was
 /// measured.
-const GUESSED_POSITIONS_A_STEP: u64 = 8;
+const ASSUMED_POSITIONS_PER_STEP: u64 = 8;
 /// How long own stream counts are retained, for load reports that arrive late.
-const HISTORY: Duration = Duration::from_secs(3);
+const HISTORY_RETENTION: Duration = Duration::from_secs(3);
 /// Resolution of the history of own stream counts.
-const HISTORY_STEP: Duration = Duration::from_millis(20);
+const HISTORY_RESOLUTION: Duration = Duration::from_millis(20);
 
 /// Measurements of one engine, updated concurrently.
 #[derive(Debug, Default)]
@@ -43,10 +43,10 @@
     /// Moving average of the round trip of a one-position step; 0 before the first.
     round_trip_us: AtomicU64,
     /// Minimum round trip of the window, from which the link time is derived.
-    floor_us: AtomicU64,
-    floor_samples: AtomicU32,
+    min_round_trip_us: AtomicU64,
+    round_trip_samples: AtomicU32,
     /// Moving average of the prefill time per position.
-    position_us: AtomicU64,
+    prefill_position_us: AtomicU64,
     /// Consecutive failures.
     failures: AtomicU32,
     /// Own stream counts, each with the time from which it applies; oldest first.
@@ -63,7 +63,7 @@
     /// Counts a stream that was placed on the engine.
     pub fn stream_started(&self, now: Instant) {
         let count = self.own_streams.fetch_add(1, Ordering::Relaxed) + 1;
-        self.note(now, count);
+        self.record_count(now, count);
     }
 
     /// Counts a stream out that has left the engine.
@@ -72,7 +72,7 @@
             .own_streams
             .fetch_sub(1, Ordering::Relaxed)
             .saturating_sub(1);
-        self.note(now, count);
+        self.record_count(now, count);
     }
 
     /// Adds the round trip of a one-position step and clears the failures.
@@ -80,10 +80,13 @@
         let sample_us = micros(round_trip);
         let average_us = average(self.round_trip_us.load(Ordering::Relaxed), sample_us);
         self.round_trip_us.store(average_us, Ordering::Relaxed);
-        let samples = self.floor_samples.fetch_add(1, Ordering::Relaxed);
-        let floor_us = self.floor_us.load(Ordering::Relaxed);
-        if floor_us == 0 || sample_us < floor_us || samples.is_multiple_of(FLOOR_WINDOW) {
-            self.floor_us.store(sample_us, Ordering::Relaxed);
+        let samples = self.round_trip_samples.fetch_add(1, Ordering::Relaxed);
+        let min_round_trip_us = self.min_round_trip_us.load(Ordering::Relaxed);
+        if min_round_trip_us == 0
+            || sample_us < min_round_trip_us
+            || samples.is_multiple_of(MIN_ROUND_TRIP_WINDOW)
+        {
+            self.min_round_trip_us.store(sample_us, Ordering::Relaxed);
         }
         self.failures.store(0, Ordering::Relaxed);
     }
@@ -92,8 +95,9 @@
     pub fn prefill_returned(&self, round_trip: Duration, positions: u32) {
         let one_us = self.round_trip_us.load(Ordering::Relaxed);
         let sample_us = micros(round_trip).saturating_sub(one_us) / u64::from(positions.max(1));
-        let average_us = average(self.position_us.load(Ordering::Relaxed), sample_us);
-        self.position_us.store(average_us, Ordering::Relaxed);
+        let average_us = average(self.prefill_position_us.load(Ordering::Relaxed), sample_us);
+        self.prefill_position_us
+            .store(average_us, Ordering::Relaxed);
         self.failures.store(0, Ordering::Relaxed);
     }
 
@@ -105,16 +109,17 @@
     pub fn step_timeout(&self, factor: f64, floor: Duration, positions: u32) -> Duration {
         let reported_us = self.step_us();
         if self.round_trip().is_none() && reported_us == 0 {
-            return floor * UNKNOWN_TIMEOUT_FLOORS;
+            return floor * UNMEASURED_TIMEOUT_FLOORS;
         }
         let one = self
             .round_trip()
             .unwrap_or(Duration::from_micros(reported_us));
-        let position_us = match self.position_us.load(Ordering::Relaxed) {
-            0 => reported_us / GUESSED_POSITIONS_A_STEP,
+        let prefill_position_us = match self.prefill_position_us.load(Ordering::Relaxed) {
+            0 => reported_us / ASSUMED_POSITIONS_PER_STEP,
             learned => learned,
         };
-        let prefill = Duration::from_micros(position_us * u64::from(positions.saturating_sub(1)));
+        let prefill =
+            Duration::from_micros(prefill_position_us * u64::from(positions.saturating_sub(1)));
         (one + prefill).mul_f64(factor).max(floor)
     }
 
@@ -126,7 +131,7 @@
     /// Applies a load report received at `now`, corrected for its age.
     pub fn reported(&self, now: Instant, report: &LoadReport) {
         let age = Duration::from_millis(report.age_ms);
-        let own_then = self.own_at(now.checked_sub(age).unwrap_or(now));
+        let own_then = self.own_streams_at(now.checked_sub(age).unwrap_or(now));
         let others = report.streams.saturating_sub(own_then);
         self.other_streams.store(others, Ordering::Relaxed);
         if report.step_us > 0 {
@@ -168,22 +173,22 @@
         if reported_us > 0 {
             return reported_us;
         }
-        self.floor_us.load(Ordering::Relaxed)
+        self.min_round_trip_us.load(Ordering::Relaxed)
     }
 
     /// Link time in microseconds: minimum round trip less the reported step time.
     #[must_use]
     pub fn link_us(&self) -> u64 {
         let step_us = self.step_us.load(Ordering::Relaxed);
-        self.floor_us
+        self.min_round_trip_us
             .load(Ordering::Relaxed)
             .saturating_sub(step_us)
     }
 
-    fn note(&self, now: Instant, count: u32) {
+    fn record_count(&self, now: Instant, count: u32) {
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((at, last)) = history.back_mut()
-            && now.saturating_duration_since(*at) < HISTORY_STEP
+            && now.saturating_duration_since(*at) < HISTORY_RESOLUTION
         {
             *last = count;
             return;
@@ -192,16 +197,16 @@
         // The newest count older than the retention stays: it applies at the start of the
         // history.
         while let Some((next_at, _)) = history.get(1)
-            && now.saturating_duration_since(*next_at) > HISTORY
+            && now.saturating_duration_since(*next_at) > HISTORY_RETENTION
         {
             history.pop_front();
         }
     }
 
-    fn own_at(&self, then: Instant) -> u32 {
+    fn own_streams_at(&self, then: Instant) -> u32 {
         let history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
-        let noted = history.iter().rev().find(|(at, _)| *at <= then);
-        noted.map_or(0, |(_, count)| *count)
+        let newest = history.iter().rev().find(|(at, _)| *at <= then);
+        newest.map_or(0, |(_, count)| *count)
     }
 }
 
@@ -209,7 +214,7 @@
     if old_us == 0 {
         return sample_us.max(1);
     }
-    ((old_us * (AVERAGE_SPAN - 1) + sample_us) / AVERAGE_SPAN).max(1)
+    ((old_us * (AVERAGE_DIVISOR - 1) + sample_us) / AVERAGE_DIVISOR).max(1)
 }
 
 fn micros(duration: Duration) -> u64 {
