--- a/crates/rookferry_core/src/routing/chooser.rs
+++ b/crates/rookferry_core/src/routing/chooser.rs
@@ -114,7 +114,8 @@
     fn cost_us(&self, engine: &Engine, pass_us: u64, seed: u64) -> u64 {
         let stats = &engine.stats;
         let step_us = stats.step_us();
-        let failures = u64::from(stats.failures()).min(MAX_COUNTED_FAILURES);
+        let consecutive_failures =
+            u64::from(stats.consecutive_failures()).min(MAX_COUNTED_FAILURES);
         let base_us = if step_us == 0 {
             UNMEASURED_COST_US
         } else {
@@ -127,7 +128,7 @@
                     other_stages_us,
                 )
         };
-        let cost_us = base_us + base_us * failures * FAILURE_PENALTY_FACTOR;
+        let cost_us = base_us + base_us * consecutive_failures * FAILURE_PENALTY_FACTOR;
         cost_us + hash(seed, &engine.info.engine) % (cost_us / JITTER_DIVISOR).max(1)
     }
 }
--- a/crates/rookferry_core/src/routing/service.rs
+++ b/crates/rookferry_core/src/routing/service.rs
@@ -53,7 +53,8 @@
             u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
         });
         let calls = u64::from(self.stats.own_streams()) + 1;
-        one_us.saturating_mul(calls) + u64::from(self.stats.failures()) * FAILURE_COST_US
+        one_us.saturating_mul(calls)
+            + u64::from(self.stats.consecutive_failures()) * FAILURE_COST_US
     }
 }
 
--- a/crates/rookferry_core/src/routing/stats.rs
+++ b/crates/rookferry_core/src/routing/stats.rs
@@ -48,7 +48,7 @@
     /// Moving average of the prefill time per position.
     prefill_position_us: AtomicU64,
     /// Consecutive failures.
-    failures: AtomicU32,
+    consecutive_failures: AtomicU32,
     /// Own stream counts, each with the time from which it applies; oldest first.
     history: Mutex<VecDeque<(Instant, u32)>>,
 }
@@ -88,7 +88,7 @@
         {
             self.min_round_trip_us.store(sample_us, Ordering::Relaxed);
         }
-        self.failures.store(0, Ordering::Relaxed);
+        self.consecutive_failures.store(0, Ordering::Relaxed);
     }
 
     /// Adds the round trip of a step of several positions and clears the failures.
@@ -98,7 +98,7 @@
         let average_us = average(self.prefill_position_us.load(Ordering::Relaxed), sample_us);
         self.prefill_position_us
             .store(average_us, Ordering::Relaxed);
-        self.failures.store(0, Ordering::Relaxed);
+        self.consecutive_failures.store(0, Ordering::Relaxed);
     }
 
     /// Time to wait for a step before its engine counts as lost.
@@ -125,7 +125,7 @@
 
     /// Counts a step without answer; returns the number of consecutive failures.
     pub fn step_lost(&self) -> u32 {
-        self.failures.fetch_add(1, Ordering::Relaxed) + 1
+        self.consecutive_failures.fetch_add(1, Ordering::Relaxed) + 1
     }
 
     /// Applies a load report received at `now`, corrected for its age.
@@ -154,8 +154,8 @@
 
     /// Consecutive failures since the last answer.
     #[must_use]
-    pub fn failures(&self) -> u32 {
-        self.failures.load(Ordering::Relaxed)
+    pub fn consecutive_failures(&self) -> u32 {
+        self.consecutive_failures.load(Ordering::Relaxed)
     }
 
     /// Moving average of the round trip; `None` before the first sample.
--- a/crates/rookferry_entry/src/http/operators.rs
+++ b/crates/rookferry_entry/src/http/operators.rs
@@ -194,7 +194,7 @@
                 .round_trip()
                 .map(|time| u64::try_from(time.as_micros()).unwrap_or(u64::MAX)),
             link_us: learned.link_us(),
-            failures: learned.failures(),
+            failures: learned.consecutive_failures(),
         };
         (engine.info.engine.to_string(), status)
     });
