--- a/crates/rookferry_core/src/routing/stats.rs
+++ b/crates/rookferry_core/src/routing/stats.rs
@@ -61,7 +61,7 @@
     }
 
     /// Counts a stream that was placed on the engine.
-    pub fn stream_started(&self, now: Instant) {
+    pub fn record_stream_start(&self, now: Instant) {
         let count = self.own_streams.fetch_add(1, Ordering::Relaxed) + 1;
         self.record_count(now, count);
     }
--- a/crates/rookferry_core/tests/routing.rs
+++ b/crates/rookferry_core/tests/routing.rs
@@ -131,7 +131,7 @@
     let engines = [engine("a", 0, 6)];
     let now = Instant::now();
     for _ in 0..100 {
-        engines[0].stats.stream_started(now);
+        engines[0].stats.record_stream_start(now);
     }
     let chain = choose(ChooserKind::ExpectedFinish, &engines, &[], 1);
     assert!(chain.stages.is_empty() && chain.is_full);
@@ -152,7 +152,7 @@
     let now = Instant::now();
     // Twice the slots: fewer would share its steps at no cost.
     for _ in 0..8 {
-        engines[0].stats.stream_started(now);
+        engines[0].stats.record_stream_start(now);
     }
     assert_eq!(
         names(&choose(ChooserKind::ExpectedFinish, &engines, &[], 1)),
@@ -185,11 +185,11 @@
 fn a_late_report_is_corrected_by_what_was_sent_since() {
     let stats = EngineStats::new();
     let start = Instant::now();
-    stats.stream_started(start);
-    stats.stream_started(start);
+    stats.record_stream_start(start);
+    stats.record_stream_start(start);
     let later = start + Duration::from_millis(500);
     for _ in 0..3 {
-        stats.stream_started(later);
+        stats.record_stream_start(later);
     }
     let report = LoadReport {
         age_ms: 300,
@@ -346,7 +346,7 @@
 #[test]
 fn an_engine_with_streams_is_drained_before_it_loads() {
     let mut engines = vec![engine("a", 0, 6), engine("b", 0, 6)];
-    engines[0].stats.stream_started(Instant::now());
+    engines[0].stats.record_stream_start(Instant::now());
     let limits = PlacementLimits {
         at_once: 1,
         load_interval: Duration::ZERO,
@@ -393,9 +393,9 @@
 fn steady_own_streams_are_not_taken_for_others() {
     let stats = EngineStats::new();
     let start = Instant::now();
-    stats.stream_started(start);
+    stats.record_stream_start(start);
     let much_later = start + Duration::from_secs(30);
-    stats.stream_started(much_later);
+    stats.record_stream_start(much_later);
     let report = LoadReport {
         age_ms: 300,
         streams: 1,
--- a/crates/rookferry_entry/src/admission.rs
+++ b/crates/rookferry_entry/src/admission.rs
@@ -338,7 +338,7 @@
             let Some(engine) = fleet.engine(&stage.engine) else {
                 continue;
             };
-            engine.stats.stream_started(clock::now());
+            engine.stats.record_stream_start(clock::now());
             self.slots
                 .push((stage.engine.clone(), engine.stats.clone()));
         }
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -328,7 +328,7 @@
         deadline: Instant,
     ) -> Result<KeptAnswer, ClientError> {
         let sent_at = clock::now();
-        instance.stats.stream_started(sent_at);
+        instance.stats.record_stream_start(sent_at);
         let wait = deadline.saturating_duration_since(sent_at);
         let exchange = self.exchange(entry, instance, wait);
         let answer = tokio::time::timeout(wait, exchange).await;
