--- a/crates/rookferry_core/src/routing/stats.rs
+++ b/crates/rookferry_core/src/routing/stats.rs
@@ -67,7 +67,7 @@
     }
 
     /// Counts a stream out that has left the engine.
-    pub fn stream_ended(&self, now: Instant) {
+    pub fn record_stream_end(&self, now: Instant) {
         let count = self
             .own_streams
             .fetch_sub(1, Ordering::Relaxed)
--- a/crates/rookferry_entry/src/admission.rs
+++ b/crates/rookferry_entry/src/admission.rs
@@ -349,7 +349,7 @@
         self.slots.retain(|(name, stats)| {
             let is_kept = **name != *engine;
             if !is_kept {
-                stats.stream_ended(clock::now());
+                stats.record_stream_end(clock::now());
             }
             is_kept
         });
@@ -365,7 +365,7 @@
 impl Drop for StreamSlots {
     fn drop(&mut self) {
         for (_, stats) in self.slots.drain(..) {
-            stats.stream_ended(clock::now());
+            stats.record_stream_end(clock::now());
         }
         self.permit = None;
         self.admission.pump();
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -332,7 +332,7 @@
         let wait = deadline.saturating_duration_since(sent_at);
         let exchange = self.exchange(entry, instance, wait);
         let answer = tokio::time::timeout(wait, exchange).await;
-        instance.stats.stream_ended(clock::now());
+        instance.stats.record_stream_end(clock::now());
         let addr = instance.addr;
         let answer = answer.unwrap_or(Err(ClientError::TimedOut { addr, wait }));
         if answer.is_ok() {
