--- a/crates/rookferry_core/src/routing/stats.rs
+++ b/crates/rookferry_core/src/routing/stats.rs
@@ -76,7 +76,7 @@
     }
 
     /// Adds the round trip of a one-position step and clears the failures.
-    pub fn step_returned(&self, round_trip: Duration) {
+    pub fn record_step(&self, round_trip: Duration) {
         let sample_us = micros(round_trip);
         let average_us = average(self.round_trip_us.load(Ordering::Relaxed), sample_us);
         self.round_trip_us.store(average_us, Ordering::Relaxed);
--- a/crates/rookferry_core/tests/routing.rs
+++ b/crates/rookferry_core/tests/routing.rs
@@ -67,7 +67,7 @@
     for _ in 0..20 {
         engine
             .stats
-            .step_returned(Duration::from_millis(round_trip_ms));
+            .record_step(Duration::from_millis(round_trip_ms));
     }
 }
 
@@ -206,7 +206,7 @@
     let floor = Duration::from_millis(100);
     assert_eq!(stats.step_timeout(8.0, floor, 1), floor * 10);
     for _ in 0..50 {
-        stats.step_returned(Duration::from_millis(20));
+        stats.record_step(Duration::from_millis(20));
     }
     let timeout = stats.step_timeout(8.0, floor, 1);
     assert!(
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -336,7 +336,7 @@
         let addr = instance.addr;
         let answer = answer.unwrap_or(Err(ClientError::TimedOut { addr, wait }));
         if answer.is_ok() {
-            instance.stats.step_returned(clock::since(sent_at));
+            instance.stats.record_step(clock::since(sent_at));
         }
         answer
     }
--- a/crates/rookferry_entry/src/runner.rs
+++ b/crates/rookferry_entry/src/runner.rs
@@ -196,7 +196,7 @@
                     if positions > 1 {
                         stats.prefill_returned(took, positions);
                     } else {
-                        stats.step_returned(took);
+                        stats.record_step(took);
                     }
                 }
                 StageEvent::Done {
--- a/crates/rookferry_experiment/src/control.rs
+++ b/crates/rookferry_experiment/src/control.rs
@@ -125,7 +125,7 @@
         .map(|number| {
             let stage = u16::try_from(number % 3).unwrap_or(0);
             let stats = EngineStats::new();
-            stats.step_returned(Duration::from_millis(5 + number as u64 % 7));
+            stats.record_step(Duration::from_millis(5 + number as u64 % 7));
             Engine {
                 info: EngineInfo {
                     engine: format!("engine-{number:04}").into(),
