--- a/crates/rookferry_core/src/routing/stats.rs
+++ b/crates/rookferry_core/src/routing/stats.rs
@@ -92,7 +92,7 @@
     }
 
     /// Adds the round trip of a step of several positions and clears the failures.
-    pub fn prefill_returned(&self, round_trip: Duration, positions: u32) {
+    pub fn record_prefill(&self, round_trip: Duration, positions: u32) {
         let one_us = self.round_trip_us.load(Ordering::Relaxed);
         let sample_us = micros(round_trip).saturating_sub(one_us) / u64::from(positions.max(1));
         let average_us = average(self.prefill_position_us.load(Ordering::Relaxed), sample_us);
--- a/crates/rookferry_entry/src/runner.rs
+++ b/crates/rookferry_entry/src/runner.rs
@@ -194,7 +194,7 @@
             Ok(StepResult::Done { output }) => {
                 if let Some(stats) = stats {
                     if positions > 1 {
-                        stats.prefill_returned(took, positions);
+                        stats.record_prefill(took, positions);
                     } else {
                         stats.record_step(took);
                     }
