--- a/crates/rookferry_core/src/routing/stats.rs
+++ b/crates/rookferry_core/src/routing/stats.rs
@@ -124,7 +124,7 @@
     }
 
     /// Counts a step without answer; returns the number of consecutive failures.
-    pub fn step_lost(&self) -> u32 {
+    pub fn record_loss(&self) -> u32 {
         self.consecutive_failures.fetch_add(1, Ordering::Relaxed) + 1
     }
 
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -272,7 +272,7 @@
             if matches!(error, ClientError::Broken { .. }) {
                 self.broke_at(entry, instance, sent_at);
             }
-            instance.stats.step_lost();
+            instance.stats.record_loss();
             progress = if error.is_unsent() && !was_sent {
                 Progress::Undispatched(dispatched.never_connected())
             } else {
--- a/crates/rookferry_entry/src/runner.rs
+++ b/crates/rookferry_entry/src/runner.rs
@@ -218,7 +218,7 @@
                 if let Some(stats) = stats
                     && !matches!(error, ClientError::BackedOff { .. })
                 {
-                    stats.step_lost();
+                    stats.record_loss();
                 }
                 info!(self.entry.log, "stream: step lost";
                     "part" => "stream", "stream" => %self.driver.stream(), "engine" => %engine, "error" => %error);
