--- a/crates/rookferry_controller/src/controller.rs
+++ b/crates/rookferry_controller/src/controller.rs
@@ -195,7 +195,7 @@
         streams: engine.streams,
         ..LoadReport::default()
     };
-    stats.reported(clock::now(), &report);
+    stats.record_report(clock::now(), &report);
     Engine {
         info: engine.info,
         addr: engine.addr,
--- a/crates/rookferry_core/src/routing/stats.rs
+++ b/crates/rookferry_core/src/routing/stats.rs
@@ -129,7 +129,7 @@
     }
 
     /// Applies a load report received at `now`, corrected for its age.
-    pub fn reported(&self, now: Instant, report: &LoadReport) {
+    pub fn record_report(&self, now: Instant, report: &LoadReport) {
         let age = Duration::from_millis(report.age_ms);
         let own_then = self.own_streams_at(now.checked_sub(age).unwrap_or(now));
         let others = report.streams.saturating_sub(own_then);
--- a/crates/rookferry_core/tests/routing.rs
+++ b/crates/rookferry_core/tests/routing.rs
@@ -196,7 +196,7 @@
         streams: 7,
         ..LoadReport::default()
     };
-    stats.reported(start + Duration::from_millis(600), &report);
+    stats.record_report(start + Duration::from_millis(600), &report);
     assert_eq!(stats.streams(), 5 + 5, "own now, and five of others");
 }
 
@@ -401,6 +401,6 @@
         streams: 1,
         ..LoadReport::default()
     };
-    stats.reported(much_later + Duration::from_millis(100), &report);
+    stats.record_report(much_later + Duration::from_millis(100), &report);
     assert_eq!(stats.streams(), 2);
 }
--- a/crates/rookferry_entry/src/known.rs
+++ b/crates/rookferry_entry/src/known.rs
@@ -236,7 +236,7 @@
     /// Takes an engine's own load report.
     pub(crate) fn reported(&self, now: Instant, name: &EngineId, report: LoadReport) {
         if let Some(server) = self.lock().get_mut(name) {
-            server.stats.reported(now, &report);
+            server.stats.record_report(now, &report);
             server.report = Some((now, report));
         }
     }
@@ -353,7 +353,7 @@
             streams: u32::from(digest.streams),
             step_us: u64::from(digest.step_us),
         };
-        self.stats.reported(now, &report);
+        self.stats.record_report(now, &report);
         former != (digest.is_lost, digest.is_leaving)
     }
 }
