--- a/crates/rookferry_core/src/routing/graph.rs
+++ b/crates/rookferry_core/src/routing/graph.rs
@@ -43,7 +43,7 @@
 
     /// The range of all layers.
     #[must_use]
-    pub const fn whole(&self) -> LayerRange {
+    pub const fn all_layers(&self) -> LayerRange {
         LayerRange {
             start: 0,
             end: self.layers,
--- a/crates/rookferry_core/tests/routing.rs
+++ b/crates/rookferry_core/tests/routing.rs
@@ -74,7 +74,7 @@
 fn choose(kind: ChooserKind, engines: &[Engine], excluded: &[EngineId], seed: u64) -> ChosenChain {
     let graph = LayerGraph::new(LAYERS, engines, 0..engines.len());
     let request = ChainRequest {
-        layers: graph.whole(),
+        layers: graph.all_layers(),
         excluded,
         cached: &[],
         seed,
--- a/crates/rookferry_entry/src/admission.rs
+++ b/crates/rookferry_entry/src/admission.rs
@@ -265,7 +265,7 @@
             return ChosenChain::default();
         };
         let request = ChainRequest {
-            layers: graph.whole(),
+            layers: graph.all_layers(),
             excluded,
             cached: &need.cached,
             seed: need.seed,
--- a/crates/rookferry_experiment/src/control.rs
+++ b/crates/rookferry_experiment/src/control.rs
@@ -167,7 +167,7 @@
     let choose_us = micros_each(ROUNDS, || {
         seed += 1;
         let request = ChainRequest {
-            layers: graph.whole(),
+            layers: graph.all_layers(),
             excluded: &[],
             cached: &[],
             seed,
