--- a/crates/rookferry_core/examples/embed.rs
+++ b/crates/rookferry_core/examples/embed.rs
@@ -108,7 +108,7 @@
         excluded,
         cached: &[],
         seed: 7,
-        beyond_limit: false,
+        ignores_limit: false,
     };
     let chooser = chooser_for(ChooserKind::ExpectedFinish);
     chooser
--- a/crates/rookferry_core/src/routing/chooser.rs
+++ b/crates/rookferry_core/src/routing/chooser.rs
@@ -46,7 +46,7 @@
     pub seed: u64,
     /// Whether engines at their stream limit may be used, as for a stream that is
     /// already in flight.
-    pub beyond_limit: bool,
+    pub ignores_limit: bool,
 }
 
 /// A chain and the engines considered for it.
--- a/crates/rookferry_core/src/routing/search.rs
+++ b/crates/rookferry_core/src/routing/search.rs
@@ -131,7 +131,7 @@
         if self.request.excluded.contains(&engine.info.engine) {
             return CandidateVerdict::Excluded;
         }
-        if !self.request.beyond_limit && engine.stats.streams() >= self.limit(engine) {
+        if !self.request.ignores_limit && engine.stats.streams() >= self.limit(engine) {
             return CandidateVerdict::Full;
         }
         CandidateVerdict::Costlier
--- a/crates/rookferry_core/tests/routing.rs
+++ b/crates/rookferry_core/tests/routing.rs
@@ -78,7 +78,7 @@
         excluded,
         cached: &[],
         seed,
-        beyond_limit: false,
+        ignores_limit: false,
     };
     chooser_for(kind).choose(&PolicyConfig::default(), &graph, engines, &request)
 }
--- a/crates/rookferry_entry/src/admission.rs
+++ b/crates/rookferry_entry/src/admission.rs
@@ -269,7 +269,7 @@
             excluded,
             cached: &need.cached,
             seed: need.seed,
-            beyond_limit: false,
+            ignores_limit: false,
         };
         let policy = &snapshot.table.config().policy;
         let engines = snapshot.fleet.engines();
--- a/crates/rookferry_entry/src/runner.rs
+++ b/crates/rookferry_entry/src/runner.rs
@@ -349,7 +349,7 @@
             excluded: &excluded,
             cached: &[],
             seed: self.need.seed,
-            beyond_limit: true,
+            ignores_limit: true,
         };
         let policy = &snapshot.table.config().policy;
         let chosen = snapshot
--- a/crates/rookferry_experiment/src/control.rs
+++ b/crates/rookferry_experiment/src/control.rs
@@ -171,7 +171,7 @@
             excluded: &[],
             cached: &[],
             seed,
-            beyond_limit: false,
+            ignores_limit: false,
         };
         black_box(chooser.choose(&config.policy, graph, fleet.engines(), &request));
     });
