--- a/crates/rookferry_core/src/decision.rs
+++ b/crates/rookferry_core/src/decision.rs
@@ -16,7 +16,7 @@
 use serde::Serialize;
 
 use crate::Candidate;
-use crate::RouteTrial;
+use crate::EvaluatedRoute;
 
 /// Why a request went where it did, or was refused.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
     /// The labels that selectors saw.
     pub labels: Labels,
     /// Routes in the order they were tried.
-    pub routes: Vec<RouteTrial>,
+    pub routes: Vec<EvaluatedRoute>,
     /// The pool of the matched route, with its selector.
     pub pool: Option<PoolUse>,
     /// Engines considered at the first choice.
--- a/crates/rookferry_core/src/routing/mod.rs
+++ b/crates/rookferry_core/src/routing/mod.rs
@@ -34,6 +34,6 @@
 pub use service::ServiceInstance;
 pub use service::choose_service;
 pub use stats::EngineStats;
+pub use table::EvaluatedRoute;
 pub use table::RouteChoice;
-pub use table::RouteTrial;
 pub use table::RoutingTable;
--- a/crates/rookferry_core/src/routing/table.rs
+++ b/crates/rookferry_core/src/routing/table.rs
@@ -17,7 +17,7 @@
 
 /// A route that was evaluated for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RouteTrial {
+pub struct EvaluatedRoute {
     /// Name of the route.
     pub route: String,
     /// Text of its selector.
@@ -32,7 +32,7 @@
     /// The first matching route; `None` if none matches.
     pub route: Option<&'a RouteConfig>,
     /// Evaluated routes, in order of the configuration.
-    pub trials: Vec<RouteTrial>,
+    pub trials: Vec<EvaluatedRoute>,
 }
 
 /// The active configuration, prepared for lookups on the request path.
@@ -99,7 +99,7 @@
         let mut trials = Vec::new();
         for route in &self.config.routes {
             let matched = route.selector.matches(labels);
-            trials.push(RouteTrial {
+            trials.push(EvaluatedRoute {
                 route: route.name.clone(),
                 selector: route.selector.text().to_owned(),
                 matched,
