--- a/crates/rookferry_core/src/routing/table.rs
+++ b/crates/rookferry_core/src/routing/table.rs
@@ -32,7 +32,7 @@
     /// The first matching route; `None` if none matches.
     pub route: Option<&'a RouteConfig>,
     /// Evaluated routes, in order of the configuration.
-    pub trials: Vec<EvaluatedRoute>,
+    pub evaluated: Vec<EvaluatedRoute>,
 }
 
 /// The active configuration, prepared for lookups on the request path.
@@ -96,10 +96,10 @@
     /// Finds the first route whose selector matches.
     #[must_use]
     pub fn route(&self, labels: &Labels) -> RouteChoice<'_> {
-        let mut trials = Vec::new();
+        let mut evaluated = Vec::new();
         for route in &self.config.routes {
             let matched = route.selector.matches(labels);
-            trials.push(EvaluatedRoute {
+            evaluated.push(EvaluatedRoute {
                 route: route.name.clone(),
                 selector: route.selector.text().to_owned(),
                 matched,
@@ -107,13 +107,13 @@
             if matched {
                 return RouteChoice {
                     route: Some(route),
-                    trials,
+                    evaluated,
                 };
             }
         }
         RouteChoice {
             route: None,
-            trials,
+            evaluated,
         }
     }
 
--- a/crates/rookferry_entry/src/http/model.rs
+++ b/crates/rookferry_entry/src/http/model.rs
@@ -152,7 +152,7 @@
             .insert("model".to_owned(), request.model.clone());
         call.record.labels.clone_from(&call.labels);
         let choice = call.snapshot.table.route(&call.labels);
-        call.record.routes = choice.trials;
+        call.record.routes = choice.evaluated;
         let Some(route) = choice.route else {
             let detail =
                 "no route's selector matches the request's labels; see `rookferryctl explain`";
