--- a/crates/rookferry_core/src/routing/affinity.rs
+++ b/crates/rookferry_core/src/routing/affinity.rs
@@ -26,8 +26,8 @@
 
 #[derive(Debug, Default)]
 struct EnginePrefixes {
-    next: u64,
-    order: VecDeque<u64>,
+    next_seq: u64,
+    insertion_order: VecDeque<u64>,
 }
 
 /// Engines by cached prefix, and prefixes by engine.
@@ -48,15 +48,15 @@
     /// engine's entries at a gap in the sequence.
     pub fn on_events(&mut self, engine: &EngineId, events: &CacheEvents) {
         for event in &events.events {
-            let known = self.engines.entry(engine.clone()).or_default();
-            if event.seq < known.next {
+            let prefixes = self.engines.entry(engine.clone()).or_default();
+            if event.seq < prefixes.next_seq {
                 continue;
             }
-            let is_gap = event.seq > known.next && known.next != 0;
+            let is_gap = event.seq > prefixes.next_seq && prefixes.next_seq != 0;
             if is_gap {
-                self.forget(engine);
+                self.remove_engine(engine);
             }
-            self.engines.entry(engine.clone()).or_default().next = event.seq + 1;
+            self.engines.entry(engine.clone()).or_default().next_seq = event.seq + 1;
             if event.stored {
                 self.insert(engine, event.prefix);
             } else {
@@ -66,11 +66,11 @@
     }
 
     /// Removes all entries of an engine.
-    pub fn forget(&mut self, engine: &EngineId) {
-        let Some(known) = self.engines.remove(engine) else {
+    pub fn remove_engine(&mut self, engine: &EngineId) {
+        let Some(prefixes) = self.engines.remove(engine) else {
             return;
         };
-        for prefix in known.order {
+        for prefix in prefixes.insertion_order {
             self.remove_holder(engine, prefix);
         }
     }
@@ -87,19 +87,19 @@
             return;
         }
         holders.push(engine.clone());
-        let known = self.engines.entry(engine.clone()).or_default();
-        known.order.push_back(prefix);
-        if known.order.len() <= MAX_PREFIXES_PER_ENGINE {
+        let prefixes = self.engines.entry(engine.clone()).or_default();
+        prefixes.insertion_order.push_back(prefix);
+        if prefixes.insertion_order.len() <= MAX_PREFIXES_PER_ENGINE {
             return;
         }
-        if let Some(oldest) = known.order.pop_front() {
+        if let Some(oldest) = prefixes.insertion_order.pop_front() {
             self.remove_holder(engine, oldest);
         }
     }
 
     fn remove(&mut self, engine: &EngineId, prefix: u64) {
-        if let Some(known) = self.engines.get_mut(engine) {
-            known.order.retain(|kept| *kept != prefix);
+        if let Some(prefixes) = self.engines.get_mut(engine) {
+            prefixes.insertion_order.retain(|other| *other != prefix);
         }
         self.remove_holder(engine, prefix);
     }
