--- a/crates/rookferry_core/src/routing/service.rs
+++ b/crates/rookferry_core/src/routing/service.rs
@@ -69,16 +69,14 @@
 ) -> (Option<&'a ServiceInstance>, Vec<Candidate>) {
     let usable =
         |instance: &&ServiceInstance| verdict(instance, excluded) == CandidateVerdict::Costlier;
-    let near = |instance: &&ServiceInstance| *instance.failure_domain == *own_domain;
-    let best_near = instances.iter().filter(usable).filter(near);
-    let best = best_near
-        .min_by_key(|instance| instance.cost_us())
-        .or_else(|| {
-            instances
-                .iter()
-                .filter(usable)
-                .min_by_key(|instance| instance.cost_us())
-        });
+    let is_local = |instance: &&ServiceInstance| *instance.failure_domain == *own_domain;
+    let local = instances.iter().filter(usable).filter(is_local);
+    let best = local.min_by_key(|instance| instance.cost_us()).or_else(|| {
+        instances
+            .iter()
+            .filter(usable)
+            .min_by_key(|instance| instance.cost_us())
+    });
     let candidates = instances.iter().map(|instance| Candidate {
         engine: instance.instance.clone(),
         cost_us: instance.cost_us(),
