--- a/crates/rookferry_core/src/selector/lexer.rs
+++ b/crates/rookferry_core/src/selector/lexer.rs
@@ -8,8 +8,8 @@
     NotEqual,
     Bang,
     Comma,
-    Open,
-    Close,
+    OpenParen,
+    CloseParen,
 }
 
 /// A token and the column where it starts, in characters from 1.
@@ -29,28 +29,28 @@
 pub(super) fn lex(text: &str) -> Result<Vec<Spanned>, LexError> {
     let chars: Vec<char> = text.chars().collect();
     let mut tokens = Vec::new();
-    let mut at = 0;
-    while at < chars.len() {
-        let column = at + 1;
-        let found = chars[at];
+    let mut index = 0;
+    while index < chars.len() {
+        let column = index + 1;
+        let found = chars[index];
         if found.is_whitespace() {
-            at += 1;
+            index += 1;
             continue;
         }
         let (token, next) = match found {
-            '=' if chars.get(at + 1) == Some(&'=') => (Token::Equal, at + 2),
-            '=' => (Token::Equal, at + 1),
-            '!' if chars.get(at + 1) == Some(&'=') => (Token::NotEqual, at + 2),
-            '!' => (Token::Bang, at + 1),
-            ',' => (Token::Comma, at + 1),
-            '(' => (Token::Open, at + 1),
-            ')' => (Token::Close, at + 1),
-            '"' => quoted(&chars, at)?,
-            _ if is_word(found) => word(&chars, at),
+            '=' if chars.get(index + 1) == Some(&'=') => (Token::Equal, index + 2),
+            '=' => (Token::Equal, index + 1),
+            '!' if chars.get(index + 1) == Some(&'=') => (Token::NotEqual, index + 2),
+            '!' => (Token::Bang, index + 1),
+            ',' => (Token::Comma, index + 1),
+            '(' => (Token::OpenParen, index + 1),
+            ')' => (Token::CloseParen, index + 1),
+            '"' => quoted(&chars, index)?,
+            _ if is_word(found) => word(&chars, index),
             _ => return Err(LexError { column, found }),
         };
         tokens.push(Spanned { token, column });
-        at = next;
+        index = next;
     }
     Ok(tokens)
 }
--- a/crates/rookferry_core/src/selector/parser.rs
+++ b/crates/rookferry_core/src/selector/parser.rs
@@ -25,7 +25,7 @@
 struct Parser<'a> {
     text: &'a str,
     tokens: Vec<Spanned>,
-    at: usize,
+    next: usize,
 }
 
 pub(super) fn parse(text: &str) -> Result<Expr, SelectorError> {
@@ -40,11 +40,11 @@
     let mut parser = Parser {
         text,
         tokens,
-        at: 0,
+        next: 0,
     };
     let expr = parser.or(0)?;
     if parser.peek().is_some() {
-        return Err(parser.fault("expected `and`, `or` or the end of the selector"));
+        return Err(parser.error("expected `and`, `or` or the end of the selector"));
     }
     Ok(expr)
 }
@@ -61,32 +61,32 @@
     fn or(&mut self, depth: usize) -> Result<Expr, SelectorError> {
         let first = self.and(depth)?;
         let mut parts = vec![first];
-        while self.take_keyword("or") {
+        while self.consume_keyword("or") {
             parts.push(self.and(depth)?);
         }
-        Ok(single_or(parts, Expr::Or))
+        Ok(combine(parts, Expr::Or))
     }
 
     fn and(&mut self, depth: usize) -> Result<Expr, SelectorError> {
         let first = self.unary(depth)?;
         let mut parts = vec![first];
-        while self.take_keyword("and") || self.take(&Token::Comma) {
+        while self.consume_keyword("and") || self.consume(&Token::Comma) {
             parts.push(self.unary(depth)?);
         }
-        Ok(single_or(parts, Expr::And))
+        Ok(combine(parts, Expr::And))
     }
 
     fn unary(&mut self, depth: usize) -> Result<Expr, SelectorError> {
         if depth > MAX_DEPTH {
-            return Err(self.fault("nested too deeply; split it into several rules"));
+            return Err(self.error("nested too deeply; split it into several rules"));
         }
-        if self.take_keyword("not") || self.take(&Token::Bang) {
+        if self.consume_keyword("not") || self.consume(&Token::Bang) {
             let inner = self.unary(depth + 1)?;
             return Ok(Expr::Not(Box::new(inner)));
         }
-        if self.take(&Token::Open) {
+        if self.consume(&Token::OpenParen) {
             let inner = self.or(depth + 1)?;
-            self.expect(&Token::Close, "expected `)`")?;
+            self.expect(&Token::CloseParen, "expected `)`")?;
             return Ok(inner);
         }
         self.term()
@@ -94,69 +94,72 @@
 
     fn term(&mut self) -> Result<Expr, SelectorError> {
         let key = self.word("expected a label name")?;
-        if self.take(&Token::Equal) {
+        if self.consume(&Token::Equal) {
             let value = self.word("expected a value after `=`")?;
             return Ok(Expr::In(key, vec![value]));
         }
-        if self.take(&Token::NotEqual) {
+        if self.consume(&Token::NotEqual) {
             let value = self.word("expected a value after `!=`")?;
             return Ok(Expr::NotIn(key, vec![value]));
         }
-        if self.take_keyword("in") {
+        if self.consume_keyword("in") {
             return Ok(Expr::In(key, self.set()?));
         }
-        if self.take_keyword("notin") {
+        if self.consume_keyword("notin") {
             return Ok(Expr::NotIn(key, self.set()?));
         }
         Ok(Expr::Exists(key))
     }
 
     fn set(&mut self) -> Result<Vec<String>, SelectorError> {
-        self.expect(&Token::Open, "expected `(` before the values of a set")?;
+        self.expect(&Token::OpenParen, "expected `(` before the values of a set")?;
         let mut values = vec![self.word("expected a value of the set")?];
-        while self.take(&Token::Comma) {
+        while self.consume(&Token::Comma) {
             values.push(self.word("expected a value after `,`")?);
         }
-        self.expect(&Token::Close, "expected `,` or `)` after a value of a set")?;
+        self.expect(
+            &Token::CloseParen,
+            "expected `,` or `)` after a value of a set",
+        )?;
         Ok(values)
     }
 
     fn word(&mut self, message: &str) -> Result<String, SelectorError> {
         let Some(Token::Word(word)) = self.peek().cloned() else {
-            return Err(self.fault(message));
+            return Err(self.error(message));
         };
-        self.at += 1;
+        self.next += 1;
         Ok(word)
     }
 
     fn expect(&mut self, token: &Token, message: &str) -> Result<(), SelectorError> {
-        if self.take(token) {
+        if self.consume(token) {
             return Ok(());
         }
-        Err(self.fault(message))
+        Err(self.error(message))
     }
 
-    fn take(&mut self, token: &Token) -> bool {
+    fn consume(&mut self, token: &Token) -> bool {
         let is_next = self.peek() == Some(token);
-        self.at += usize::from(is_next);
+        self.next += usize::from(is_next);
         is_next
     }
 
-    fn take_keyword(&mut self, keyword: &str) -> bool {
+    fn consume_keyword(&mut self, keyword: &str) -> bool {
         let is_next = matches!(self.peek(), Some(Token::Word(word)) if word == keyword);
-        self.at += usize::from(is_next);
+        self.next += usize::from(is_next);
         is_next
     }
 
     fn peek(&self) -> Option<&Token> {
-        self.tokens.get(self.at).map(|spanned| &spanned.token)
+        self.tokens.get(self.next).map(|spanned| &spanned.token)
     }
 
-    fn fault(&self, message: &str) -> SelectorError {
+    fn error(&self, message: &str) -> SelectorError {
         let end = self.text.chars().count() + 1;
         let column = self
             .tokens
-            .get(self.at)
+            .get(self.next)
             .map_or(end, |spanned| spanned.column);
         SelectorError {
             text: self.text.to_owned(),
@@ -166,7 +169,7 @@
     }
 }
 
-fn single_or(mut parts: Vec<Expr>, join: fn(Vec<Expr>) -> Expr) -> Expr {
+fn combine(mut parts: Vec<Expr>, join: fn(Vec<Expr>) -> Expr) -> Expr {
     if parts.len() > 1 {
         return join(parts);
     }
