--- a/crates/rookferry_core/src/admission/drain.rs
+++ b/crates/rookferry_core/src/admission/drain.rs
@@ -4,10 +4,10 @@
 use std::time::Instant;
 
 /// Time constant of the average.
-const WINDOW: Duration = Duration::from_secs(5);
+const TIME_CONSTANT: Duration = Duration::from_secs(5);
 /// Bounds of the retry delay given to callers.
-const MIN_RETRY: Duration = Duration::from_millis(100);
-const MAX_RETRY: Duration = Duration::from_secs(30);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// Requests taken from a queue per second, as an exponentially decaying average.
 #[derive(Clone, Debug)]
@@ -38,8 +38,8 @@
             return;
         };
         let gap_s = now.saturating_duration_since(last).as_secs_f64();
-        let kept = (-gap_s / WINDOW.as_secs_f64()).exp();
-        self.per_s = self.per_s * kept + 1.0 / WINDOW.as_secs_f64();
+        let decay = (-gap_s / TIME_CONSTANT.as_secs_f64()).exp();
+        self.per_s = self.per_s * decay + 1.0 / TIME_CONSTANT.as_secs_f64();
     }
 
     /// Requests per second, decayed to `now`; 0 before the second request.
@@ -49,7 +49,7 @@
             return 0.0;
         };
         let gap_s = now.saturating_duration_since(last).as_secs_f64();
-        self.per_s * (-gap_s / WINDOW.as_secs_f64()).exp()
+        self.per_s * (-gap_s / TIME_CONSTANT.as_secs_f64()).exp()
     }
 
     /// Expected wait behind `ahead` requests; `None` if the rate is unknown.
@@ -67,6 +67,6 @@
     #[must_use]
     pub fn retry_after(&self, now: Instant, ahead: usize) -> Duration {
         let wait = self.wait(now, ahead + 1).unwrap_or(Duration::from_secs(1));
-        wait.clamp(MIN_RETRY, MAX_RETRY)
+        wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 }
--- a/crates/rookferry_core/src/admission/fair_queue.rs
+++ b/crates/rookferry_core/src/admission/fair_queue.rs
@@ -18,7 +18,7 @@
     pub account: AccountId,
     /// The queued item.
     pub item: T,
-    finish: f64,
+    virtual_finish: f64,
 }
 
 /// Result of a push.
@@ -29,7 +29,7 @@
 }
 
 #[derive(Debug)]
-struct Lane<T> {
+struct AccountQueue<T> {
     waiting: VecDeque<Waiting<T>>,
     last_finish: f64,
 }
@@ -40,7 +40,7 @@
     limit: usize,
     length: usize,
     virtual_now: f64,
-    lanes: BTreeMap<AccountId, Lane<T>>,
+    queues: BTreeMap<AccountId, AccountQueue<T>>,
 }
 
 impl<T> FairQueue<T> {
@@ -51,7 +51,7 @@
             limit,
             length: 0,
             virtual_now: 0.0,
-            lanes: BTreeMap::new(),
+            queues: BTreeMap::new(),
         }
     }
 
@@ -65,17 +65,20 @@
     /// `cost` is in any unit that is common to all requests, such as tokens.
     pub fn push(&mut self, account: AccountId, weight: f64, cost: f64, item: T) -> Pushed<T> {
         let virtual_now = self.virtual_now;
-        let lane = self.lanes.entry(account.clone()).or_insert_with(|| Lane {
-            waiting: VecDeque::new(),
-            last_finish: virtual_now,
-        });
-        let start = lane.last_finish.max(virtual_now);
-        let finish = start + cost / weight;
-        lane.last_finish = finish;
-        lane.waiting.push_back(Waiting {
+        let queue = self
+            .queues
+            .entry(account.clone())
+            .or_insert_with(|| AccountQueue {
+                waiting: VecDeque::new(),
+                last_finish: virtual_now,
+            });
+        let start = queue.last_finish.max(virtual_now);
+        let virtual_finish = start + cost / weight;
+        queue.last_finish = virtual_finish;
+        queue.waiting.push_back(Waiting {
             account,
             item,
-            finish,
+            virtual_finish,
         });
         self.length += 1;
         let evicted = if self.length > self.limit {
@@ -89,12 +92,12 @@
     /// Removes the request with the earliest virtual finish time.
     pub fn pop(&mut self) -> Option<Waiting<T>> {
         let account = self.first_account()?;
-        let lane = self.lanes.get_mut(&account)?;
-        let next = lane.waiting.pop_front()?;
+        let queue = self.queues.get_mut(&account)?;
+        let next = queue.waiting.pop_front()?;
         self.length -= 1;
-        self.virtual_now = self.virtual_now.max(next.finish);
-        if lane.waiting.is_empty() && lane.last_finish <= self.virtual_now {
-            self.lanes.remove(&account);
+        self.virtual_now = self.virtual_now.max(next.virtual_finish);
+        if queue.waiting.is_empty() && queue.last_finish <= self.virtual_now {
+            self.queues.remove(&account);
         }
         Some(next)
     }
@@ -103,20 +106,20 @@
     #[must_use]
     pub fn peek(&self) -> Option<&T> {
         let account = self.first_account()?;
-        let lane = self.lanes.get(&account)?;
-        lane.waiting.front().map(|waiting| &waiting.item)
+        let queue = self.queues.get(&account)?;
+        queue.waiting.front().map(|waiting| &waiting.item)
     }
 
     /// Removes and returns all requests for which the predicate holds.
-    pub fn remove_if(&mut self, mut is_over: impl FnMut(&T) -> bool) -> Vec<Waiting<T>> {
+    pub fn remove_if(&mut self, mut should_remove: impl FnMut(&T) -> bool) -> Vec<Waiting<T>> {
         let mut removed = Vec::new();
-        for lane in self.lanes.values_mut() {
-            let waiting = std::mem::take(&mut lane.waiting);
+        for queue in self.queues.values_mut() {
+            let waiting = std::mem::take(&mut queue.waiting);
             for entry in waiting {
-                if is_over(&entry.item) {
+                if should_remove(&entry.item) {
                     removed.push(entry);
                 } else {
-                    lane.waiting.push_back(entry);
+                    queue.waiting.push_back(entry);
                 }
             }
         }
@@ -137,26 +140,26 @@
     }
 
     fn first_account(&self) -> Option<AccountId> {
-        let heads = self.lanes.iter().filter_map(|(account, lane)| {
-            let head = lane.waiting.front()?;
-            Some((head.finish, account))
+        let heads = self.queues.iter().filter_map(|(account, queue)| {
+            let head = queue.waiting.front()?;
+            Some((head.virtual_finish, account))
         });
         let first = heads.min_by(|(left, _), (right, _)| left.total_cmp(right));
         first.map(|(_, account)| account.clone())
     }
 
     fn evict(&mut self) -> Option<Waiting<T>> {
-        let tails = self
-            .lanes
+        let candidates = self
+            .queues
             .values_mut()
-            .filter(|lane| !lane.waiting.is_empty());
+            .filter(|queue| !queue.waiting.is_empty());
         let furthest =
-            tails.max_by(|left, right| left.last_finish.total_cmp(&right.last_finish))?;
+            candidates.max_by(|left, right| left.last_finish.total_cmp(&right.last_finish))?;
         let evicted = furthest.waiting.pop_back()?;
         furthest.last_finish = furthest
             .waiting
             .back()
-            .map_or(self.virtual_now, |waiting| waiting.finish);
+            .map_or(self.virtual_now, |waiting| waiting.virtual_finish);
         self.length -= 1;
         Some(evicted)
     }
