--- a/crates/rookferry_core/tests/admission.rs
+++ b/crates/rookferry_core/tests/admission.rs
@@ -120,7 +120,7 @@
     let mut drain = DrainRate::new();
     assert_eq!(drain.wait(start, 5), None);
     for tenth in 0..600 {
-        drain.drained(start + Duration::from_millis(tenth * 100));
+        drain.record_dequeue(start + Duration::from_millis(tenth * 100));
     }
     let now = start + Duration::from_mins(1);
     let wait = drain.wait(now, 100).expect("a rate is known");
--- a/crates/rookferry_entry/src/admission.rs
+++ b/crates/rookferry_entry/src/admission.rs
@@ -201,7 +201,7 @@
                 Err(chosen) => Err(self.no_chain(&next.need, chosen)),
             };
             if let Some(entry) = lane.queue.pop() {
-                lane.drain.drained(now);
+                lane.drain.record_dequeue(now);
                 told.push((entry.item, result));
             }
         }
