--- a/crates/rookferry_core/src/admission/drain.rs
+++ b/crates/rookferry_core/src/admission/drain.rs
@@ -54,7 +54,7 @@
 
     /// Expected wait behind `ahead` requests; `None` if the rate is unknown.
     #[must_use]
-    pub fn wait(&self, now: Instant, ahead: usize) -> Option<Duration> {
+    pub fn expected_wait(&self, now: Instant, ahead: usize) -> Option<Duration> {
         let per_s = self.per_s(now);
         if per_s <= f64::EPSILON {
             return None;
@@ -66,7 +66,9 @@
     /// rate is unknown.
     #[must_use]
     pub fn retry_after(&self, now: Instant, ahead: usize) -> Duration {
-        let wait = self.wait(now, ahead + 1).unwrap_or(Duration::from_secs(1));
+        let wait = self
+            .expected_wait(now, ahead + 1)
+            .unwrap_or(Duration::from_secs(1));
         wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 }
--- a/crates/rookferry_core/tests/admission.rs
+++ b/crates/rookferry_core/tests/admission.rs
@@ -118,12 +118,12 @@
 fn the_wait_follows_the_drain() {
     let start = Instant::now();
     let mut drain = DrainRate::new();
-    assert_eq!(drain.wait(start, 5), None);
+    assert_eq!(drain.expected_wait(start, 5), None);
     for tenth in 0..600 {
         drain.record_dequeue(start + Duration::from_millis(tenth * 100));
     }
     let now = start + Duration::from_mins(1);
-    let wait = drain.wait(now, 100).expect("a rate is known");
+    let wait = drain.expected_wait(now, 100).expect("a rate is known");
     assert!(
         wait > Duration::from_secs(8) && wait < Duration::from_secs(13),
         "{wait:?}"
--- a/crates/rookferry_entry/src/admission.rs
+++ b/crates/rookferry_entry/src/admission.rs
@@ -221,7 +221,7 @@
             drain: DrainRate::new(),
         });
         lane.queue.set_limit(limit);
-        let wait = lane.drain.wait(now, lane.queue.len());
+        let wait = lane.drain.expected_wait(now, lane.queue.len());
         if wait.is_some_and(|wait| now + wait > need.turn_by) {
             return Err(overloaded(
                 lane,
