--- a/crates/rookferry_core/src/admission/fair_queue.rs
+++ b/crates/rookferry_core/src/admission/fair_queue.rs
@@ -23,7 +23,7 @@
 
 /// Result of a push.
 #[derive(Debug)]
-pub struct Pushed<T> {
+pub struct PushOutcome<T> {
     /// The request evicted from a full queue; it may be the pushed one.
     pub evicted: Option<Waiting<T>>,
 }
@@ -63,7 +63,7 @@
     /// Adds a request of an account with a weight above 0.
     ///
     /// `cost` is in any unit that is common to all requests, such as tokens.
-    pub fn push(&mut self, account: AccountId, weight: f64, cost: f64, item: T) -> Pushed<T> {
+    pub fn push(&mut self, account: AccountId, weight: f64, cost: f64, item: T) -> PushOutcome<T> {
         let virtual_now = self.virtual_now;
         let queue = self
             .queues
@@ -86,7 +86,7 @@
         } else {
             None
         };
-        Pushed { evicted }
+        PushOutcome { evicted }
     }
 
     /// Removes the request with the earliest virtual finish time.
--- a/crates/rookferry_core/src/admission/mod.rs
+++ b/crates/rookferry_core/src/admission/mod.rs
@@ -8,5 +8,5 @@
 
 pub use drain::DrainRate;
 pub use fair_queue::FairQueue;
-pub use fair_queue::Pushed;
+pub use fair_queue::PushOutcome;
 pub use fair_queue::Waiting;
--- a/crates/rookferry_core/src/lib.rs
+++ b/crates/rookferry_core/src/lib.rs
@@ -45,7 +45,7 @@
 
 pub use admission::DrainRate;
 pub use admission::FairQueue;
-pub use admission::Pushed;
+pub use admission::PushOutcome;
 pub use admission::Waiting;
 pub use bound::RatedEngine;
 pub use bound::throughput_bound;
