--- a/crates/rookferry_core/src/admission/fair_queue.rs
+++ b/crates/rookferry_core/src/admission/fair_queue.rs
@@ -13,7 +13,7 @@
 
 /// A queued request.
 #[derive(Debug)]
-pub struct Waiting<T> {
+pub struct QueuedRequest<T> {
     /// Client account of the request.
     pub account: AccountId,
     /// The queued item.
@@ -25,12 +25,12 @@
 #[derive(Debug)]
 pub struct PushOutcome<T> {
     /// The request evicted from a full queue; it may be the pushed one.
-    pub evicted: Option<Waiting<T>>,
+    pub evicted: Option<QueuedRequest<T>>,
 }
 
 #[derive(Debug)]
 struct AccountQueue<T> {
-    waiting: VecDeque<Waiting<T>>,
+    waiting: VecDeque<QueuedRequest<T>>,
     last_finish: f64,
 }
 
@@ -75,7 +75,7 @@
         let start = queue.last_finish.max(virtual_now);
         let virtual_finish = start + cost / weight;
         queue.last_finish = virtual_finish;
-        queue.waiting.push_back(Waiting {
+        queue.waiting.push_back(QueuedRequest {
             account,
             item,
             virtual_finish,
@@ -90,7 +90,7 @@
     }
 
     /// Removes the request with the earliest virtual finish time.
-    pub fn pop(&mut self) -> Option<Waiting<T>> {
+    pub fn pop(&mut self) -> Option<QueuedRequest<T>> {
         let account = self.first_account()?;
         let queue = self.queues.get_mut(&account)?;
         let next = queue.waiting.pop_front()?;
@@ -111,7 +111,10 @@
     }
 
     /// Removes and returns all requests for which the predicate holds.
-    pub fn remove_if(&mut self, mut should_remove: impl FnMut(&T) -> bool) -> Vec<Waiting<T>> {
+    pub fn remove_if(
+        &mut self,
+        mut should_remove: impl FnMut(&T) -> bool,
+    ) -> Vec<QueuedRequest<T>> {
         let mut removed = Vec::new();
         for queue in self.queues.values_mut() {
             let waiting = std::mem::take(&mut queue.waiting);
@@ -148,7 +151,7 @@
         first.map(|(_, account)| account.clone())
     }
 
-    fn evict(&mut self) -> Option<Waiting<T>> {
+    fn evict(&mut self) -> Option<QueuedRequest<T>> {
         let candidates = self
             .queues
             .values_mut()
--- a/crates/rookferry_core/src/admission/mod.rs
+++ b/crates/rookferry_core/src/admission/mod.rs
@@ -9,4 +9,4 @@
 pub use drain::DrainRate;
 pub use fair_queue::FairQueue;
 pub use fair_queue::PushOutcome;
-pub use fair_queue::Waiting;
+pub use fair_queue::QueuedRequest;
--- a/crates/rookferry_core/src/lib.rs
+++ b/crates/rookferry_core/src/lib.rs
@@ -46,7 +46,7 @@
 pub use admission::DrainRate;
 pub use admission::FairQueue;
 pub use admission::PushOutcome;
-pub use admission::Waiting;
+pub use admission::QueuedRequest;
 pub use bound::RatedEngine;
 pub use bound::throughput_bound;
 pub use burn::ObjectiveSample;
