--- a/crates/rookferry_core/src/admission/mod.rs
+++ b/crates/rookferry_core/src/admission/mod.rs
@@ -3,10 +3,10 @@
 //!
 //! Entry instances hold one queue and one rate for each pool and model.
 
-mod drain;
+mod drain_rate;
 mod fair_queue;
 
-pub use drain::DrainRate;
+pub use drain_rate::DrainRate;
 pub use fair_queue::FairQueue;
 pub use fair_queue::PushOutcome;
 pub use fair_queue::QueuedRequest;
