--- a/crates/rookferry_core/src/stream/driver.rs
+++ b/crates/rookferry_core/src/stream/driver.rs
@@ -54,9 +54,9 @@
     /// Whether another instance started the stream.
     is_resumed: bool,
     /// Whether the first stage is known to hold the stream.
-    is_held: bool,
+    is_state_confirmed: bool,
     /// Steps that were sent and not refused, so that they may have run.
-    steps_at_risk: u32,
+    unrefused_steps: u32,
 }
 
 impl StreamDriver {
@@ -68,12 +68,12 @@
 
     /// A driver for a stream that another instance started.
     ///
-    /// Opens an attempt higher than `above` and continues from the positions that the
+    /// Opens an attempt higher than `newest_attempt` and continues from the positions that the
     /// engines recorded. The first stage must hold the stream; otherwise it is abandoned
     /// with [`AbandonReason::NotHeld`], so that work isn't run a second time.
     #[must_use]
-    pub fn resume(spec: StreamSpec, above: Attempt) -> Self {
-        Self::with_attempt(spec, above + 1, true)
+    pub fn resume(spec: StreamSpec, newest_attempt: Attempt) -> Self {
+        Self::with_attempt(spec, newest_attempt + 1, true)
     }
 
     fn with_attempt(spec: StreamSpec, attempt: Attempt, is_resumed: bool) -> Self {
@@ -86,8 +86,8 @@
             starts: vec![0; stages],
             phase: Phase::Ready,
             is_resumed,
-            is_held: !is_resumed,
-            steps_at_risk: 0,
+            is_state_confirmed: !is_resumed,
+            unrefused_steps: 0,
         }
     }
 
@@ -157,7 +157,7 @@
     /// stream.
     #[must_use]
     pub const fn nothing_ran(&self) -> bool {
-        self.steps_at_risk == 0 && !self.is_resumed
+        self.unrefused_steps == 0 && !self.is_resumed
     }
 
     /// Whether the stream has finished or been abandoned.
@@ -178,12 +178,15 @@
         let Some(stage) = self.stage_of(engine) else {
             return Vec::new();
         };
-        let Phase::Opening { kept: answers } = &mut self.phase else {
+        let Phase::Opening {
+            kept: kept_by_stage,
+        } = &mut self.phase
+        else {
             return Vec::new();
         };
-        answers[stage] = Some(kept);
-        self.is_held |= stage == 0;
-        let all: Option<Vec<Position>> = answers.iter().copied().collect();
+        kept_by_stage[stage] = Some(kept);
+        self.is_state_confirmed |= stage == 0;
+        let all: Option<Vec<Position>> = kept_by_stage.iter().copied().collect();
         let Some(all) = all else {
             return Vec::new();
         };
@@ -204,7 +207,7 @@
         if newest == 0 {
             return self.abandon(AbandonReason::NotHeld);
         }
-        if !self.is_held && newest >= attempt {
+        if !self.is_state_confirmed && newest >= attempt {
             return self.reopen_above(newest);
         }
         self.abandon(AbandonReason::TakenOver)
@@ -216,7 +219,7 @@
         attempt: Attempt,
         output: &[u64],
     ) -> Vec<StreamAction> {
-        let Some(stage) = self.stepping(engine, attempt) else {
+        let Some(stage) = self.stepping_stage(engine, attempt) else {
             return Vec::new();
         };
         let expected = self.tokens.len() - self.starts[stage] as usize;
@@ -257,10 +260,10 @@
         attempt: Attempt,
         refusal: Refusal,
     ) -> Vec<StreamAction> {
-        let Some(stage) = self.stepping(engine, attempt) else {
+        let Some(stage) = self.stepping_stage(engine, attempt) else {
             return Vec::new();
         };
-        self.steps_at_risk -= 1;
+        self.unrefused_steps -= 1;
         match refusal {
             Refusal::StaleAttempt { .. } => self.abandon(AbandonReason::TakenOver),
             Refusal::Cancelled => self.abandon(AbandonReason::Cancelled),
@@ -273,8 +276,8 @@
         if attempt != self.attempt {
             return Vec::new();
         }
-        let is_asked = self.stepping(engine, attempt).is_some() || self.is_opening(engine);
-        let Some(stage) = self.stage_of(engine).filter(|_| is_asked) else {
+        let is_awaited = self.stepping_stage(engine, attempt).is_some() || self.is_opening(engine);
+        let Some(stage) = self.stage_of(engine).filter(|_| is_awaited) else {
             return Vec::new();
         };
         self.replace(stage)
@@ -297,7 +300,7 @@
     }
 
     fn replace(&mut self, stage: usize) -> Vec<StreamAction> {
-        if !self.is_held && stage == 0 {
+        if !self.is_state_confirmed && stage == 0 {
             return self.abandon(AbandonReason::NotHeld);
         }
         self.phase = Phase::Replacing { stage };
@@ -339,7 +342,7 @@
                     stream: self.spec.stream,
                     attempt: self.attempt,
                     keep,
-                    must_exist: !self.is_held && index == 0,
+                    must_exist: !self.is_state_confirmed && index == 0,
                 },
             })
             .collect()
@@ -350,15 +353,15 @@
     fn set_starts(&mut self, kept: &[Position]) {
         let newest = self.tokens.len() - 1;
         let mut start = Position::try_from(newest).unwrap_or(Position::MAX);
-        for (stage, held) in kept.iter().enumerate().rev() {
-            start = start.min(*held);
+        for (stage, stage_kept) in kept.iter().enumerate().rev() {
+            start = start.min(*stage_kept);
             self.starts[stage] = start;
         }
     }
 
     fn send(&mut self, stage: usize, input: Vec<u64>) -> StreamAction {
         self.phase = Phase::Stepping { stage };
-        self.steps_at_risk += 1;
+        self.unrefused_steps += 1;
         StreamAction::Send {
             engine: self.spec.stages[stage].engine.clone(),
             step: Step {
@@ -383,12 +386,12 @@
             .position(|stage| stage.engine == *engine)
     }
 
-    fn stepping(&self, engine: &EngineId, attempt: Attempt) -> Option<usize> {
+    fn stepping_stage(&self, engine: &EngineId, attempt: Attempt) -> Option<usize> {
         let Phase::Stepping { stage } = self.phase else {
             return None;
         };
-        let is_asked = attempt == self.attempt && self.spec.stages[stage].engine == *engine;
-        is_asked.then_some(stage)
+        let is_awaited = attempt == self.attempt && self.spec.stages[stage].engine == *engine;
+        is_awaited.then_some(stage)
     }
 
     fn is_opening(&self, engine: &EngineId) -> bool {
