--- a/crates/rookferry_core/src/placement.rs
+++ b/crates/rookferry_core/src/placement.rs
@@ -29,9 +29,9 @@
 /// Label that contains an engine's role.
 const ROLE_LABEL: &str = "role";
 /// Time for all instances to learn that an engine drains; until then it may get work.
-const HEARD_AFTER: Duration = Duration::from_secs(2);
+const DRAIN_PROPAGATION: Duration = Duration::from_secs(2);
 /// Time for an order to take effect before it is repeated.
-const ORDER_PATIENCE: Duration = Duration::from_secs(5);
+const ORDER_REPEAT_DELAY: Duration = Duration::from_secs(5);
 
 /// An order that is due for an engine.
 #[derive(Clone, Debug, PartialEq)]
@@ -61,7 +61,7 @@
     limits: PlacementLimits,
     last_load: Option<Instant>,
     draining_since: BTreeMap<EngineId, Instant>,
-    ordered: BTreeMap<EngineId, (Instant, Order)>,
+    last_orders: BTreeMap<EngineId, (Instant, Order)>,
 }
 
 impl PlacementPlanner {
@@ -72,7 +72,7 @@
             limits,
             last_load: None,
             draining_since: BTreeMap::new(),
-            ordered: BTreeMap::new(),
+            last_orders: BTreeMap::new(),
         }
     }
 
@@ -83,8 +83,8 @@
         config: &SiteConfig,
         engines: &[Engine],
     ) -> Vec<NeededOrder> {
-        self.note_draining(now, engines);
-        let mut out: Vec<usize> = Vec::new();
+        self.record_draining(now, engines);
+        let mut newly_draining: Vec<usize> = Vec::new();
         let mut orders = Vec::new();
         for (index, engine) in engines.iter().enumerate() {
             let labels = engine.labels();
@@ -95,7 +95,9 @@
             let Some(rule) = rule.filter(|_| engine.state != EngineState::Lost) else {
                 continue;
             };
-            let Some(order) = self.next_order(now, config, engines, index, rule, &mut out) else {
+            let Some(order) =
+                self.next_order(now, config, engines, index, rule, &mut newly_draining)
+            else {
                 continue;
             };
             if self.is_pending(now, &engine.info.engine, &order) {
@@ -104,7 +106,7 @@
             if matches!(order, Order::Load { .. }) {
                 self.last_load = Some(now);
             }
-            self.ordered
+            self.last_orders
                 .insert(engine.info.engine.clone(), (now, order.clone()));
             orders.push(NeededOrder {
                 engine: engine.info.engine.clone(),
@@ -122,27 +124,29 @@
         engines: &[Engine],
         index: usize,
         rule: &PlacementRule,
-        out: &mut Vec<usize>,
+        newly_draining: &mut Vec<usize>,
     ) -> Option<Order> {
         let engine = &engines[index];
         if is_loaded(rule, engine) {
             let wanted = rule.role.as_deref().unwrap_or(SERVING_ROLE);
             let current = role_of(engine);
-            let is_right = current == Some(wanted) || (current.is_none() && rule.role.is_none());
-            return (!is_right).then(|| set_role(wanted));
+            let has_wanted_role =
+                current == Some(wanted) || (current.is_none() && rule.role.is_none());
+            return (!has_wanted_role).then(|| set_role(wanted));
         }
         if role_of(engine) != Some(DRAINING_ROLE) {
-            let may_drain = self.draining(engines) + out.len() < self.limits.at_once
-                && is_covered_without(config, engines, index, out);
+            let may_drain = self.draining_count(engines) + newly_draining.len()
+                < self.limits.at_once
+                && is_covered_without(config, engines, index, newly_draining);
             if !may_drain {
                 return None;
             }
-            out.push(index);
+            newly_draining.push(index);
             return Some(set_role(DRAINING_ROLE));
         }
         let since = self.draining_since.get(&engine.info.engine)?;
         let drained_for = now.saturating_duration_since(*since);
-        let is_empty = drained_for >= HEARD_AFTER && engine.stats.streams() == 0;
+        let is_empty = drained_for >= DRAIN_PROPAGATION && engine.stats.streams() == 0;
         let may_load = self
             .last_load
             .is_none_or(|last| now.saturating_duration_since(last) >= self.limits.load_interval);
@@ -156,7 +160,7 @@
         })
     }
 
-    fn note_draining(&mut self, now: Instant, engines: &[Engine]) {
+    fn record_draining(&mut self, now: Instant, engines: &[Engine]) {
         let draining: Vec<EngineId> = engines
             .iter()
             .filter(|engine| role_of(engine) == Some(DRAINING_ROLE))
@@ -169,7 +173,7 @@
         }
     }
 
-    fn draining(&self, engines: &[Engine]) -> usize {
+    fn draining_count(&self, engines: &[Engine]) -> usize {
         let known = engines.iter().map(|engine| &engine.info.engine);
         known
             .filter(|engine| self.draining_since.contains_key(*engine))
@@ -178,9 +182,9 @@
 
     /// Whether the same order was given so recently that it may still take effect.
     fn is_pending(&self, now: Instant, engine: &EngineId, order: &Order) -> bool {
-        let given = self.ordered.get(engine);
+        let given = self.last_orders.get(engine);
         given.is_some_and(|(at, given)| {
-            given == order && now.saturating_duration_since(*at) < ORDER_PATIENCE
+            given == order && now.saturating_duration_since(*at) < ORDER_REPEAT_DELAY
         })
     }
 }
@@ -212,7 +216,7 @@
     config: &SiteConfig,
     engines: &[Engine],
     index: usize,
-    out: &[usize],
+    newly_draining: &[usize],
 ) -> bool {
     let model = &engines[index].info.model;
     let Some(model_config) = config.models.get(&**model) else {
@@ -222,7 +226,7 @@
         engine.info.model == *model && engine.state == EngineState::Live && !is_draining(engine)
     };
     let all: Vec<usize> = (0..engines.len())
-        .filter(|other| serving(&engines[*other]) && !out.contains(other))
+        .filter(|other| serving(&engines[*other]) && !newly_draining.contains(other))
         .collect();
     let rest = all.iter().copied().filter(|other| *other != index);
     let with = LayerGraph::new(model_config.layers, engines, all.iter().copied());
