--- a/crates/rookferry_controller/src/controller.rs
+++ b/crates/rookferry_controller/src/controller.rs
@@ -10,8 +10,8 @@
 use rookferry_core::EngineStats;
 use rookferry_core::Lease;
 use rookferry_core::LeaseAction;
-use rookferry_core::NeededOrder;
 use rookferry_core::PlacementPlanner;
+use rookferry_core::PlannedOrder;
 use rookferry_core::SiteConfig;
 use rookferry_net::BackoffTable;
 use rookferry_net::EngineTransport;
@@ -147,7 +147,7 @@
         }
     }
 
-    async fn send(&self, engine: &Engine, needed: NeededOrder) {
+    async fn send(&self, engine: &Engine, needed: PlannedOrder) {
         let name = needed.engine;
         let rule = needed.rule;
         // Looked at just before the sending: the lease may have lapsed while
--- a/crates/rookferry_core/src/placement.rs
+++ b/crates/rookferry_core/src/placement.rs
@@ -35,7 +35,7 @@
 
 /// An order that is due for an engine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct NeededOrder {
+pub struct PlannedOrder {
     /// Engine to send it to.
     pub engine: EngineId,
     /// Name of the placement rule behind it.
@@ -82,7 +82,7 @@
         now: Instant,
         config: &SiteConfig,
         engines: &[Engine],
-    ) -> Vec<NeededOrder> {
+    ) -> Vec<PlannedOrder> {
         self.record_draining(now, engines);
         let mut newly_draining: Vec<usize> = Vec::new();
         let mut orders = Vec::new();
@@ -108,7 +108,7 @@
             }
             self.last_orders
                 .insert(engine.info.engine.clone(), (now, order.clone()));
-            orders.push(NeededOrder {
+            orders.push(PlannedOrder {
                 engine: engine.info.engine.clone(),
                 rule: rule.name.clone(),
                 order,
--- a/crates/rookferry_core/tests/routing.rs
+++ b/crates/rookferry_core/tests/routing.rs
@@ -299,7 +299,7 @@
 }
 
 /// Engines that do what they are told, at once.
-fn obey(engines: &mut [Engine], orders: &[rookferry_core::NeededOrder]) {
+fn obey(engines: &mut [Engine], orders: &[rookferry_core::PlannedOrder]) {
     for needed in orders {
         let engine = engines
             .iter_mut()
@@ -361,7 +361,7 @@
             &placement("2"),
             &engines,
         );
-        let loads = |one: &rookferry_core::NeededOrder| matches!(one.order, Order::Load { .. });
+        let loads = |one: &rookferry_core::PlannedOrder| matches!(one.order, Order::Load { .. });
         if orders.iter().any(loads) && loaded_at.is_none() {
             loaded_at = Some(second);
         }
