--- a/crates/rookferry_core/src/retry.rs
+++ b/crates/rookferry_core/src/retry.rs
@@ -9,18 +9,18 @@
 /// Budget units per retry.
 const UNITS_PER_RETRY: u64 = 1_000;
 /// Maximum balance, in retries.
-const MAX_SAVED_RETRIES: u64 = 20;
+const MAX_BALANCE_RETRIES: u64 = 20;
 
 /// Limits retries to a share of the new requests; lock-free.
 #[derive(Debug)]
 pub struct RetryBudget {
-    units: AtomicU64,
+    balance: AtomicU64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            units: AtomicU64::new(MAX_SAVED_RETRIES * UNITS_PER_RETRY),
+            balance: AtomicU64::new(MAX_BALANCE_RETRIES * UNITS_PER_RETRY),
         }
     }
 }
@@ -40,20 +40,20 @@
     )]
     pub fn earn(&self, retry_share: f64) {
         let earned = (retry_share * UNITS_PER_RETRY as f64) as u64;
-        let cap = MAX_SAVED_RETRIES * UNITS_PER_RETRY;
+        let cap = MAX_BALANCE_RETRIES * UNITS_PER_RETRY;
         let _ = self
-            .units
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |units| {
-                Some((units + earned).min(cap))
+            .balance
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |balance| {
+                Some((balance + earned).min(cap))
             });
     }
 
     /// Takes one retry; false if the balance is too low.
     pub fn spend(&self) -> bool {
         let spent = self
-            .units
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |units| {
-                units.checked_sub(UNITS_PER_RETRY)
+            .balance
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |balance| {
+                balance.checked_sub(UNITS_PER_RETRY)
             });
         spent.is_ok()
     }
