--- a/crates/rookferry_core/src/retry.rs
+++ b/crates/rookferry_core/src/retry.rs
@@ -38,7 +38,7 @@
         clippy::cast_sign_loss,
         reason = "the share is checked to be between 0 and 1"
     )]
-    pub fn earn(&self, retry_share: f64) {
+    pub fn deposit(&self, retry_share: f64) {
         let earned = (retry_share * UNITS_PER_RETRY as f64) as u64;
         let cap = MAX_BALANCE_RETRIES * UNITS_PER_RETRY;
         let _ = self
--- a/crates/rookferry_core/tests/admission.rs
+++ b/crates/rookferry_core/tests/admission.rs
@@ -139,7 +139,7 @@
         .count();
     assert_eq!(saved, 20);
     for _ in 0..100 {
-        budget.earn(0.1);
+        budget.deposit(0.1);
     }
     let earned = std::iter::repeat_with(|| budget.spend())
         .take_while(|spent| *spent)
--- a/crates/rookferry_entry/src/http/model.rs
+++ b/crates/rookferry_entry/src/http/model.rs
@@ -92,7 +92,7 @@
     };
     entry
         .retries
-        .earn(call.snapshot.table.config().policy.retry_share);
+        .deposit(call.snapshot.table.config().policy.retry_share);
     if call.key.is_some() {
         return keyed::serve_model(entry, call, work).await;
     }
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -95,7 +95,7 @@
         pool: service.pool.clone(),
         selector: pool.selector.text().to_owned(),
     });
-    entry.retries.earn(config.policy.retry_share);
+    entry.retries.deposit(config.policy.retry_share);
     let Ok(method) = Method::from_bytes(method.as_bytes()) else {
         let refusal = call.refuse(entry, ReasonCode::BadRequest, "unknown method");
         return respond::refused(entry, &refusal);
