--- a/crates/rookferry_core/src/retry.rs
+++ b/crates/rookferry_core/src/retry.rs
@@ -49,7 +49,7 @@
     }
 
     /// Takes one retry; false if the balance is too low.
-    pub fn spend(&self) -> bool {
+    pub fn try_withdraw(&self) -> bool {
         let spent = self
             .balance
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |balance| {
--- a/crates/rookferry_core/tests/admission.rs
+++ b/crates/rookferry_core/tests/admission.rs
@@ -134,14 +134,14 @@
 #[test]
 fn retries_are_a_share_of_fresh_work() {
     let budget = RetryBudget::new();
-    let saved = std::iter::repeat_with(|| budget.spend())
+    let saved = std::iter::repeat_with(|| budget.try_withdraw())
         .take_while(|spent| *spent)
         .count();
     assert_eq!(saved, 20);
     for _ in 0..100 {
         budget.deposit(0.1);
     }
-    let earned = std::iter::repeat_with(|| budget.spend())
+    let earned = std::iter::repeat_with(|| budget.try_withdraw())
         .take_while(|spent| *spent)
         .count();
     assert_eq!(earned, 10);
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -281,7 +281,7 @@
             let may_retry = error.is_unsent() || self.is_repeatable;
             let has_time = tried.len() < MAX_TRIES && clock::now() < deadline;
             let may_go_on = may_retry && has_time && entry.may_run_again(self.signature).await;
-            if !(may_go_on && entry.retries.spend()) {
+            if !(may_go_on && entry.retries.try_withdraw()) {
                 let refusal =
                     Refusal::new(progress.give_up(ReasonCode::EngineLost), error.to_string());
                 return Err(refusal.retry_after(Duration::from_secs(1)));
