--- a/crates/rookferry_core/src/bound.rs
+++ b/crates/rookferry_core/src/bound.rs
@@ -38,7 +38,7 @@
 pub fn throughput_bound(layers: u16, engines: &[RatedEngine]) -> u64 {
     let mut graph: DiGraph<(), u64> = DiGraph::new();
     let nodes: Vec<NodeIndex> = (0..=layers).map(|_| graph.add_node(())).collect();
-    for (range, rate) in merged(engines) {
+    for (range, rate) in rates_by_layers(engines) {
         let start = usize::from(range.start);
         let end = usize::from(range.end);
         if range.is_empty() || end >= nodes.len() {
@@ -51,7 +51,7 @@
 }
 
 /// Summed rate per layer range; engines with the same range form one edge.
-fn merged(engines: &[RatedEngine]) -> BTreeMap<LayerRange, u64> {
+fn rates_by_layers(engines: &[RatedEngine]) -> BTreeMap<LayerRange, u64> {
     let mut rates = BTreeMap::new();
     for engine in engines {
         *rates.entry(engine.layers).or_default() += engine.tokens_per_s;
