--- a/crates/rookferry_core/src/lib.rs
+++ b/crates/rookferry_core/src/lib.rs
@@ -12,7 +12,7 @@
 //! | [`RoutingTable`], [`Fleet`], [`ChainChooser`] | which engines run this request? |
 //! | [`StreamDriver`], [`StageGate`] | which token goes through which layers next? |
 //! | [`ClaimWriter`], [`TicketBook`] | may this request be dispatched? |
-//! | [`Undispatched`], [`Verdict`] | what may its caller be told? |
+//! | [`Undispatched`], [`FailureOutcome`] | what may its caller be told? |
 //! | [`FairQueue`], [`DrainRate`], [`RetryBudget`] | whose turn is it, and who is turned away? |
 //! | [`MemberTable`], [`HeartbeatPlan`], [`Lease`] | who answers, and who gives orders? |
 //! | [`PathFinder`], [`LayoutPlanner`] | which engines run a pipeline that they forward themselves? |
@@ -114,10 +114,10 @@
 pub use member::info_tag;
 pub use member::others_allowed;
 pub use outcome::Dispatched;
+pub use outcome::FailureOutcome;
 pub use outcome::NotRun;
 pub use outcome::Undispatched;
 pub use outcome::Unknown;
-pub use outcome::Verdict;
 pub use peers::BodySource;
 pub use peers::Capacity;
 pub use peers::ConfigState;
--- a/crates/rookferry_core/src/outcome.rs
+++ b/crates/rookferry_core/src/outcome.rs
@@ -38,7 +38,7 @@
 
 /// Outcome of a request that gets no answer, as reported to its caller.
 #[derive(Debug)]
-pub enum Verdict {
+pub enum FailureOutcome {
     /// No part of it ran.
     NotRun(NotRun),
     /// It may have run, at least in part.
@@ -105,14 +105,14 @@
     /// Fails the request: not run if the engines refused every step of its stream,
     /// unknown otherwise.
     #[must_use]
-    pub fn settle(self, stream: &StreamDriver, reason: ReasonCode) -> Verdict {
+    pub fn settle(self, stream: &StreamDriver, reason: ReasonCode) -> FailureOutcome {
         if stream.nothing_ran() {
-            return Verdict::NotRun(NotRun {
+            return FailureOutcome::NotRun(NotRun {
                 request_id: self.request_id,
                 reason,
             });
         }
-        Verdict::Unknown(self.lost(reason))
+        FailureOutcome::Unknown(self.lost(reason))
     }
 
     /// Reverts the dispatch because no connection to the backend server was made, so no
@@ -128,7 +128,7 @@
     }
 }
 
-impl Verdict {
+impl FailureOutcome {
     /// Outcome as sent to callers.
     #[must_use]
     pub const fn outcome(&self) -> Outcome {
@@ -157,13 +157,13 @@
     }
 }
 
-impl From<NotRun> for Verdict {
+impl From<NotRun> for FailureOutcome {
     fn from(proof: NotRun) -> Self {
         Self::NotRun(proof)
     }
 }
 
-impl From<Unknown> for Verdict {
+impl From<Unknown> for FailureOutcome {
     fn from(unknown: Unknown) -> Self {
         Self::Unknown(unknown)
     }
--- a/crates/rookferry_entry/src/http/model.rs
+++ b/crates/rookferry_entry/src/http/model.rs
@@ -10,10 +10,10 @@
 use http::StatusCode;
 use rookferry_core::AbandonReason;
 use rookferry_core::Dispatched;
+use rookferry_core::FailureOutcome;
 use rookferry_core::PoolUse;
 use rookferry_core::StreamDriver;
 use rookferry_core::StreamSpec;
-use rookferry_core::Verdict;
 use rookferry_core::prefix_hash;
 use rookferry_net::Inbound;
 use rookferry_net::clock;
@@ -362,7 +362,7 @@
             "engines were lost and others could not go on",
         ),
     };
-    let verdict: Verdict = dispatched.settle(driver, reason);
+    let verdict: FailureOutcome = dispatched.settle(driver, reason);
     Refusal::new(verdict, detail).retry_after(Duration::from_secs(1))
 }
 
--- a/crates/rookferry_entry/src/http/refusal.rs
+++ b/crates/rookferry_entry/src/http/refusal.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use http::StatusCode;
+use rookferry_core::FailureOutcome;
 use rookferry_core::Undispatched;
-use rookferry_core::Verdict;
 use rookferry_wire::Outcome;
 use rookferry_wire::Problem;
 use rookferry_wire::ReasonCode;
 use rookferry_wire::RequestId;
 
-/// The reason for giving no answer. Its outcome comes from a [`Verdict`], or
+/// The reason for giving no answer. Its outcome comes from a [`FailureOutcome`], or
 /// is "running"; nothing else can make one.
 #[derive(Clone, Debug)]
 pub(crate) struct Refusal {
@@ -23,7 +23,7 @@
 }
 
 impl Refusal {
-    pub(crate) fn new(verdict: impl Into<Verdict>, detail: impl Into<String>) -> Self {
+    pub(crate) fn new(verdict: impl Into<FailureOutcome>, detail: impl Into<String>) -> Self {
         let verdict = verdict.into();
         Self {
             outcome: verdict.outcome(),
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -21,6 +21,7 @@
 use rookferry_core::BrokenRun;
 use rookferry_core::Dispatched;
 use rookferry_core::EngineState;
+use rookferry_core::FailureOutcome;
 use rookferry_core::PoolUse;
 use rookferry_core::RequestSignature;
 use rookferry_core::RunEnd;
@@ -28,7 +29,6 @@
 use rookferry_core::ServiceConfig;
 use rookferry_core::ServiceInstance;
 use rookferry_core::Undispatched;
-use rookferry_core::Verdict;
 use rookferry_core::choose_service;
 use rookferry_net::ClientError;
 use rookferry_net::Inbound;
@@ -219,7 +219,7 @@
         }
     }
 
-    fn give_up(self, reason: ReasonCode) -> Verdict {
+    fn give_up(self, reason: ReasonCode) -> FailureOutcome {
         match self {
             Self::Undispatched(request) => request.refuse(reason).into(),
             Self::Dispatched(request) => request.lost(reason).into(),
