--- a/crates/rookferry_core/src/outcome.rs
+++ b/crates/rookferry_core/src/outcome.rs
@@ -105,7 +105,7 @@
     /// Fails the request: not run if the engines refused every step of its stream,
     /// unknown otherwise.
     #[must_use]
-    pub fn settle(self, stream: &StreamDriver, reason: ReasonCode) -> FailureOutcome {
+    pub fn into_failure(self, stream: &StreamDriver, reason: ReasonCode) -> FailureOutcome {
         if stream.nothing_ran() {
             return FailureOutcome::NotRun(NotRun {
                 request_id: self.request_id,
--- a/crates/rookferry_entry/src/http/model.rs
+++ b/crates/rookferry_entry/src/http/model.rs
@@ -323,7 +323,7 @@
                 Ok(answer)
             }
             Err(end) => {
-                let refusal = settle(self.dispatched, &self.driver, end);
+                let refusal = into_failure(self.dispatched, &self.driver, end);
                 if let Some((digest, body_digest)) = &self.keep {
                     keep_refusal(entry, digest, body_digest, &refusal);
                 }
@@ -339,7 +339,7 @@
     }
 }
 
-fn settle(dispatched: Dispatched, driver: &StreamDriver, end: StreamEnd) -> Refusal {
+fn into_failure(dispatched: Dispatched, driver: &StreamDriver, end: StreamEnd) -> Refusal {
     if end == StreamEnd::Abandoned(AbandonReason::TakenOver) {
         let request_id = dispatched.request_id().clone();
         return Refusal::running_as(
@@ -362,7 +362,7 @@
             "engines were lost and others could not go on",
         ),
     };
-    let verdict: FailureOutcome = dispatched.settle(driver, reason);
+    let verdict: FailureOutcome = dispatched.into_failure(driver, reason);
     Refusal::new(verdict, detail).retry_after(Duration::from_secs(1))
 }
 
