--- a/crates/rookferry_core/src/outcome.rs
+++ b/crates/rookferry_core/src/outcome.rs
@@ -95,7 +95,7 @@
 
     /// Fails the request because its result is lost.
     #[must_use]
-    pub fn lost(self, reason: ReasonCode) -> Unknown {
+    pub fn into_unknown(self, reason: ReasonCode) -> Unknown {
         Unknown {
             request_id: self.request_id,
             reason,
@@ -112,7 +112,7 @@
                 reason,
             });
         }
-        FailureOutcome::Unknown(self.lost(reason))
+        FailureOutcome::Unknown(self.into_unknown(reason))
     }
 
     /// Reverts the dispatch because no connection to the backend server was made, so no
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -222,7 +222,7 @@
     fn give_up(self, reason: ReasonCode) -> FailureOutcome {
         match self {
             Self::Undispatched(request) => request.refuse(reason).into(),
-            Self::Dispatched(request) => request.lost(reason).into(),
+            Self::Dispatched(request) => request.into_unknown(reason).into(),
         }
     }
 }
