--- a/crates/rookferry_core/src/outcome.rs
+++ b/crates/rookferry_core/src/outcome.rs
@@ -69,7 +69,7 @@
 
     /// Fails the request because an earlier one with its idempotency key may have run.
     #[must_use]
-    pub fn unknown(self, reason: ReasonCode) -> Unknown {
+    pub fn into_unknown(self, reason: ReasonCode) -> Unknown {
         Unknown {
             request_id: self.request_id,
             reason,
--- a/crates/rookferry_entry/src/http/call.rs
+++ b/crates/rookferry_entry/src/http/call.rs
@@ -265,7 +265,7 @@
         reason: ReasonCode,
         detail: impl Into<String>,
     ) -> Refusal {
-        let unknown = self.request.unknown(reason);
+        let unknown = self.request.into_unknown(reason);
         ended_without_route(self.record, self.account).told(entry, Refusal::new(unknown, detail))
     }
 }
