--- a/crates/rookferry_core/src/routing/candidate.rs
+++ b/crates/rookferry_core/src/routing/candidate.rs
@@ -9,7 +9,7 @@
 pub struct Candidate {
     /// Name of the engine or service instance.
     pub engine: EngineId,
-    /// Expected time per token in microseconds, link included; of a call for a service.
+    /// Expected time in microseconds: per token with the link, or of a service call.
     pub cost_us: u64,
     /// Whether it was chosen, or why not.
     pub verdict: CandidateVerdict,
--- a/crates/rookferry_core/src/routing/chooser.rs
+++ b/crates/rookferry_core/src/routing/chooser.rs
@@ -139,9 +139,9 @@
 /// Each of them returns once per pass, after `other_stages_us` on other stages (a closed
 /// queueing network). The expected queue is the share of the streams that are at this
 /// engine, so the response time `r` solves
-/// `r = s * (1 + streams * r / (other_stages + r))`, where `s` is the step time divided by
-/// the number of slots. An idle engine yields its step time; a saturated one yields
-/// `streams` service times less the time on other stages.
+/// `r = s * (1 + streams * r / (other_stages + r))`, where `s` (the service time) is the
+/// step time divided by the number of slots. An idle engine yields its step time; a
+/// saturated one yields `streams` service times less the time on other stages.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/crates/rookferry_core/src/routing/stats.rs
+++ b/crates/rookferry_core/src/routing/stats.rs
@@ -66,7 +66,7 @@
         self.record_count(now, count);
     }
 
-    /// Counts a stream out that has left the engine.
+    /// Removes a stream that left the engine from the count.
     pub fn record_stream_end(&self, now: Instant) {
         let count = self
             .own_streams
--- a/crates/rookferry_core/src/stream/driver.rs
+++ b/crates/rookferry_core/src/stream/driver.rs
@@ -68,9 +68,9 @@
 
     /// A driver for a stream that another instance started.
     ///
-    /// Opens an attempt higher than `newest_attempt` and continues from the positions that the
-    /// engines recorded. The first stage must hold the stream; otherwise it is abandoned
-    /// with [`AbandonReason::NotHeld`], so that work isn't run a second time.
+    /// Opens an attempt higher than `newest_attempt` and continues from the positions
+    /// that the engines recorded. The first stage must hold the stream; otherwise it is
+    /// abandoned with [`AbandonReason::NotHeld`], so that work isn't run a second time.
     #[must_use]
     pub fn resume(spec: StreamSpec, newest_attempt: Attempt) -> Self {
         Self::with_attempt(spec, newest_attempt + 1, true)
