--- a/crates/rookferry_core/src/admission/drain_rate.rs
+++ b/crates/rookferry_core/src/admission/drain_rate.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Records that a request was taken from the queue; the first only starts the average.
+    /// Records a request taken from the queue; the first only starts the average.
     pub fn record_dequeue(&mut self, now: Instant) {
         let Some(last) = self.last.replace(now) else {
             return;
