--- a/crates/rookferry_core/src/admission/fair_queue.rs
+++ b/crates/rookferry_core/src/admission/fair_queue.rs
@@ -1,81 +1,84 @@
-//! A bounded queue that shares turns among client accounts by weight.
+//! A bounded weighted fair queue over client accounts.
 //!
-//! Each account's requests carry virtual finish times, a cost apart divided
-//! by its weight; the earliest goes next. An account that sends more than its
-//! share thus waits behind its own requests. When the queue is full, the last
-//! request of the account that is furthest over its share is turned away, so
-//! that a flood can't keep others out.
+//! The virtual finish time of a request is that of its account's previous request (or
+//! the current virtual time, if later) plus its cost divided by the account's weight.
+//! The earliest is dequeued first, so an account that exceeds its share waits behind its
+//! own requests. When the queue is full, the newest request of the account that is
+//! furthest over its share is evicted, so that a flood can't shut out other accounts.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
 use rookferry_wire::AccountId;
 
-/// A request that waits.
+/// A queued request.
 #[derive(Debug)]
-pub struct Waiting<T> {
-    /// Its account.
+pub struct QueuedRequest<T> {
+    /// Client account of the request.
     pub account: AccountId,
-    /// What waits.
+    /// The queued item.
     pub item: T,
-    finish: f64,
+    virtual_finish: f64,
 }
 
-/// What became of a push.
+/// Result of a push.
 #[derive(Debug)]
-pub struct Pushed<T> {
-    /// The request that was turned away to make room; it may be the pushed one.
-    pub evicted: Option<Waiting<T>>,
+pub struct PushOutcome<T> {
+    /// The request evicted from a full queue; it may be the pushed one.
+    pub evicted: Option<QueuedRequest<T>>,
 }
 
 #[derive(Debug)]
-struct Lane<T> {
-    waiting: VecDeque<Waiting<T>>,
+struct AccountQueue<T> {
+    waiting: VecDeque<QueuedRequest<T>>,
     last_finish: f64,
 }
 
-/// The queue.
+/// A fair queue of items, limited in length.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     limit: usize,
     length: usize,
     virtual_now: f64,
-    lanes: BTreeMap<AccountId, Lane<T>>,
+    queues: BTreeMap<AccountId, AccountQueue<T>>,
 }
 
 impl<T> FairQueue<T> {
-    /// A queue for at most `limit` requests.
+    /// An empty queue for at most `limit` requests.
     #[must_use]
     pub const fn new(limit: usize) -> Self {
         Self {
             limit,
             length: 0,
             virtual_now: 0.0,
-            lanes: BTreeMap::new(),
+            queues: BTreeMap::new(),
         }
     }
 
-    /// Changes the limit; what waits stays.
+    /// Changes the limit; requests already queued stay.
     pub const fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
     /// Adds a request of an account with a weight above 0.
     ///
-    /// `cost` is in any unit that is the same for all, such as tokens.
-    pub fn push(&mut self, account: AccountId, weight: f64, cost: f64, item: T) -> Pushed<T> {
+    /// `cost` is in any unit that is common to all requests, such as tokens.
+    pub fn push(&mut self, account: AccountId, weight: f64, cost: f64, item: T) -> PushOutcome<T> {
         let virtual_now = self.virtual_now;
-        let lane = self.lanes.entry(account.clone()).or_insert_with(|| Lane {
-            waiting: VecDeque::new(),
-            last_finish: virtual_now,
-        });
-        let start = lane.last_finish.max(virtual_now);
-        let finish = start + cost / weight;
-        lane.last_finish = finish;
-        lane.waiting.push_back(Waiting {
+        let queue = self
+            .queues
+            .entry(account.clone())
+            .or_insert_with(|| AccountQueue {
+                waiting: VecDeque::new(),
+                last_finish: virtual_now,
+            });
+        let start = queue.last_finish.max(virtual_now);
+        let virtual_finish = start + cost / weight;
+        queue.last_finish = virtual_finish;
+        queue.waiting.push_back(QueuedRequest {
             account,
             item,
-            finish,
+            virtual_finish,
         });
         self.length += 1;
         let evicted = if self.length > self.limit {
@@ -83,40 +86,43 @@
         } else {
             None
         };
-        Pushed { evicted }
+        PushOutcome { evicted }
     }
 
-    /// The request whose turn it is.
-    pub fn pop(&mut self) -> Option<Waiting<T>> {
+    /// Removes the request with the earliest virtual finish time.
+    pub fn pop(&mut self) -> Option<QueuedRequest<T>> {
         let account = self.first_account()?;
-        let lane = self.lanes.get_mut(&account)?;
-        let next = lane.waiting.pop_front()?;
+        let queue = self.queues.get_mut(&account)?;
+        let next = queue.waiting.pop_front()?;
         self.length -= 1;
-        self.virtual_now = self.virtual_now.max(next.finish);
-        if lane.waiting.is_empty() && lane.last_finish <= self.virtual_now {
-            self.lanes.remove(&account);
+        self.virtual_now = self.virtual_now.max(next.virtual_finish);
+        if queue.waiting.is_empty() && queue.last_finish <= self.virtual_now {
+            self.queues.remove(&account);
         }
         Some(next)
     }
 
-    /// The request whose turn it is, left in place.
+    /// The request that [`Self::pop`] would remove.
     #[must_use]
     pub fn peek(&self) -> Option<&T> {
         let account = self.first_account()?;
-        let lane = self.lanes.get(&account)?;
-        lane.waiting.front().map(|waiting| &waiting.item)
+        let queue = self.queues.get(&account)?;
+        queue.waiting.front().map(|waiting| &waiting.item)
     }
 
-    /// Takes out all that no longer need their turn.
-    pub fn remove_if(&mut self, mut is_over: impl FnMut(&T) -> bool) -> Vec<Waiting<T>> {
+    /// Removes and returns all requests for which the predicate holds.
+    pub fn remove_if(
+        &mut self,
+        mut should_remove: impl FnMut(&T) -> bool,
+    ) -> Vec<QueuedRequest<T>> {
         let mut removed = Vec::new();
-        for lane in self.lanes.values_mut() {
-            let waiting = std::mem::take(&mut lane.waiting);
+        for queue in self.queues.values_mut() {
+            let waiting = std::mem::take(&mut queue.waiting);
             for entry in waiting {
-                if is_over(&entry.item) {
+                if should_remove(&entry.item) {
                     removed.push(entry);
                 } else {
-                    lane.waiting.push_back(entry);
+                    queue.waiting.push_back(entry);
                 }
             }
         }
@@ -124,39 +130,39 @@
         removed
     }
 
-    /// How many wait.
+    /// Number of queued requests.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether nothing waits.
+    /// Whether no request is queued.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.length == 0
     }
 
     fn first_account(&self) -> Option<AccountId> {
-        let heads = self.lanes.iter().filter_map(|(account, lane)| {
-            let head = lane.waiting.front()?;
-            Some((head.finish, account))
+        let heads = self.queues.iter().filter_map(|(account, queue)| {
+            let head = queue.waiting.front()?;
+            Some((head.virtual_finish, account))
         });
         let first = heads.min_by(|(left, _), (right, _)| left.total_cmp(right));
         first.map(|(_, account)| account.clone())
     }
 
-    fn evict(&mut self) -> Option<Waiting<T>> {
-        let tails = self
-            .lanes
+    fn evict(&mut self) -> Option<QueuedRequest<T>> {
+        let candidates = self
+            .queues
             .values_mut()
-            .filter(|lane| !lane.waiting.is_empty());
+            .filter(|queue| !queue.waiting.is_empty());
         let furthest =
-            tails.max_by(|left, right| left.last_finish.total_cmp(&right.last_finish))?;
+            candidates.max_by(|left, right| left.last_finish.total_cmp(&right.last_finish))?;
         let evicted = furthest.waiting.pop_back()?;
         furthest.last_finish = furthest
             .waiting
             .back()
-            .map_or(self.virtual_now, |waiting| waiting.finish);
+            .map_or(self.virtual_now, |waiting| waiting.virtual_finish);
         self.length -= 1;
         Some(evicted)
     }
--- a/crates/rookferry_core/src/admission/mod.rs
+++ b/crates/rookferry_core/src/admission/mod.rs
@@ -1,9 +1,12 @@
-//! Who goes next when there isn't room for all, and who is turned away.
+//! Admission of requests while the engines are full: the order in which queued requests
+//! are placed, which are refused, and the wait to expect.
+//!
+//! Entry instances hold one queue and one rate for each pool and model.
 
-mod drain;
+mod drain_rate;
 mod fair_queue;
 
-pub use drain::DrainRate;
+pub use drain_rate::DrainRate;
 pub use fair_queue::FairQueue;
-pub use fair_queue::Pushed;
-pub use fair_queue::Waiting;
+pub use fair_queue::PushOutcome;
+pub use fair_queue::QueuedRequest;
--- a/crates/rookferry_core/src/bound.rs
+++ b/crates/rookferry_core/src/bound.rs
@@ -1,5 +1,7 @@
-//! The bound that the hardware sets: the greatest flow of tokens over a layer
-//! graph whose engines have known rates.
+//! Upper bound on the throughput of a pool: the maximum flow of tokens over its layer
+//! graph, given the rate of each engine.
+//!
+//! Experiments compare the measured throughput with it.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +10,17 @@
 use petgraph::graph::NodeIndex;
 use rookferry_wire::LayerRange;
 
-/// An engine's share in the bound.
+/// An engine and its maximum rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RatedEngine {
-    /// The layers that it holds.
+    /// Layers that the engine holds.
     pub layers: LayerRange,
-    /// Tokens a second that it can put through them, its link included.
+    /// Tokens per second that it can pass through them, its link included.
     pub tokens_per_s: u64,
 }
 
-/// Tokens a second that the engines can generate together at most.
+/// Maximum tokens per second that the engines can generate together; 0 if they form no
+/// chain over all layers.
 ///
 /// ```
 /// use rookferry_core::RatedEngine;
@@ -35,7 +38,7 @@
 pub fn throughput_bound(layers: u16, engines: &[RatedEngine]) -> u64 {
     let mut graph: DiGraph<(), u64> = DiGraph::new();
     let nodes: Vec<NodeIndex> = (0..=layers).map(|_| graph.add_node(())).collect();
-    for (range, rate) in merged(engines) {
+    for (range, rate) in rates_by_layers(engines) {
         let start = usize::from(range.start);
         let end = usize::from(range.end);
         if range.is_empty() || end >= nodes.len() {
@@ -47,8 +50,8 @@
     flow
 }
 
-/// Engines with the same layers act as one edge.
-fn merged(engines: &[RatedEngine]) -> BTreeMap<LayerRange, u64> {
+/// Summed rate per layer range; engines with the same range form one edge.
+fn rates_by_layers(engines: &[RatedEngine]) -> BTreeMap<LayerRange, u64> {
     let mut rates = BTreeMap::new();
     for engine in engines {
         *rates.entry(engine.layers).or_default() += engine.tokens_per_s;
--- a/crates/rookferry_core/src/lib.rs
+++ b/crates/rookferry_core/src/lib.rs
@@ -12,7 +12,7 @@
 //! | [`RoutingTable`], [`Fleet`], [`ChainChooser`] | which engines run this request? |
 //! | [`StreamDriver`], [`StageGate`] | which token goes through which layers next? |
 //! | [`ClaimWriter`], [`TicketBook`] | may this request be dispatched? |
-//! | [`Undispatched`], [`Verdict`] | what may its caller be told? |
+//! | [`Undispatched`], [`FailureOutcome`] | what may its caller be told? |
 //! | [`FairQueue`], [`DrainRate`], [`RetryBudget`] | whose turn is it, and who is turned away? |
 //! | [`MemberTable`], [`HeartbeatPlan`], [`Lease`] | who answers, and who gives orders? |
 //! | [`PathFinder`], [`LayoutPlanner`] | which engines run a pipeline that they forward themselves? |
@@ -45,8 +45,8 @@
 
 pub use admission::DrainRate;
 pub use admission::FairQueue;
-pub use admission::Pushed;
-pub use admission::Waiting;
+pub use admission::PushOutcome;
+pub use admission::QueuedRequest;
 pub use bound::RatedEngine;
 pub use bound::throughput_bound;
 pub use burn::ObjectiveSample;
@@ -114,10 +114,10 @@
 pub use member::poll_reason;
 pub use member::rendezvous_owner;
 pub use outcome::Dispatched;
+pub use outcome::FailureOutcome;
 pub use outcome::NotRun;
 pub use outcome::Undispatched;
 pub use outcome::Unknown;
-pub use outcome::Verdict;
 pub use peers::AggregatedLoads;
 pub use peers::BodyOffer;
 pub use peers::BodySource;
@@ -158,9 +158,9 @@
 pub use pipeline::PipelinePath;
 pub use pipeline::forecast;
 pub use placement::DRAINING_ROLE;
-pub use placement::NeededOrder;
 pub use placement::PlacementLimits;
 pub use placement::PlacementPlanner;
+pub use placement::PlannedOrder;
 pub use placement::SERVING_ROLE;
 pub use placement::is_draining;
 pub use retry::RetryBudget;
@@ -172,6 +172,7 @@
 pub use routing::Engine;
 pub use routing::EngineState;
 pub use routing::EngineStats;
+pub use routing::EvaluatedRoute;
 pub use routing::ExpectedFinish;
 pub use routing::Fleet;
 pub use routing::LayerGraph;
@@ -180,7 +181,6 @@
 pub use routing::RandomChain;
 pub use routing::RoundRobin;
 pub use routing::RouteChoice;
-pub use routing::RouteTrial;
 pub use routing::RoutingTable;
 pub use routing::ServiceInstance;
 pub use routing::choose_service;
--- a/crates/rookferry_core/src/placement.rs
+++ b/crates/rookferry_core/src/placement.rs
@@ -1,11 +1,12 @@
-//! Which orders engines need so that the placement rules hold.
+//! Plans the orders that make the engines of a failure domain follow the placement rules.
 //!
-//! An engine that is to load something else is first told to drain: its role
-//! becomes [`DRAINING_ROLE`], instances give it no new work, and its streams
-//! finish. Only then is it told to load, and after that to serve. Engines are
-//! taken out a few at a time, and only while the others cover every layer, so
-//! that a change of version cuts off no request. All of it is read from what
-//! engines say of themselves, so that another holder of the lease can go on.
+//! The controller that holds the domain's lease runs the planner on the current engines.
+//! An engine that must load other layers is first ordered to drain: its role becomes
+//! [`DRAINING_ROLE`], instances give it no new work, and its streams finish. Only then is
+//! it ordered to load, and after that to serve. Few engines drain at once, and only
+//! while the others cover every layer, so that a change of version interrupts no request.
+//! The state is derived from what engines report, so that another lease holder can
+//! continue.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,35 +23,35 @@
 
 /// Role of an engine that gets no new work.
 pub const DRAINING_ROLE: &str = "draining";
-/// Role of an engine whose rule names none.
+/// Role of an engine whose rule sets none.
 pub const SERVING_ROLE: &str = "serving";
 
-/// Label that holds an engine's role.
+/// Label that contains an engine's role.
 const ROLE_LABEL: &str = "role";
-/// How long instances may take to hear that an engine drains.
-const HEARD_AFTER: Duration = Duration::from_secs(2);
-/// How long an order may take to show before it is given again.
-const ORDER_PATIENCE: Duration = Duration::from_secs(5);
+/// Time for all instances to learn that an engine drains; until then it may get work.
+const DRAIN_PROPAGATION: Duration = Duration::from_secs(2);
+/// Time for an order to take effect before it is repeated.
+const ORDER_REPEAT_DELAY: Duration = Duration::from_secs(5);
 
-/// An order that an engine needs.
+/// An order that is due for an engine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct NeededOrder {
-    /// The engine.
+pub struct PlannedOrder {
+    /// Engine to send it to.
     pub engine: EngineId,
-    /// The rule that asks for it.
+    /// Name of the placement rule behind it.
     pub rule: String,
-    /// The order.
+    /// The order to send.
     pub order: Order,
 }
 
-/// Bounds on what is ordered.
+/// Bounds on the pace of orders.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementLimits {
-    /// Engines that drain or load at once.
+    /// Maximum number of engines that drain or load at once.
     pub at_once: usize,
-    /// The least time between two loads, for the weight store's rate.
+    /// Minimum time between two loads, which limits the load on the weight store.
     pub load_interval: Duration,
-    /// How long streams may take to finish; then they go on elsewhere.
+    /// Time for streams to finish on a draining engine; then they move to other engines.
     pub drain_timeout: Duration,
 }
 
@@ -60,30 +61,30 @@
     limits: PlacementLimits,
     last_load: Option<Instant>,
     draining_since: BTreeMap<EngineId, Instant>,
-    ordered: BTreeMap<EngineId, (Instant, Order)>,
+    last_orders: BTreeMap<EngineId, (Instant, Order)>,
 }
 
 impl PlacementPlanner {
-    /// A planner that has ordered nothing.
+    /// A planner that has given no order.
     #[must_use]
     pub const fn new(limits: PlacementLimits) -> Self {
         Self {
             limits,
             last_load: None,
             draining_since: BTreeMap::new(),
-            ordered: BTreeMap::new(),
+            last_orders: BTreeMap::new(),
         }
     }
 
-    /// The orders that are due.
+    /// The orders that are due now; a repeated one only after it had time to take effect.
     pub fn plan(
         &mut self,
         now: Instant,
         config: &SiteConfig,
         engines: &[Engine],
-    ) -> Vec<NeededOrder> {
-        self.note_draining(now, engines);
-        let mut out: Vec<usize> = Vec::new();
+    ) -> Vec<PlannedOrder> {
+        self.record_draining(now, engines);
+        let mut newly_draining: Vec<usize> = Vec::new();
         let mut orders = Vec::new();
         for (index, engine) in engines.iter().enumerate() {
             let labels = engine.labels();
@@ -94,7 +95,9 @@
             let Some(rule) = rule.filter(|_| engine.state != EngineState::Lost) else {
                 continue;
             };
-            let Some(order) = self.next_order(now, config, engines, index, rule, &mut out) else {
+            let Some(order) =
+                self.next_order(now, config, engines, index, rule, &mut newly_draining)
+            else {
                 continue;
             };
             if self.is_pending(now, &engine.info.engine, &order) {
@@ -103,9 +106,9 @@
             if matches!(order, Order::Load { .. }) {
                 self.last_load = Some(now);
             }
-            self.ordered
+            self.last_orders
                 .insert(engine.info.engine.clone(), (now, order.clone()));
-            orders.push(NeededOrder {
+            orders.push(PlannedOrder {
                 engine: engine.info.engine.clone(),
                 rule: rule.name.clone(),
                 order,
@@ -121,27 +124,29 @@
         engines: &[Engine],
         index: usize,
         rule: &PlacementRule,
-        out: &mut Vec<usize>,
+        newly_draining: &mut Vec<usize>,
     ) -> Option<Order> {
         let engine = &engines[index];
         if is_loaded(rule, engine) {
             let wanted = rule.role.as_deref().unwrap_or(SERVING_ROLE);
             let current = role_of(engine);
-            let is_right = current == Some(wanted) || (current.is_none() && rule.role.is_none());
-            return (!is_right).then(|| set_role(wanted));
+            let has_wanted_role =
+                current == Some(wanted) || (current.is_none() && rule.role.is_none());
+            return (!has_wanted_role).then(|| set_role(wanted));
         }
         if role_of(engine) != Some(DRAINING_ROLE) {
-            let may_drain = self.draining(engines) + out.len() < self.limits.at_once
-                && is_covered_without(config, engines, index, out);
+            let may_drain = self.draining_count(engines) + newly_draining.len()
+                < self.limits.at_once
+                && is_covered_without(config, engines, index, newly_draining);
             if !may_drain {
                 return None;
             }
-            out.push(index);
+            newly_draining.push(index);
             return Some(set_role(DRAINING_ROLE));
         }
         let since = self.draining_since.get(&engine.info.engine)?;
         let drained_for = now.saturating_duration_since(*since);
-        let is_empty = drained_for >= HEARD_AFTER && engine.stats.streams() == 0;
+        let is_empty = drained_for >= DRAIN_PROPAGATION && engine.stats.streams() == 0;
         let may_load = self
             .last_load
             .is_none_or(|last| now.saturating_duration_since(last) >= self.limits.load_interval);
@@ -155,7 +160,7 @@
         })
     }
 
-    fn note_draining(&mut self, now: Instant, engines: &[Engine]) {
+    fn record_draining(&mut self, now: Instant, engines: &[Engine]) {
         let draining: Vec<EngineId> = engines
             .iter()
             .filter(|engine| role_of(engine) == Some(DRAINING_ROLE))
@@ -168,23 +173,23 @@
         }
     }
 
-    fn draining(&self, engines: &[Engine]) -> usize {
+    fn draining_count(&self, engines: &[Engine]) -> usize {
         let known = engines.iter().map(|engine| &engine.info.engine);
         known
             .filter(|engine| self.draining_since.contains_key(*engine))
             .count()
     }
 
-    /// Whether the same order was given a moment ago.
+    /// Whether the same order was given so recently that it may still take effect.
     fn is_pending(&self, now: Instant, engine: &EngineId, order: &Order) -> bool {
-        let given = self.ordered.get(engine);
+        let given = self.last_orders.get(engine);
         given.is_some_and(|(at, given)| {
-            given == order && now.saturating_duration_since(*at) < ORDER_PATIENCE
+            given == order && now.saturating_duration_since(*at) < ORDER_REPEAT_DELAY
         })
     }
 }
 
-/// Whether an engine says that it gets no new work.
+/// Whether an engine reports the draining role, in which it gets no new work.
 #[must_use]
 pub fn is_draining(engine: &Engine) -> bool {
     role_of(engine) == Some(DRAINING_ROLE)
@@ -205,13 +210,13 @@
     }
 }
 
-/// Whether the model that an engine serves stays covered when it goes, or
-/// wasn't covered anyway.
+/// Whether the engine can stop serving: the other serving engines cover its model, or
+/// the model isn't covered with it either.
 fn is_covered_without(
     config: &SiteConfig,
     engines: &[Engine],
     index: usize,
-    out: &[usize],
+    newly_draining: &[usize],
 ) -> bool {
     let model = &engines[index].info.model;
     let Some(model_config) = config.models.get(&**model) else {
@@ -221,7 +226,7 @@
         engine.info.model == *model && engine.state == EngineState::Live && !is_draining(engine)
     };
     let all: Vec<usize> = (0..engines.len())
-        .filter(|other| serving(&engines[*other]) && !out.contains(other))
+        .filter(|other| serving(&engines[*other]) && !newly_draining.contains(other))
         .collect();
     let rest = all.iter().copied().filter(|other| *other != index);
     let with = LayerGraph::new(model_config.layers, engines, all.iter().copied());
--- a/crates/rookferry_core/src/routing/affinity.rs
+++ b/crates/rookferry_core/src/routing/affinity.rs
@@ -1,7 +1,7 @@
-//! Which engines likely hold a prompt's prefix.
+//! Index of the engines that probably cache a prompt's prefix.
 //!
-//! Cache events come late and with gaps, so the index is only a hint; a gap
-//! makes it forget the engine.
+//! It is built from the engines' cache events. These arrive late and with gaps, so the
+//! index is only a hint; a gap in the sequence removes all entries of the engine.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -12,12 +12,12 @@
 use rookferry_wire::CacheEvents;
 use rookferry_wire::EngineId;
 
-/// Tokens of a prompt that make its prefix.
+/// Length of a prefix, in tokens.
 const PREFIX_TOKENS: usize = 32;
-/// Prefixes kept for each engine.
+/// Prefixes stored per engine; beyond it, the oldest is removed.
 const MAX_PREFIXES_PER_ENGINE: usize = 4_096;
 
-/// Hash of a prompt's prefix, `None` for prompts too short to be cached.
+/// Hash of a prompt's prefix; `None` if the prompt is too short to be cached.
 #[must_use]
 pub fn prefix_hash(prompt: &[u64]) -> Option<u64> {
     let prefix = prompt.get(..PREFIX_TOKENS)?;
@@ -26,11 +26,11 @@
 
 #[derive(Debug, Default)]
 struct EnginePrefixes {
-    next: u64,
-    order: VecDeque<u64>,
+    next_seq: u64,
+    insertion_order: VecDeque<u64>,
 }
 
-/// Prefixes by engine.
+/// Engines by cached prefix, and prefixes by engine.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     engines: HashMap<EngineId, EnginePrefixes>,
@@ -44,18 +44,19 @@
         Self::default()
     }
 
-    /// Takes an engine's events; a gap forgets what was known of it.
+    /// Applies an engine's cache events; skips those already seen, and removes the
+    /// engine's entries at a gap in the sequence.
     pub fn on_events(&mut self, engine: &EngineId, events: &CacheEvents) {
         for event in &events.events {
-            let known = self.engines.entry(engine.clone()).or_default();
-            if event.seq < known.next {
+            let prefixes = self.engines.entry(engine.clone()).or_default();
+            if event.seq < prefixes.next_seq {
                 continue;
             }
-            let is_gap = event.seq > known.next && known.next != 0;
+            let is_gap = event.seq > prefixes.next_seq && prefixes.next_seq != 0;
             if is_gap {
-                self.forget(engine);
+                self.remove_engine(engine);
             }
-            self.engines.entry(engine.clone()).or_default().next = event.seq + 1;
+            self.engines.entry(engine.clone()).or_default().next_seq = event.seq + 1;
             if event.stored {
                 self.insert(engine, event.prefix);
             } else {
@@ -64,17 +65,17 @@
         }
     }
 
-    /// Forgets an engine.
-    pub fn forget(&mut self, engine: &EngineId) {
-        let Some(known) = self.engines.remove(engine) else {
+    /// Removes all entries of an engine.
+    pub fn remove_engine(&mut self, engine: &EngineId) {
+        let Some(prefixes) = self.engines.remove(engine) else {
             return;
         };
-        for prefix in known.order {
+        for prefix in prefixes.insertion_order {
             self.remove_holder(engine, prefix);
         }
     }
 
-    /// Engines that likely hold the prefix.
+    /// Engines that probably cache the prefix.
     #[must_use]
     pub fn holders(&self, prefix: u64) -> &[EngineId] {
         self.holders.get(&prefix).map_or(&[], Vec::as_slice)
@@ -86,19 +87,19 @@
             return;
         }
         holders.push(engine.clone());
-        let known = self.engines.entry(engine.clone()).or_default();
-        known.order.push_back(prefix);
-        if known.order.len() <= MAX_PREFIXES_PER_ENGINE {
+        let prefixes = self.engines.entry(engine.clone()).or_default();
+        prefixes.insertion_order.push_back(prefix);
+        if prefixes.insertion_order.len() <= MAX_PREFIXES_PER_ENGINE {
             return;
         }
-        if let Some(oldest) = known.order.pop_front() {
+        if let Some(oldest) = prefixes.insertion_order.pop_front() {
             self.remove_holder(engine, oldest);
         }
     }
 
     fn remove(&mut self, engine: &EngineId, prefix: u64) {
-        if let Some(known) = self.engines.get_mut(engine) {
-            known.order.retain(|kept| *kept != prefix);
+        if let Some(prefixes) = self.engines.get_mut(engine) {
+            prefixes.insertion_order.retain(|other| *other != prefix);
         }
         self.remove_holder(engine, prefix);
     }
--- a/crates/rookferry_core/src/routing/chooser.rs
+++ b/crates/rookferry_core/src/routing/chooser.rs
@@ -1,8 +1,8 @@
-//! The choice of a chain of engines over the layer graph.
+//! Policies that choose a chain of engines over the layer graph.
 //!
-//! One search serves all policies: the cheapest path from the first boundary
-//! to the last. A policy says only what an engine costs. `ExpectedFinish` is
-//! the product's; the others are baselines to measure it against.
+//! All policies share one search for the cheapest path from the first layer boundary to
+//! the last; a policy only sets the cost of each engine. `ExpectedFinish` is the policy
+//! for production; the others are baselines to compare it with.
 
 use std::collections::BTreeMap;
 use std::hash::BuildHasher;
@@ -22,51 +22,52 @@
 use crate::PolicyConfig;
 use crate::Stage;
 
-/// Cost of an engine that nothing is known about, so that it gets tried.
-pub(super) const UNKNOWN_COST_US: u64 = 1_000;
-/// Spread of costs by chance, as one in this many, so that instances that see
-/// the same reports don't all choose the same engine.
-const JITTER_PART: u64 = 8;
-/// Extra cost for each loss in a row, as a multiple of the cost.
-const FAILURE_PENALTY: u64 = 4;
-/// Losses in a row beyond which the penalty doesn't grow.
+/// Assumed cost and step time of an engine without measurements, in microseconds, so
+/// that it gets tried.
+pub(super) const UNMEASURED_COST_US: u64 = 1_000;
+/// The cost divided by this is the range of its random part, which keeps instances with
+/// the same load reports from all choosing the same engine.
+const JITTER_DIVISOR: u64 = 8;
+/// Extra cost per consecutive failure, as a multiple of the cost.
+const FAILURE_PENALTY_FACTOR: u64 = 4;
+/// Consecutive failures beyond which the penalty doesn't grow.
 const MAX_COUNTED_FAILURES: u64 = 8;
 
-/// What a chain is asked for.
+/// Input of the search for a chain.
 #[derive(Clone, Copy, Debug)]
 pub struct ChainRequest<'a> {
-    /// The layers to cover.
+    /// Layers to cover.
     pub layers: LayerRange,
-    /// Engines not to use.
+    /// Engines that must not be used.
     pub excluded: &'a [EngineId],
-    /// Engines that likely hold the prompt's prefix.
+    /// Engines that probably cache the prompt's prefix.
     pub cached: &'a [EngineId],
-    /// A number that differs from request to request.
+    /// Seed of the random part of costs; differs between requests.
     pub seed: u64,
-    /// Whether engines at their limit may be used, as they may for a stream
-    /// that is under way.
-    pub beyond_limit: bool,
+    /// Whether engines at their stream limit may be used, as for a stream that is
+    /// already in flight.
+    pub ignores_limit: bool,
 }
 
-/// A chain and how it was found.
+/// A chain and the engines considered for it.
 #[derive(Clone, Debug, Default)]
 pub struct ChosenChain {
-    /// The stages in order; empty if there is no chain.
+    /// Stages in order of layers; empty if there is no chain.
     pub stages: Vec<Stage>,
-    /// Each engine that was considered.
+    /// Engines considered, each with cost and verdict.
     pub candidates: Vec<Candidate>,
-    /// Whether only full engines stood in the way.
+    /// Whether no chain was found and at least one engine was at its stream limit.
     pub is_full: bool,
 }
 
-/// Chooses chains.
+/// A policy that chooses a chain of engines.
 pub trait ChainChooser: Send + Sync {
-    /// What the engine costs; lower is better.
+    /// Cost of an engine; the chain with the lowest sum wins.
     ///
-    /// `pass_us` is what a typical chain takes for a token when it is idle.
+    /// `pass_us` is the time that a typical idle chain takes for a token.
     fn cost_us(&self, engine: &Engine, pass_us: u64, seed: u64) -> u64;
 
-    /// The cheapest chain over the graph.
+    /// The cheapest chain over the graph; without stages if there is none.
     fn choose(
         &self,
         policy: &PolicyConfig,
@@ -79,26 +80,26 @@
     }
 }
 
-/// The lowest expected time a token.
+/// Prefers the lowest expected time per token.
 #[derive(Debug, Default)]
 pub struct ExpectedFinish;
 
-/// Any chain.
+/// Assigns random costs.
 #[derive(Debug, Default)]
 pub struct RandomChain;
 
-/// Each engine in turn.
+/// Prefers the engines that were chosen least recently.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     turn: AtomicU64,
-    last: std::sync::Mutex<BTreeMap<EngineId, u64>>,
+    last_turns: std::sync::Mutex<BTreeMap<EngineId, u64>>,
 }
 
-/// The engines with the fewest own streams.
+/// Prefers the engines with the fewest streams of this instance.
 #[derive(Debug, Default)]
 pub struct LeastOutstanding;
 
-/// The chooser that the configuration names.
+/// The chooser of a configured kind.
 #[must_use]
 pub fn chooser_for(kind: ChooserKind) -> Box<dyn ChainChooser> {
     match kind {
@@ -113,46 +114,48 @@
     fn cost_us(&self, engine: &Engine, pass_us: u64, seed: u64) -> u64 {
         let stats = &engine.stats;
         let step_us = stats.step_us();
-        let failures = u64::from(stats.failures()).min(MAX_COUNTED_FAILURES);
+        let consecutive_failures =
+            u64::from(stats.consecutive_failures()).min(MAX_COUNTED_FAILURES);
         let base_us = if step_us == 0 {
-            UNKNOWN_COST_US
+            UNMEASURED_COST_US
         } else {
-            let elsewhere_us = pass_us.saturating_sub(step_us);
+            let other_stages_us = pass_us.saturating_sub(step_us);
             stats.link_us()
                 + response_us(
                     step_us,
                     engine.info.batch_slots,
                     stats.streams(),
-                    elsewhere_us,
+                    other_stages_us,
                 )
         };
-        let cost_us = base_us + base_us * failures * FAILURE_PENALTY;
-        cost_us + hash(seed, &engine.info.engine) % (cost_us / JITTER_PART).max(1)
+        let cost_us = base_us + base_us * consecutive_failures * FAILURE_PENALTY_FACTOR;
+        cost_us + hash(seed, &engine.info.engine) % (cost_us / JITTER_DIVISOR).max(1)
     }
 }
 
-/// Expected time of a step on an engine that `streams` others share.
+/// Expected response time of a step on an engine shared with `streams` other streams,
+/// in microseconds.
 ///
-/// Each of them comes back once a pass: it spends a time here and
-/// `elsewhere_us` on other stages. The queue that a step finds is then the
-/// share of the streams that is here at a time, and the time `r` solves
-/// `r = s * (1 + streams * r / (elsewhere + r))`, with `s` the engine's time
-/// for one of its slots. An idle engine gives its step time; a crowded one
-/// gives `streams` steps less the time elsewhere.
+/// Each of them returns once per pass, after `other_stages_us` on other stages (a closed
+/// queueing network). The expected queue is the share of the streams that are at this
+/// engine, so the response time `r` solves
+/// `r = s * (1 + streams * r / (other_stages + r))`, where `s` (the service time) is the
+/// step time divided by the number of slots. An idle engine yields its step time; a
+/// saturated one yields `streams` service times less the time on other stages.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "the root of a quadratic with a negative constant is positive"
 )]
-fn response_us(step_us: u64, batch_slots: u32, streams: u32, elsewhere_us: u64) -> u64 {
+fn response_us(step_us: u64, batch_slots: u32, streams: u32, other_stages_us: u64) -> u64 {
     let slots = f64::from(batch_slots.max(1));
     let step = step_us as f64;
     let service = step / slots;
-    let elsewhere = elsewhere_us as f64 + step - service;
-    let linear = service * (1.0 + f64::from(streams)) - elsewhere;
-    let root = (linear * linear + 4.0 * service * elsewhere).sqrt();
-    let queued = f64::midpoint(linear, root);
-    (step - service + queued) as u64
+    let other_stages = other_stages_us as f64 + step - service;
+    let linear = service * (1.0 + f64::from(streams)) - other_stages;
+    let root = (linear * linear + 4.0 * service * other_stages).sqrt();
+    let response = f64::midpoint(linear, root);
+    (step - service + response) as u64
 }
 
 impl ChainChooser for RandomChain {
@@ -163,11 +166,11 @@
 
 impl ChainChooser for RoundRobin {
     fn cost_us(&self, engine: &Engine, _pass_us: u64, _seed: u64) -> u64 {
-        let last = self
-            .last
+        let last_turns = self
+            .last_turns
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        1 + last.get(&engine.info.engine).copied().unwrap_or(0)
+        1 + last_turns.get(&engine.info.engine).copied().unwrap_or(0)
     }
 
     fn choose(
@@ -180,12 +183,12 @@
         let search = Search::new(policy, graph, engines, request);
         let chosen = search.run(|engine, pass_us, seed| self.cost_us(engine, pass_us, seed));
         let turn = self.turn.fetch_add(1, Ordering::Relaxed) + 1;
-        let mut last = self
-            .last
+        let mut last_turns = self
+            .last_turns
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         for stage in &chosen.stages {
-            last.insert(stage.engine.clone(), turn);
+            last_turns.insert(stage.engine.clone(), turn);
         }
         chosen
     }
--- a/crates/rookferry_core/src/routing/search.rs
+++ b/crates/rookferry_core/src/routing/search.rs
@@ -1,4 +1,8 @@
-//! The cheapest path over the layer graph, whatever an engine's cost is.
+//! Search for the cheapest chain over a layer graph, for any cost function.
+//!
+//! Visits the layer boundaries in ascending order and stores the cheapest chain that
+//! ends at each. An engine that is leaving, lost, excluded or at its stream limit gets
+//! a verdict, but is part of no chain.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +15,13 @@
 use super::Engine;
 use super::EngineState;
 use super::LayerGraph;
-use super::chooser::UNKNOWN_COST_US;
+use super::chooser::UNMEASURED_COST_US;
 use crate::PolicyConfig;
 use crate::Stage;
 
-/// Cheapest way to a boundary found so far.
+/// The last engine of the cheapest chain to a boundary found so far.
 #[derive(Clone, Copy)]
-struct Reached {
+struct BestPath {
     cost_us: u64,
     engine: usize,
     from: u16,
@@ -50,11 +54,11 @@
 
     pub(super) fn run(&self, cost: impl Fn(&Engine, u64, u64) -> u64) -> ChosenChain {
         let LayerRange { start, end } = self.request.layers;
-        let mut reached: BTreeMap<u16, Reached> = BTreeMap::new();
+        let mut paths: BTreeMap<u16, BestPath> = BTreeMap::new();
         let mut chosen = ChosenChain::default();
         for boundary in start..end {
-            let so_far_us = reached.get(&boundary).map_or(0, |way| way.cost_us);
-            if boundary != start && !reached.contains_key(&boundary) {
+            let so_far_us = paths.get(&boundary).map_or(0, |path| path.cost_us);
+            if boundary != start && !paths.contains_key(&boundary) {
                 continue;
             }
             for index in self.graph.starting_at(boundary) {
@@ -75,34 +79,34 @@
                 if verdict != CandidateVerdict::Costlier {
                     continue;
                 }
-                let way = Reached {
+                let path = BestPath {
                     cost_us: so_far_us + cost_us,
                     engine: *index,
                     from: boundary,
                 };
-                let best = reached.entry(layers_end).or_insert(way);
-                if way.cost_us < best.cost_us {
-                    *best = way;
+                let best = paths.entry(layers_end).or_insert(path);
+                if path.cost_us < best.cost_us {
+                    *best = path;
                 }
             }
         }
-        self.walk_back(&reached, &mut chosen);
+        self.rebuild_chain(&paths, &mut chosen);
         chosen
     }
 
-    fn walk_back(&self, reached: &BTreeMap<u16, Reached>, chosen: &mut ChosenChain) {
+    fn rebuild_chain(&self, paths: &BTreeMap<u16, BestPath>, chosen: &mut ChosenChain) {
         let mut boundary = self.request.layers.end;
         while boundary != self.request.layers.start {
-            let Some(way) = reached.get(&boundary) else {
+            let Some(path) = paths.get(&boundary) else {
                 chosen.stages.clear();
                 return;
             };
-            let engine = &self.engines[way.engine].info;
+            let engine = &self.engines[path.engine].info;
             chosen.stages.push(Stage {
                 engine: engine.engine.clone(),
                 layers: engine.layers,
             });
-            boundary = way.from;
+            boundary = path.from;
         }
         chosen.stages.reverse();
         chosen.is_full = false;
@@ -117,7 +121,7 @@
         }
     }
 
-    /// `Costlier` until the chain is known.
+    /// Verdict on an engine; a usable one is `Costlier` until the chain is known.
     fn verdict(&self, engine: &Engine) -> CandidateVerdict {
         match engine.state {
             EngineState::Leaving => return CandidateVerdict::Leaving,
@@ -127,25 +131,26 @@
         if self.request.excluded.contains(&engine.info.engine) {
             return CandidateVerdict::Excluded;
         }
-        if !self.request.beyond_limit && engine.stats.streams() >= self.limit(engine) {
+        if !self.request.ignores_limit && engine.stats.streams() >= self.limit(engine) {
             return CandidateVerdict::Full;
         }
         CandidateVerdict::Costlier
     }
 
-    /// Streams that keep an engine busy, times the overcommitment: as many as
-    /// come by once a pass, one after the other, in each of its slots.
+    /// Number of streams that keep all slots of an engine busy, times the configured
+    /// overcommit factor.
     ///
-    /// Slow engines end up in chains with other slow ones, since the fast ones
-    /// fill up first, so that a pass there is as long as their own kind makes
-    /// it.
+    /// A stream needs the engine for one step per pass, so a slot serves pass time
+    /// divided by step time streams. Fast engines fill up first, which leaves slow ones
+    /// in chains with other slow ones; the pass time is therefore at least that of a
+    /// chain of engines like this one.
     fn limit(&self, engine: &Engine) -> u32 {
-        let step_us = known_step_us(engine);
+        let step_us = step_us_or_default(engine);
         let layers = u64::from(engine.info.layers.len().max(1));
-        let own_kind_us = step_us * u64::from(self.graph.layers()) / layers;
-        let passing = self.pass_us.max(own_kind_us) as f64 / step_us as f64;
+        let homogeneous_pass_us = step_us * u64::from(self.graph.layers()) / layers;
+        let streams_per_slot = self.pass_us.max(homogeneous_pass_us) as f64 / step_us as f64;
         let slots = f64::from(engine.info.batch_slots.max(1));
-        stream_limit(slots * passing * self.policy.overcommit)
+        stream_limit(slots * streams_per_slot * self.policy.overcommit)
     }
 
     fn discounted(&self, engine: &Engine, cost_us: u64) -> u64 {
@@ -165,7 +170,7 @@
     limit.ceil().max(1.0) as u32
 }
 
-/// A cached prefix is worth a bounded share of the cost, never more.
+/// Cost of an engine that caches the prefix; the discount is a bounded share of it.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -175,29 +180,31 @@
     (cost_us as f64 / (1.0 + bound)) as u64
 }
 
-/// What a typical chain takes for a token: the time a layer, averaged over
-/// engines by their rates, since the faster ones get more of the streams.
+/// Time that a typical idle chain takes for a token, in microseconds.
+///
+/// The time per layer is averaged over the engines, weighted by their step rates, since
+/// faster engines get more of the streams.
 fn typical_pass_us(graph: &LayerGraph, engines: &[Engine]) -> u64 {
-    let mut weights = 0.0;
-    let mut weighted = 0.0;
+    let mut rate_sum = 0.0;
+    let mut weighted_sum = 0.0;
     for index in graph.engines() {
         let engine = &engines[index];
-        let step_us = known_step_us(engine);
+        let step_us = step_us_or_default(engine);
         let slots = f64::from(engine.info.batch_slots.max(1));
         let rate = slots / step_us as f64;
         let layers = f64::from(engine.info.layers.len().max(1));
-        weights += rate;
-        weighted += rate * (step_us + engine.stats.link_us()) as f64 / layers;
+        rate_sum += rate;
+        weighted_sum += rate * (step_us + engine.stats.link_us()) as f64 / layers;
     }
-    if weights <= 0.0 {
-        return UNKNOWN_COST_US;
+    if rate_sum <= 0.0 {
+        return UNMEASURED_COST_US;
     }
-    mean_us(f64::from(graph.layers()) * weighted / weights)
+    truncated_us(f64::from(graph.layers()) * weighted_sum / rate_sum)
 }
 
-fn known_step_us(engine: &Engine) -> u64 {
+fn step_us_or_default(engine: &Engine) -> u64 {
     match engine.stats.step_us() {
-        0 => UNKNOWN_COST_US,
+        0 => UNMEASURED_COST_US,
         known => known,
     }
 }
@@ -207,6 +214,6 @@
     clippy::cast_sign_loss,
     reason = "a mean of positive times"
 )]
-fn mean_us(mean: f64) -> u64 {
+fn truncated_us(mean: f64) -> u64 {
     mean as u64
 }
--- a/crates/rookferry_core/src/stream/driver.rs
+++ b/crates/rookferry_core/src/stream/driver.rs
@@ -1,10 +1,10 @@
-//! Carries one stream hop by hop through its stages.
+//! State machine that runs one stream through its stages, one step at a time.
 //!
-//! The driver has at most one step under way. It learns of a lost stage, asks
-//! for other engines for those layers, opens a new attempt on all stages and
-//! goes on from what each of them still holds: a stage that holds a position
-//! gives the recorded output, a new one runs the replayed prefix. What has
-//! run is thus not run again, and the caller sees each position once.
+//! It takes events and returns actions, which the caller carries out. When a stage is
+//! lost, the driver requests other engines for its layers, opens a new attempt on all
+//! stages and continues from the positions that each still holds: a stage that holds a
+//! position returns the recorded output, a new one runs the replayed prefix. Positions
+//! that have run are thus not run again, and the client sees each position once.
 
 use rookferry_wire::Attempt;
 use rookferry_wire::AttemptRequest;
@@ -20,42 +20,43 @@
 use super::message::StreamAction;
 use super::message::StreamSpec;
 
-/// Attempts after which a stream is given up; each loss costs one. Whoever
-/// looks for other engines paces them, so that a stream's deadline comes first.
+/// Attempts after which a stream is abandoned; each lost stage costs one. The caller
+/// paces the search for other engines, so that the stream's deadline is reached first.
 const MAX_ATTEMPTS_PER_DRIVER: u32 = 64;
-/// The first attempt needs no opening on the engines.
+/// Number of the first attempt, which needs no opening on the engines.
 const FIRST_ATTEMPT: Attempt = 1;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
     /// Not started.
     Ready,
-    /// Waits for answers to attempts.
+    /// Waits for the engines to open the attempt; positions held, by stage.
     Opening { kept: Vec<Option<Position>> },
-    /// Waits for a step's result.
+    /// Waits for the result of a step.
     Stepping { stage: usize },
-    /// Waits for other engines.
+    /// Waits for other engines for a stage's layers.
     Replacing { stage: usize },
-    /// Finished or given up.
+    /// Finished or abandoned.
     Ended,
 }
 
-/// Drives one stream; takes events and returns actions.
+/// Runs one stream; takes events and returns actions.
 #[derive(Clone, Debug)]
 pub struct StreamDriver {
     spec: StreamSpec,
     attempt: Attempt,
     first_attempt: Attempt,
+    /// Prompt and generated tokens.
     tokens: Vec<u64>,
-    /// Per stage, the first position of the current pass.
+    /// First position of the current pass, by stage.
     starts: Vec<Position>,
     phase: Phase,
-    /// Whether another instance began the stream.
+    /// Whether another instance started the stream.
     is_resumed: bool,
-    /// Whether the first stage is known to hold it.
-    is_held: bool,
-    /// Steps sent and not known to have been refused before they ran.
-    steps_at_risk: u32,
+    /// Whether the first stage is known to hold the stream.
+    is_state_confirmed: bool,
+    /// Steps that were sent and not refused, so that they may have run.
+    unrefused_steps: u32,
 }
 
 impl StreamDriver {
@@ -65,14 +66,14 @@
         Self::with_attempt(spec, FIRST_ATTEMPT, false)
     }
 
-    /// A driver for a stream that another instance began.
+    /// A driver for a stream that another instance started.
     ///
-    /// Its engines give what they recorded, and it goes on from there. The
-    /// first stage must hold the stream; otherwise it is given up with
-    /// [`AbandonReason::NotHeld`], so that work isn't run a second time.
+    /// Opens an attempt higher than `newest_attempt` and continues from the positions
+    /// that the engines recorded. The first stage must hold the stream; otherwise it is
+    /// abandoned with [`AbandonReason::NotHeld`], so that work isn't run a second time.
     #[must_use]
-    pub fn resume(spec: StreamSpec, above: Attempt) -> Self {
-        Self::with_attempt(spec, above + 1, true)
+    pub fn resume(spec: StreamSpec, newest_attempt: Attempt) -> Self {
+        Self::with_attempt(spec, newest_attempt + 1, true)
     }
 
     fn with_attempt(spec: StreamSpec, attempt: Attempt, is_resumed: bool) -> Self {
@@ -85,12 +86,12 @@
             starts: vec![0; stages],
             phase: Phase::Ready,
             is_resumed,
-            is_held: !is_resumed,
-            steps_at_risk: 0,
+            is_state_confirmed: !is_resumed,
+            unrefused_steps: 0,
         }
     }
 
-    /// The first actions.
+    /// The first actions: a step or, for a resumed stream, requests to open an attempt.
     pub fn start(&mut self) -> Vec<StreamAction> {
         if self.is_resumed {
             return self.open_all();
@@ -98,8 +99,8 @@
         vec![self.send(0, self.tokens.clone())]
     }
 
-    /// Takes an event; one that belongs to an older attempt, or to an engine
-    /// that isn't asked, changes nothing.
+    /// Handles an event and returns the next actions; an event of another attempt, or of
+    /// an engine without a pending request, has no effect.
     pub fn on_event(&mut self, event: StageEvent) -> Vec<StreamAction> {
         match event {
             StageEvent::Opened {
@@ -134,7 +135,7 @@
         self.attempt
     }
 
-    /// The stages as they are now.
+    /// The current stages, replacements included.
     #[must_use]
     pub fn stages(&self) -> &[Stage] {
         &self.spec.stages
@@ -146,19 +147,20 @@
         self.spec.stream
     }
 
-    /// The generated tokens so far.
+    /// The tokens generated so far.
     #[must_use]
     pub fn generated(&self) -> &[u64] {
         &self.tokens[self.spec.prompt.len()..]
     }
 
-    /// Whether every step so far was refused by its engine before it ran.
+    /// Whether the engines refused every step so far before it ran; never for a resumed
+    /// stream.
     #[must_use]
     pub const fn nothing_ran(&self) -> bool {
-        self.steps_at_risk == 0 && !self.is_resumed
+        self.unrefused_steps == 0 && !self.is_resumed
     }
 
-    /// Whether it has finished or been given up.
+    /// Whether the stream has finished or been abandoned.
     #[must_use]
     pub fn is_ended(&self) -> bool {
         self.phase == Phase::Ended
@@ -176,12 +178,15 @@
         let Some(stage) = self.stage_of(engine) else {
             return Vec::new();
         };
-        let Phase::Opening { kept: answers } = &mut self.phase else {
+        let Phase::Opening {
+            kept: kept_by_stage,
+        } = &mut self.phase
+        else {
             return Vec::new();
         };
-        answers[stage] = Some(kept);
-        self.is_held |= stage == 0;
-        let all: Option<Vec<Position>> = answers.iter().copied().collect();
+        kept_by_stage[stage] = Some(kept);
+        self.is_state_confirmed |= stage == 0;
+        let all: Option<Vec<Position>> = kept_by_stage.iter().copied().collect();
         let Some(all) = all else {
             return Vec::new();
         };
@@ -202,7 +207,7 @@
         if newest == 0 {
             return self.abandon(AbandonReason::NotHeld);
         }
-        if !self.is_held && newest >= attempt {
+        if !self.is_state_confirmed && newest >= attempt {
             return self.reopen_above(newest);
         }
         self.abandon(AbandonReason::TakenOver)
@@ -214,7 +219,7 @@
         attempt: Attempt,
         output: &[u64],
     ) -> Vec<StreamAction> {
-        let Some(stage) = self.stepping(engine, attempt) else {
+        let Some(stage) = self.stepping_stage(engine, attempt) else {
             return Vec::new();
         };
         let expected = self.tokens.len() - self.starts[stage] as usize;
@@ -255,10 +260,10 @@
         attempt: Attempt,
         refusal: Refusal,
     ) -> Vec<StreamAction> {
-        let Some(stage) = self.stepping(engine, attempt) else {
+        let Some(stage) = self.stepping_stage(engine, attempt) else {
             return Vec::new();
         };
-        self.steps_at_risk -= 1;
+        self.unrefused_steps -= 1;
         match refusal {
             Refusal::StaleAttempt { .. } => self.abandon(AbandonReason::TakenOver),
             Refusal::Cancelled => self.abandon(AbandonReason::Cancelled),
@@ -271,8 +276,8 @@
         if attempt != self.attempt {
             return Vec::new();
         }
-        let is_asked = self.stepping(engine, attempt).is_some() || self.is_opening(engine);
-        let Some(stage) = self.stage_of(engine).filter(|_| is_asked) else {
+        let is_awaited = self.stepping_stage(engine, attempt).is_some() || self.is_opening(engine);
+        let Some(stage) = self.stage_of(engine).filter(|_| is_awaited) else {
             return Vec::new();
         };
         self.replace(stage)
@@ -295,7 +300,7 @@
     }
 
     fn replace(&mut self, stage: usize) -> Vec<StreamAction> {
-        if !self.is_held && stage == 0 {
+        if !self.is_state_confirmed && stage == 0 {
             return self.abandon(AbandonReason::NotHeld);
         }
         self.phase = Phase::Replacing { stage };
@@ -337,26 +342,26 @@
                     stream: self.spec.stream,
                     attempt: self.attempt,
                     keep,
-                    must_exist: !self.is_held && index == 0,
+                    must_exist: !self.is_state_confirmed && index == 0,
                 },
             })
             .collect()
     }
 
-    /// Each stage begins where it, or any later stage, lacks positions; the
-    /// newest position always runs through all.
+    /// Starts each stage at the first position that it or a later stage lacks; the newest
+    /// position always runs through all stages.
     fn set_starts(&mut self, kept: &[Position]) {
         let newest = self.tokens.len() - 1;
         let mut start = Position::try_from(newest).unwrap_or(Position::MAX);
-        for (stage, held) in kept.iter().enumerate().rev() {
-            start = start.min(*held);
+        for (stage, stage_kept) in kept.iter().enumerate().rev() {
+            start = start.min(*stage_kept);
             self.starts[stage] = start;
         }
     }
 
     fn send(&mut self, stage: usize, input: Vec<u64>) -> StreamAction {
         self.phase = Phase::Stepping { stage };
-        self.steps_at_risk += 1;
+        self.unrefused_steps += 1;
         StreamAction::Send {
             engine: self.spec.stages[stage].engine.clone(),
             step: Step {
@@ -381,12 +386,12 @@
             .position(|stage| stage.engine == *engine)
     }
 
-    fn stepping(&self, engine: &EngineId, attempt: Attempt) -> Option<usize> {
+    fn stepping_stage(&self, engine: &EngineId, attempt: Attempt) -> Option<usize> {
         let Phase::Stepping { stage } = self.phase else {
             return None;
         };
-        let is_asked = attempt == self.attempt && self.spec.stages[stage].engine == *engine;
-        is_asked.then_some(stage)
+        let is_awaited = attempt == self.attempt && self.spec.stages[stage].engine == *engine;
+        is_awaited.then_some(stage)
     }
 
     fn is_opening(&self, engine: &EngineId) -> bool {
--- a/crates/rookferry_core/tests/routing.rs
+++ b/crates/rookferry_core/tests/routing.rs
@@ -67,18 +67,18 @@
     for _ in 0..20 {
         engine
             .stats
-            .step_returned(Duration::from_millis(round_trip_ms));
+            .record_step(Duration::from_millis(round_trip_ms));
     }
 }
 
 fn choose(kind: ChooserKind, engines: &[Engine], excluded: &[EngineId], seed: u64) -> ChosenChain {
     let graph = LayerGraph::new(LAYERS, engines, 0..engines.len());
     let request = ChainRequest {
-        layers: graph.whole(),
+        layers: graph.all_layers(),
         excluded,
         cached: &[],
         seed,
-        beyond_limit: false,
+        ignores_limit: false,
     };
     chooser_for(kind).choose(&PolicyConfig::default(), &graph, engines, &request)
 }
@@ -131,7 +131,7 @@
     let engines = [engine("a", 0, 6)];
     let now = Instant::now();
     for _ in 0..100 {
-        engines[0].stats.stream_started(now);
+        engines[0].stats.record_stream_start(now);
     }
     let chain = choose(ChooserKind::ExpectedFinish, &engines, &[], 1);
     assert!(chain.stages.is_empty() && chain.is_full);
@@ -152,7 +152,7 @@
     let now = Instant::now();
     // Twice the slots: fewer would share its steps at no cost.
     for _ in 0..8 {
-        engines[0].stats.stream_started(now);
+        engines[0].stats.record_stream_start(now);
     }
     assert_eq!(
         names(&choose(ChooserKind::ExpectedFinish, &engines, &[], 1)),
@@ -185,18 +185,18 @@
 fn a_late_report_is_corrected_by_what_was_sent_since() {
     let stats = EngineStats::new();
     let start = Instant::now();
-    stats.stream_started(start);
-    stats.stream_started(start);
+    stats.record_stream_start(start);
+    stats.record_stream_start(start);
     let later = start + Duration::from_millis(500);
     for _ in 0..3 {
-        stats.stream_started(later);
+        stats.record_stream_start(later);
     }
     let report = LoadReport {
         age_ms: 300,
         streams: 7,
         ..LoadReport::default()
     };
-    stats.reported(start + Duration::from_millis(600), &report);
+    stats.record_report(start + Duration::from_millis(600), &report);
     assert_eq!(stats.streams(), 5 + 5, "own now, and five of others");
 }
 
@@ -206,7 +206,7 @@
     let floor = Duration::from_millis(100);
     assert_eq!(stats.step_timeout(8.0, floor, 1), floor * 10);
     for _ in 0..50 {
-        stats.step_returned(Duration::from_millis(20));
+        stats.record_step(Duration::from_millis(20));
     }
     let timeout = stats.step_timeout(8.0, floor, 1);
     assert!(
@@ -299,7 +299,7 @@
 }
 
 /// Engines that do what they are told, at once.
-fn obey(engines: &mut [Engine], orders: &[rookferry_core::NeededOrder]) {
+fn obey(engines: &mut [Engine], orders: &[rookferry_core::PlannedOrder]) {
     for needed in orders {
         let engine = engines
             .iter_mut()
@@ -346,7 +346,7 @@
 #[test]
 fn an_engine_with_streams_is_drained_before_it_loads() {
     let mut engines = vec![engine("a", 0, 6), engine("b", 0, 6)];
-    engines[0].stats.stream_started(Instant::now());
+    engines[0].stats.record_stream_start(Instant::now());
     let limits = PlacementLimits {
         at_once: 1,
         load_interval: Duration::ZERO,
@@ -361,7 +361,7 @@
             &placement("2"),
             &engines,
         );
-        let loads = |one: &rookferry_core::NeededOrder| matches!(one.order, Order::Load { .. });
+        let loads = |one: &rookferry_core::PlannedOrder| matches!(one.order, Order::Load { .. });
         if orders.iter().any(loads) && loaded_at.is_none() {
             loaded_at = Some(second);
         }
@@ -393,14 +393,14 @@
 fn steady_own_streams_are_not_taken_for_others() {
     let stats = EngineStats::new();
     let start = Instant::now();
-    stats.stream_started(start);
+    stats.record_stream_start(start);
     let much_later = start + Duration::from_secs(30);
-    stats.stream_started(much_later);
+    stats.record_stream_start(much_later);
     let report = LoadReport {
         age_ms: 300,
         streams: 1,
         ..LoadReport::default()
     };
-    stats.reported(much_later + Duration::from_millis(100), &report);
+    stats.record_report(much_later + Duration::from_millis(100), &report);
     assert_eq!(stats.streams(), 2);
 }
--- a/crates/rookferry_entry/src/admission.rs
+++ b/crates/rookferry_entry/src/admission.rs
@@ -201,7 +201,7 @@
                 Err(chosen) => Err(self.no_chain(&next.need, chosen)),
             };
             if let Some(entry) = lane.queue.pop() {
-                lane.drain.drained(now);
+                lane.drain.record_dequeue(now);
                 told.push((entry.item, result));
             }
         }
@@ -221,7 +221,7 @@
             drain: DrainRate::new(),
         });
         lane.queue.set_limit(limit);
-        let wait = lane.drain.wait(now, lane.queue.len());
+        let wait = lane.drain.expected_wait(now, lane.queue.len());
         if wait.is_some_and(|wait| now + wait > need.turn_by) {
             return Err(overloaded(
                 lane,
@@ -265,11 +265,11 @@
             return ChosenChain::default();
         };
         let request = ChainRequest {
-            layers: graph.whole(),
+            layers: graph.all_layers(),
             excluded,
             cached: &need.cached,
             seed: need.seed,
-            beyond_limit: false,
+            ignores_limit: false,
         };
         let policy = &snapshot.table.config().policy;
         let engines = snapshot.fleet.engines();
@@ -338,7 +338,7 @@
             let Some(engine) = fleet.engine(&stage.engine) else {
                 continue;
             };
-            engine.stats.stream_started(clock::now());
+            engine.stats.record_stream_start(clock::now());
             self.slots
                 .push((stage.engine.clone(), engine.stats.clone()));
         }
@@ -349,7 +349,7 @@
         self.slots.retain(|(name, stats)| {
             let is_kept = **name != *engine;
             if !is_kept {
-                stats.stream_ended(clock::now());
+                stats.record_stream_end(clock::now());
             }
             is_kept
         });
@@ -365,7 +365,7 @@
 impl Drop for StreamSlots {
     fn drop(&mut self) {
         for (_, stats) in self.slots.drain(..) {
-            stats.stream_ended(clock::now());
+            stats.record_stream_end(clock::now());
         }
         self.permit = None;
         self.admission.pump();
--- a/crates/rookferry_entry/src/http/model.rs
+++ b/crates/rookferry_entry/src/http/model.rs
@@ -10,10 +10,10 @@
 use http::StatusCode;
 use rookferry_core::AbandonReason;
 use rookferry_core::Dispatched;
+use rookferry_core::FailureOutcome;
 use rookferry_core::PoolUse;
 use rookferry_core::StreamDriver;
 use rookferry_core::StreamSpec;
-use rookferry_core::Verdict;
 use rookferry_core::prefix_hash;
 use rookferry_net::Inbound;
 use rookferry_net::clock;
@@ -92,7 +92,7 @@
     };
     entry
         .retries
-        .earn(call.snapshot.table.config().policy.retry_share);
+        .deposit(call.snapshot.table.config().policy.retry_share);
     if call.key.is_some() {
         return keyed::serve_model(entry, call, work).await;
     }
@@ -152,7 +152,7 @@
             .insert("model".to_owned(), request.model.clone());
         call.record.labels.clone_from(&call.labels);
         let choice = call.snapshot.table.route(&call.labels);
-        call.record.routes = choice.trials;
+        call.record.routes = choice.evaluated;
         let Some(route) = choice.route else {
             let detail =
                 "no route's selector matches the request's labels; see `rookferryctl explain`";
@@ -323,7 +323,7 @@
                 Ok(answer)
             }
             Err(end) => {
-                let refusal = settle(self.dispatched, &self.driver, end);
+                let refusal = into_failure(self.dispatched, &self.driver, end);
                 if let Some((digest, body_digest)) = &self.keep {
                     keep_refusal(entry, digest, body_digest, &refusal);
                 }
@@ -339,7 +339,7 @@
     }
 }
 
-fn settle(dispatched: Dispatched, driver: &StreamDriver, end: StreamEnd) -> Refusal {
+fn into_failure(dispatched: Dispatched, driver: &StreamDriver, end: StreamEnd) -> Refusal {
     if end == StreamEnd::Abandoned(AbandonReason::TakenOver) {
         let request_id = dispatched.request_id().clone();
         return Refusal::running_as(
@@ -362,7 +362,7 @@
             "engines were lost and others could not go on",
         ),
     };
-    let verdict: Verdict = dispatched.settle(driver, reason);
+    let verdict: FailureOutcome = dispatched.into_failure(driver, reason);
     Refusal::new(verdict, detail).retry_after(Duration::from_secs(1))
 }
 
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -21,6 +21,7 @@
 use rookferry_core::BrokenRun;
 use rookferry_core::Dispatched;
 use rookferry_core::EngineState;
+use rookferry_core::FailureOutcome;
 use rookferry_core::PoolUse;
 use rookferry_core::RequestSignature;
 use rookferry_core::RunCrash;
@@ -28,7 +29,6 @@
 use rookferry_core::ServiceConfig;
 use rookferry_core::ServiceInstance;
 use rookferry_core::Undispatched;
-use rookferry_core::Verdict;
 use rookferry_core::choose_service;
 use rookferry_net::ClientError;
 use rookferry_net::Inbound;
@@ -95,7 +95,7 @@
         pool: service.pool.clone(),
         selector: pool.selector.text().to_owned(),
     });
-    entry.retries.earn(config.policy.retry_share);
+    entry.retries.deposit(config.policy.retry_share);
     let Ok(method) = Method::from_bytes(method.as_bytes()) else {
         let refusal = call.refuse(entry, ReasonCode::BadRequest, "unknown method");
         return respond::refused(entry, &refusal);
@@ -219,10 +219,10 @@
         }
     }
 
-    fn give_up(self, reason: ReasonCode) -> Verdict {
+    fn give_up(self, reason: ReasonCode) -> FailureOutcome {
         match self {
             Self::Undispatched(request) => request.refuse(reason).into(),
-            Self::Dispatched(request) => request.lost(reason).into(),
+            Self::Dispatched(request) => request.into_unknown(reason).into(),
         }
     }
 }
@@ -272,7 +272,7 @@
             if matches!(error, ClientError::Broken { .. }) {
                 self.broke_at(entry, instance, sent_at);
             }
-            instance.stats.step_lost();
+            instance.stats.record_loss();
             progress = if error.is_unsent() && !was_sent {
                 Progress::Undispatched(dispatched.never_connected())
             } else {
@@ -281,7 +281,7 @@
             let may_retry = error.is_unsent() || self.is_repeatable;
             let has_time = tried.len() < MAX_TRIES && clock::now() < deadline;
             let may_go_on = may_retry && has_time && entry.may_run_again(self.signature).await;
-            if !(may_go_on && entry.retries.spend()) {
+            if !(may_go_on && entry.retries.try_withdraw()) {
                 let refusal =
                     Refusal::new(progress.give_up(ReasonCode::EngineLost), error.to_string());
                 return Err(refusal.retry_after(Duration::from_secs(1)));
@@ -328,15 +328,15 @@
         deadline: Instant,
     ) -> Result<KeptAnswer, ClientError> {
         let sent_at = clock::now();
-        instance.stats.stream_started(sent_at);
+        instance.stats.record_stream_start(sent_at);
         let wait = deadline.saturating_duration_since(sent_at);
         let exchange = self.exchange(entry, instance, wait);
         let answer = tokio::time::timeout(wait, exchange).await;
-        instance.stats.stream_ended(clock::now());
+        instance.stats.record_stream_end(clock::now());
         let addr = instance.addr;
         let answer = answer.unwrap_or(Err(ClientError::TimedOut { addr, wait }));
         if answer.is_ok() {
-            instance.stats.step_returned(clock::since(sent_at));
+            instance.stats.record_step(clock::since(sent_at));
         }
         answer
     }
--- a/crates/rookferry_entry/src/runner.rs
+++ b/crates/rookferry_entry/src/runner.rs
@@ -194,9 +194,9 @@
             Ok(StepResult::Done { output }) => {
                 if let Some(stats) = stats {
                     if positions > 1 {
-                        stats.prefill_returned(took, positions);
+                        stats.record_prefill(took, positions);
                     } else {
-                        stats.step_returned(took);
+                        stats.record_step(took);
                     }
                 }
                 StageEvent::Done {
@@ -218,7 +218,7 @@
                 if let Some(stats) = stats
                     && !matches!(error, ClientError::BackedOff { .. })
                 {
-                    stats.step_lost();
+                    stats.record_loss();
                 }
                 info!(self.entry.log, "stream: step lost";
                     "part" => "stream", "stream" => %self.driver.stream(), "engine" => %engine, "error" => %error);
@@ -349,7 +349,7 @@
             excluded: &excluded,
             cached: &[],
             seed: self.need.seed,
-            beyond_limit: true,
+            ignores_limit: true,
         };
         let policy = &snapshot.table.config().policy;
         let chosen = snapshot
--- a/crates/rookferry_experiment/src/control.rs
+++ b/crates/rookferry_experiment/src/control.rs
@@ -125,7 +125,7 @@
         .map(|number| {
             let stage = u16::try_from(number % 3).unwrap_or(0);
             let stats = EngineStats::new();
-            stats.step_returned(Duration::from_millis(5 + number as u64 % 7));
+            stats.record_step(Duration::from_millis(5 + number as u64 % 7));
             Engine {
                 info: EngineInfo {
                     engine: format!("engine-{number:04}").into(),
@@ -167,11 +167,11 @@
     let choose_us = micros_each(ROUNDS, || {
         seed += 1;
         let request = ChainRequest {
-            layers: graph.whole(),
+            layers: graph.all_layers(),
             excluded: &[],
             cached: &[],
             seed,
-            beyond_limit: false,
+            ignores_limit: false,
         };
         black_box(chooser.choose(&config.policy, graph, fleet.engines(), &request));
     });
