--- a/crates/rookferry_relay/src/beliefs.rs
+++ b/crates/rookferry_relay/src/beliefs.rs
@@ -1,11 +1,10 @@
-//! What this instance believes of the servers beside their entries.
+//! What this instance currently assumes about the servers, beyond their entries.
 //!
-//! All of it is kept by [`ServerKey`], so a process that starts again begins
-//! with nothing against it. Where sources differ, the later word counts: a sign
-//! of life after a doubt, accepted work after a refusal, a report by its age. An
-//! entry that says something new ends a refusal's effect, and one that goes
-//! takes all that was believed of its server along, so that memory is bounded
-//! by the servers in use.
+//! Everything is keyed by [`ServerKey`], so a restarted process starts with a clean
+//! state. Where sources differ, the later statement wins: liveness evidence after a
+//! suspicion, accepted work after a refusal, a report by its age. An entry with new
+//! content ends the effect of a refusal, and the state of a removed entry is dropped, so
+//! memory is bounded by the servers in use.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -34,33 +33,33 @@
 use crate::signs::Signs;
 use crate::view::ServerTable;
 
-/// What is believed of servers.
+/// What this instance currently assumes about the servers.
 #[derive(Debug)]
 pub(crate) struct ServerBeliefs {
-    /// What requests met at each.
+    /// Results of requests, by server.
     health: Mutex<ServerHealth>,
-    /// Those that take no new work.
+    /// Servers that accept no new work although their load was low.
     closed: Mutex<ClosedServers>,
-    /// Those that others of the failure domain have trouble with.
+    /// Servers that peers of the failure domain suspect.
     doubted: ArcSwap<DoubtedServers>,
-    /// The backoffs that they asked this instance for.
+    /// Backoffs that servers requested from this instance.
     backoffs: ArcSwap<Backoffs<ServerKey>>,
-    /// Those that leave.
+    /// Servers that are leaving.
     departed: ArcSwap<DepartedServers>,
-    /// The requests a second that they take of all instances together.
+    /// Requests per second that servers accept from all instances together.
     limits: ArcSwap<ServerLimits>,
-    /// When each last gave a sign, and what it reported.
+    /// When each last gave liveness evidence, and its last report.
     pub(crate) signs: Signs,
-    /// Runs that broke, until it is known whether their servers have ended.
+    /// Broken runs, until it is known whether their servers have exited.
     pub(crate) broken_runs: BrokenRunTable,
-    /// What this instance has under way at each.
+    /// Load that this instance has in flight, by server.
     pub(crate) loads: LoadTable,
-    /// What the others have.
+    /// Load that the peers have in flight, by server.
     peer_loads: ArcSwap<BTreeMap<ServerKey, ServerLoad>>,
 }
 
 impl ServerBeliefs {
-    /// Nothing is believed. `chance`, from 0 to 1, is the instance's own.
+    /// Starts without any state. `chance`, from 0 to 1, is random per instance.
     pub(crate) fn new(chance: f64) -> Self {
         Self {
             health: Mutex::new(ServerHealth::new()),
@@ -88,74 +87,73 @@
         self.doubted.load_full()
     }
 
-    /// The backoffs that servers asked for.
+    /// The backoffs that servers requested.
     pub(crate) fn backoffs(&self) -> Guard<Arc<Backoffs<ServerKey>>> {
         self.backoffs.load()
     }
 
-    /// The servers that leave.
+    /// The servers that are leaving.
     pub(crate) fn departed(&self) -> Guard<Arc<DepartedServers>> {
         self.departed.load()
     }
 
-    /// A server asked for a backoff; tells how long it is.
+    /// Records a backoff that a server requested; returns its length.
     pub(crate) fn back_off(&self, server: ServerKey, asked: Duration) -> Duration {
         update(&self.backoffs, |backoffs| {
             backoffs.back_off(server, asked, clock::now())
         })
     }
 
-    /// How much longer to back off from a server, if at all.
+    /// The time left to back off from a server; `None` if there is no backoff.
     pub(crate) fn backoff_left(&self, server: ServerKey) -> Option<Duration> {
         self.backoffs.load().left(server, clock::now())
     }
 
-    /// A server said that it leaves. Tells whether that is news.
+    /// Records that a server says that it is leaving. Returns whether that is new.
     pub(crate) fn note_leaving(&self, server: ServerKey) -> bool {
-        // Each of its answers says so.
+        // Every answer of the server repeats it.
         !self.departed.load().contains(server)
             && update(&self.departed, |departed| {
                 departed.note(server, Departure::Leaving, clock::now())
             })
     }
 
-    /// Takes another instance's word on a server that leaves in. Tells whether that is
-    /// news.
+    /// Records a departure that a peer reports. Returns whether that is new.
     pub(crate) fn hear_departure(&self, seen: DepartureSeen) -> bool {
-        // Each heartbeat tells the same again.
+        // Every heartbeat repeats it.
         !self.departed.load().knows(seen.server, seen.departure)
             && update(&self.departed, |departed| departed.hear(seen, clock::now()))
     }
 
-    /// Whether a server leaves, by its entry, its own answers or others' word.
+    /// Whether a server is leaving, by its entry, its own answers or peers' reports.
     pub(crate) fn is_leaving(&self, server: &BackendServer) -> bool {
         server.is_leaving || self.departed.load().contains(server.key)
     }
 
-    /// The limits that servers named.
+    /// The limits that servers have given.
     pub(crate) fn limits(&self) -> Guard<Arc<ServerLimits>> {
         self.limits.load()
     }
 
-    /// Takes a word on a server's limit in.
+    /// Changes the servers' limits; `take` may run more than once.
     pub(crate) fn update_limits<T: Default>(&self, take: impl Fn(&mut ServerLimits) -> T) -> T {
         update(&self.limits, take)
     }
 
-    /// What other instances have under way at a server.
+    /// The load that other instances have in flight at a server.
     pub(crate) fn peer_load(&self, server: ServerKey) -> ServerLoad {
         let loads = self.peer_loads.load();
         loads.get(&server).copied().unwrap_or_default()
     }
 
-    /// Takes the others' word in, as last summed.
+    /// Replaces the peers' summed loads and their suspicions.
     pub(crate) fn hear(&self, loads: BTreeMap<ServerKey, ServerLoad>, doubted: DoubtedServers) {
         self.peer_loads.store(Arc::new(loads));
         self.doubted.store(Arc::new(doubted));
     }
 
-    /// The list of servers changed: forgets refusals of those whose entries say
-    /// something new, and all of those that aren't in it.
+    /// Follows a changed server list: discards refusals of servers whose entries have
+    /// changed, and all state of servers that aren't in it.
     pub(crate) fn adopt(&self, before: Option<&ServerTable>, servers: &ServerTable) {
         let mut closed = self.closed();
         for server in servers.all() {
@@ -181,7 +179,7 @@
     }
 }
 
-/// What a new list says of servers that leave.
+/// Records the departures that follow from a new list.
 fn note_departures(
     departed: &mut DepartedServers,
     before: Option<&ServerTable>,
@@ -193,7 +191,8 @@
     for server in servers.all().iter().filter(|server| server.is_leaving) {
         departed.note(server.key, Departure::Leaving, now);
     }
-    // The list is as it was where a newer configuration has no use for some.
+    // The list itself is unchanged if only a newer configuration makes some entries
+    // unusable.
     let before = before.filter(|before| before.version() < version);
     let before = before.map_or(&[][..], |before| before.all());
     for server in before {
@@ -203,7 +202,7 @@
     }
 }
 
-/// Changes a copy and puts it in the place of the value; the change may run again.
+/// Changes a copy of the value and stores it; `change` may run more than once.
 fn update<V: Clone, T: Default>(value: &ArcSwap<V>, change: impl Fn(&mut V) -> T) -> T {
     let mut outcome = T::default();
     value.rcu(|value| {
--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -1,5 +1,8 @@
-//! Backend servers as paths and connections need them: what they can take,
-//! what is under way at them, and what this instance may use of them.
+//! Backend servers as routing and connections need them: their capacity, the load in
+//! flight, and this instance's share of their connections.
+//!
+//! Inputs are the server table, the server states and the peers' loads; the results are
+//! the candidates that paths are planned with.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,30 +37,31 @@
 use crate::upstream::Upstream;
 use crate::view::ServerTable;
 
-/// The part of a server's connections that instances of its own failure
-/// domain share; the others share the rest.
+/// The share of a server's connections that instances of its own failure domain divide
+/// among themselves; the other instances divide the rest.
 const NEAR_CONNECTIONS: f64 = 0.6;
-/// Connections that an instance may open to a server at the least.
+/// Least connections that an instance may open to a server.
 const MIN_CONNECTIONS: usize = 3;
 
-/// Time from an instance's start until it has heard what others have under
-/// way: speakers begin after 0.4 s and tell it each 0.3 s.
+/// Age from which an instance knows its peers' loads: representatives begin after 0.4 s
+/// and send them every 0.3 s.
 const HEARD_AFTER: Duration = Duration::from_secs(1);
 
-/// What is known of a stage of a path in use.
+/// State of a stage of a path in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StageState {
     /// It holds its layers, and nothing speaks against it.
     Usable,
-    /// It goes, or gives the layers up, and serves what it has until then.
+    /// It is leaving or unloading the layers, and serves running requests until then.
     Leaving,
-    /// It doesn't answer, or is gone.
+    /// It doesn't answer, has restarted or was removed.
     Lost,
 }
 
 impl Relay {
-    /// An engine refused a request: it has no room, or takes no new work. Tells
-    /// whether it has room by what is known.
+    /// Records that an engine refused a request, for lack of free cache or because it
+    /// accepts no new work. Returns whether it has free cache by what is known, so that
+    /// it now counts as refusing.
     pub(crate) fn engine_refused(&self, server: ServerKey, model: &ModelShape) -> bool {
         let now = clock::now();
         let used_tokens = self.load_of(server).tokens;
@@ -82,8 +86,8 @@
         is_closed
     }
 
-    /// The engine that is meant where only an address is named: the start that
-    /// the path goes through, else the one in use there.
+    /// The engine that is meant where only an address is given: the incarnation that the
+    /// path uses, else the one in use at the address.
     pub(crate) fn engine_at(&self, addr: SocketAddr, path: &PipelinePath) -> Option<ServerKey> {
         let mut stages = path.stages().iter();
         let stage = stages.find(|stage| stage.addr() == addr);
@@ -92,7 +96,7 @@
             .or_else(|| self.view.load().server_at(addr))
     }
 
-    /// Engines began a request's work.
+    /// Records that engines accepted a request's work.
     pub(crate) fn engines_accepted(&self, stages: &[PathStage], now: Instant) {
         let mut closed = self.beliefs.closed();
         for stage in stages {
@@ -111,8 +115,8 @@
         self.pipeline_engines_at(clock::now(), table, service, model, urgency)
     }
 
-    /// The engines that may be a stage at a time, by when some backoffs will be over
-    /// and some permits may be asked for again.
+    /// The engines that may be a stage at time `at`, when some backoffs will have ended
+    /// and some permits can be requested again.
     pub(crate) fn pipeline_engines_at(
         &self,
         at: Instant,
@@ -141,11 +145,13 @@
         engines.collect()
     }
 
-    /// When servers of a service that take nothing now may take requests again: the
-    /// ends of backoffs, and when permits may be asked for; the earliest first.
+    /// When servers of a service that accept nothing now may accept requests again: the
+    /// ends of backoffs, and the times at which permits can be requested; the earliest
+    /// first.
     ///
-    /// Moments, as a wait counted from another moment than the one it was taken at
-    /// ends microseconds early, when the server is still backed off from.
+    /// These are points in time, because a duration that is counted from another time
+    /// than the one it was computed at ends microseconds early, when the server is still
+    /// backed off from.
     pub(crate) fn wait_ends(
         &self,
         table: &ServerTable,
@@ -169,7 +175,7 @@
         wait
     }
 
-    /// What tells whether servers take a request of some urgency.
+    /// A filter for the servers that may get a request of some urgency.
     pub(crate) fn server_filter(&self, urgency: Urgency) -> ServerFilter<'_> {
         ServerFilter {
             health: self.beliefs.health(),
@@ -180,9 +186,9 @@
         }
     }
 
-    /// Whether others have trouble with a server that has shown nothing since.
+    /// Whether peers suspect a server that has given no liveness evidence since.
     fn is_doubted(&self, doubted: &DoubtedServers, server: ServerKey, now: Instant) -> bool {
-        // A sign is looked up under a lock, and few servers are doubted.
+        // Liveness lookups take a lock, and few servers are suspected.
         if doubted.since(server).is_none() {
             return false;
         }
@@ -190,8 +196,7 @@
         doubted.is_left_alone(server, sign_at)
     }
 
-    /// What this instance, behind `rank` others, has to do with a server that
-    /// others doubt.
+    /// What this instance, of the given rank, uses a suspected server for.
     pub(crate) fn doubted_use(&self, server: ServerKey, rank: usize) -> DoubtedUse {
         DoubtedUse {
             has_work: self.beliefs.loads.of(server).requests > 0,
@@ -224,11 +229,12 @@
         })
     }
 
-    /// What is under way at a server by this instance and those it hears.
+    /// The load in flight at a server, from this instance and the peers it receives from.
     ///
-    /// Instances that start together don't hear each other yet, and each sees
-    /// all the room for itself, so that engines are overfilled after a loss of
-    /// power. Meanwhile the others count as if each had as much under way as this one.
+    /// Instances that start together don't receive each other's loads yet, so each would
+    /// use all the free cache, and engines were overfilled after a power loss. Until the
+    /// loads are known, every sharing instance is assumed to have as much in flight as
+    /// this one.
     pub(crate) fn load_of(&self, server: ServerKey) -> ServerLoad {
         let own = self.beliefs.loads.of(server);
         let mut load = own;
@@ -243,7 +249,7 @@
         }
     }
 
-    /// How many instances may have requests under way at a server.
+    /// How many instances may have requests in flight at a server.
     fn sharers(&self, server: ServerKey) -> usize {
         let known = if self.is_near(server) {
             &self.near_instances
@@ -260,25 +266,25 @@
         entry.is_some_and(|entry| entry.domain == self.settings.domain)
     }
 
-    /// What is known of a stage of a path in use.
+    /// State of a stage of a path in use.
     pub(crate) fn stage_state(&self, table: &ServerTable, stage: &PathStage) -> StageState {
         if self.beliefs.health().is_out(stage.server) {
             return StageState::Lost;
         }
-        // One that has started again has nothing of the request.
+        // A restarted engine has no state of the request.
         let Some(server) = table.get(stage.server) else {
             return StageState::Lost;
         };
         let holds_layers = server.held.is_some_and(|held| held.covers(stage.layers));
-        // Layers that are given up still serve what is passing through.
+        // Layers that are being unloaded still serve running requests.
         if self.beliefs.is_leaving(server) || !holds_layers {
             return StageState::Leaving;
         }
         StageState::Usable
     }
 
-    /// A server with this instance's part of its connections. Most requests
-    /// stay in their failure domain, so its instances have the larger part.
+    /// A server with this instance's share of its connections. Most requests stay in
+    /// their failure domain, so its instances have the larger share.
     pub(crate) fn upstream(&self, server: ServerKey, service: &ServingService) -> Upstream {
         let limit = f64::from(service.max_connections);
         let near = self.near_instances.load(Ordering::Relaxed).max(1);
@@ -295,8 +301,8 @@
     }
 }
 
-/// Which servers may be sent a new request, by their entries, by what requests met
-/// there, by their own word, and by the permits that were refused.
+/// Decides which servers may get a new request, by their entries, the results of earlier
+/// requests, their announced departures and the refused permits.
 pub(crate) struct ServerFilter<'a> {
     pub(crate) health: MutexGuard<'a, ServerHealth>,
     backoffs: Guard<Arc<Backoffs<ServerKey>>>,
@@ -306,7 +312,7 @@
 }
 
 impl ServerFilter<'_> {
-    /// Whether a server may be sent a request at a time.
+    /// Whether a server may get a request at a time.
     pub(crate) fn takes(&self, server: &BackendServer, at: Instant) -> bool {
         let refused = self.book.refused_until(server.key, self.urgency, at);
         !server.is_leaving
@@ -317,21 +323,21 @@
     }
 }
 
-/// When there may be a server again where there is none.
+/// When a server may be available again where none is.
 #[derive(Debug, Default)]
 pub(crate) struct WaitEnds {
-    /// The moments to look at, the earliest first.
+    /// The times at which to check again, the earliest first.
     pub(crate) ends: Vec<Instant>,
-    /// Where it is for want of permits, the time over which callers come back.
+    /// If permits were refused, the time over which callers' retries are spread.
     spread: Option<Duration>,
 }
 
 impl WaitEnds {
-    /// What a caller is told where a server takes requests from a moment on.
+    /// The refusal for a caller where a server accepts requests from `end` on.
     pub(crate) fn refusal(&self, end: Instant, now: Instant) -> Refusal {
         let left = end.saturating_duration_since(now);
         match self.spread {
-            // Told the same moment, all that were refused would come back at once.
+            // With the same time for all, every refused caller would come back at once.
             Some(spread) => Refusal::Limited(left + spread.mul_f64(rand::random())),
             None => Refusal::BackedOff(left),
         }
--- a/crates/rookferry_relay/src/event_log.rs
+++ b/crates/rookferry_relay/src/event_log.rs
@@ -1,9 +1,9 @@
-//! The log events of a relay: one a decision, each with what decided it.
+//! The log events of a relay: one per decision, each with the values that decided it.
 //!
-//! Every event has a name, listed in [`EVENTS`] and described in
-//! docs/OPERATIONS.md. Lines are written by a thread of their own and dropped
-//! rather than waited for. Lines about requests that went well are bounded a
-//! second, so that those about failures have room.
+//! Every event has a name, listed in [`EVENTS`] and described in docs/OPERATIONS.md. A
+//! separate thread writes the lines; they are dropped if it falls behind. The rate of
+//! lines about successful requests is limited, so that lines about failures are not
+//! crowded out.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -15,9 +15,9 @@
 use slog::info;
 use slog::warn;
 
-/// Lines a second about requests that went well.
+/// Limit of lines per second about successful requests.
 const ROUTINE_LINES_PER_S: u64 = 200;
-/// Lines a second about decisions on failures, and about beliefs.
+/// Limit of lines per second about failures and changes of state.
 const NOTABLE_LINES_PER_S: u64 = 500;
 
 /// The names of all events.
@@ -79,23 +79,23 @@
     "stream_resumed",
 ];
 
-/// How much a line matters when there are too many.
+/// Which rate limit a line falls under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Weight {
     /// About a request that went well.
     Routine,
-    /// About a failure, or a belief that changed.
+    /// About a failure, or a changed state.
     Notable,
 }
 
 #[derive(Debug, Default)]
 struct Budget {
-    /// Second since the start in the upper half, lines in the lower.
+    /// The second since the start in the upper half, the number of lines in the lower.
     state: AtomicU64,
     dropped: AtomicU64,
 }
 
-/// Writes events.
+/// Writes events within their rate limits.
 #[derive(Debug)]
 pub(crate) struct EventLog {
     log: Logger,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The logger, if a line of this weight may be written now.
+    /// The logger, if the rate limit of this weight allows a line now.
     pub(crate) fn line(&self, weight: Weight) -> Option<&Logger> {
         let second = clock::since(self.started_at).as_secs();
         let (budget, limit) = match weight {
@@ -124,7 +124,7 @@
         budget.take(second, limit).then_some(&self.log)
     }
 
-    /// Tells how many lines were dropped since it was last told.
+    /// Logs how many lines were dropped since the last such report.
     pub(crate) fn tell_dropped(&self) {
         let routine = self.routine.dropped.swap(0, Ordering::Relaxed);
         let notable = self.notable.dropped.swap(0, Ordering::Relaxed);
@@ -134,7 +134,7 @@
         }
     }
 
-    /// A dependency doesn't answer any more.
+    /// Logs that a dependency doesn't answer any more.
     pub(crate) fn dependency_lost(&self, name: &str, error: &dyn std::fmt::Display) {
         if let Some(log) = self.line(Weight::Notable) {
             warn!(log, "sync: a dependency is lost"; "event" => "dependency_lost",
@@ -142,7 +142,7 @@
         }
     }
 
-    /// A dependency answers again.
+    /// Logs that a dependency answers again.
     pub(crate) fn dependency_regained(&self, name: &str, away: Duration) {
         if let Some(log) = self.line(Weight::Notable) {
             info!(log, "sync: a dependency is back"; "event" => "dependency_regained",
--- a/crates/rookferry_relay/src/node.rs
+++ b/crates/rookferry_relay/src/node.rs
@@ -1,4 +1,8 @@
-//! An instance: its listeners, its tasks, its start and its stop.
+//! An instance: its listeners and tasks, its start and its shutdown.
+//!
+//! It listens for callers, for the load balancer's readiness check, for metrics scrapes,
+//! and for peers. A shutdown fails the readiness check first and goes on accepting until
+//! the balancer has noticed, then drains.
 
 use std::io;
 use std::net::SocketAddr;
@@ -46,21 +50,21 @@
 use crate::store::SiteStore;
 use crate::sync;
 
-/// What is kept of the time to stop for the process's own end.
+/// Part of the time for the shutdown that is reserved for the process's own exit.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
-/// How long listeners go on accepting after the word to stop: the balancer
-/// asks once a second, and takes an instance out after two misses.
+/// How long listeners go on accepting after the shutdown begins: the balancer checks once
+/// a second, and removes an instance after two failed checks.
 const ACCEPT_WHILE_LEAVING: Duration = Duration::from_millis(3_200);
-/// The same, if nothing is under way.
+/// The same, if no request is in flight.
 const QUIET_BEFORE_END: Duration = Duration::from_millis(2_600);
-/// Upper ends of the buckets of latency histograms, in seconds: around the
-/// objectives of 0.1 to 0.5 s and pauses of 0.2 s, and up to route times.
+/// Upper bounds of the buckets of latency histograms, in seconds: around the objectives
+/// of 0.1 to 0.5 s and pauses of 0.2 s, and up to route timeouts.
 const LATENCY_BUCKETS_S: [f64; 14] = [
     0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0,
 ];
-/// Ports that are tried where the system chooses one.
+/// Attempts to bind a port where the system chooses it.
 const MAX_PORT_TRIES: u32 = 20;
-/// How often dropped log lines are told.
+/// How often dropped log lines are reported.
 const TELL_DROPPED_EVERY: Duration = Duration::from_secs(5);
 
 /// Why an instance didn't start.
@@ -71,21 +75,21 @@
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// What for.
+        /// What the listener is for.
         purpose: &'static str,
         /// The cause.
         source: io::Error,
     },
 }
 
-/// Where an instance listens, with the ports that the system chose.
+/// Addresses at which an instance listens, with the ports that the system chose.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct NodeAddrs {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the balancer's question.
+    /// For the load balancer's readiness check.
     pub readiness: SocketAddr,
-    /// For its figures.
+    /// For metrics scrapes.
     pub metrics: SocketAddr,
     /// For other instances, by UDP and TCP.
     pub peers: SocketAddr,
@@ -107,11 +111,11 @@
 }
 
 impl Node {
-    /// Starts an instance; it is ready once it knows the site.
+    /// Starts an instance; it is ready once it knows configuration and servers.
     ///
     /// # Errors
     ///
-    /// If it can't listen.
+    /// If an address can't be bound.
     pub async fn start(
         mut settings: RelaySettings,
         protocol: Arc<dyn ServerProtocol>,
@@ -127,7 +131,7 @@
         }
         let handle = install_recorder();
         let (socket, listener, peers) = bind_peers(listen.peers).await?;
-        // The order of instances goes by this address.
+        // Instances are ranked by this address.
         settings.listen.peers = peers;
         let relay = Arc::new(Relay::new(settings, protocol, store, events));
         let stop = Arc::new(Notify::new());
@@ -173,7 +177,7 @@
         })
     }
 
-    /// Where it listens.
+    /// The addresses at which it listens.
     #[must_use]
     pub const fn addrs(&self) -> NodeAddrs {
         self.addrs
@@ -185,7 +189,7 @@
         self.relay.is_ready()
     }
 
-    /// Finishes what is under way, within the bound; tells whether all was.
+    /// Drains requests within the grace period; returns whether all have finished.
     pub async fn leave(&self) -> bool {
         let started = clock::now();
         self.relay.leave();
@@ -225,8 +229,8 @@
         .context(ListenSnafu { addr, purpose })
 }
 
-/// Binds the same port for datagrams and connections; port 0 lets the system
-/// choose one that is free for both.
+/// Binds the same port for datagrams and connections; with port 0 the system chooses one
+/// that is free for both.
 async fn bind_peers(addr: SocketAddr) -> Result<(UdpSocket, TcpListener, SocketAddr), StartError> {
     let context = || ListenSnafu {
         addr,
@@ -290,14 +294,14 @@
         .unwrap_or_default();
     let recorder = builder.build_recorder();
     let handle = recorder.handle();
-    // Fails only if an embedder has installed its own, which then gets the
+    // Fails only if the embedding program has installed a recorder, which then gets the
     // metrics.
     let _ = metrics::set_global_recorder(recorder);
     handle
 }
 
-/// Milliseconds of the time of day at the start. It only tells two runs
-/// apart; nothing rests on its order.
+/// Milliseconds of Unix time at the start. It only distinguishes two runs; nothing
+/// depends on its order.
 fn incarnation() -> u64 {
     millis(clock::unix_now())
 }
--- a/crates/rookferry_relay/src/peers/compose.rs
+++ b/crates/rookferry_relay/src/peers/compose.rs
@@ -1,4 +1,7 @@
-//! Puts together what this instance tells others.
+//! Builds the heartbeats that this instance sends.
+//!
+//! Input is the instance's own state: versions, loads, server states, peers. The limits
+//! below keep a heartbeat within one datagram; longer lists are advertised in rotation.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -23,47 +26,46 @@
 use crate::mutex::lock;
 use crate::relay::Relay;
 
-/// How long after its start an instance may speak for its domain: before, it
-/// takes itself for the first because it hasn't heard the others, which are
-/// heard within two rounds.
+/// Age from which an instance may represent its domain. Until it has received heartbeats
+/// of the others, which takes up to two rounds, it ranks itself first.
 const SPEAK_AFTER: Duration = Duration::from_millis(400);
-/// Most loads in one heartbeat, at up to 29 bytes; the busiest servers go
-/// first. What remains of a datagram holds the rest.
+/// Most loads in one heartbeat, at up to 29 bytes each; the busiest servers go first. The
+/// rest of the datagram is left for the other fields.
 const MAX_LOADS: usize = 420;
-/// Most servers told as out, and as closed, in one heartbeat; at 12 and 15
-/// bytes. Where there are more they are told in turn.
+/// Most servers advertised as unresponsive, and as refusing, in one heartbeat, at 12 and
+/// 15 bytes each. Longer lists are advertised in rotation.
 const MAX_OUT: usize = 128;
-/// Most requests told in one heartbeat under which servers ended, at up to 170
-/// bytes; the rest follow in the next rounds.
+/// Most suspect requests (those under which servers crashed) in one heartbeat, at up to
+/// 170 bytes each; the rest follow in the next rounds.
 const MAX_SUSPECTS: usize = 14;
-/// Most words on servers' limits in one heartbeat, at up to 25 bytes; the newest go
-/// first, the others in turn.
+/// Most server limits in one heartbeat, at up to 25 bytes each; the newest go first, the
+/// others in rotation.
 const MAX_LIMITS: usize = 32;
-/// Most servers told in one heartbeat that leave, at up to 40 bytes; where there are
-/// more, some follow in turn.
+/// Most leaving servers in one heartbeat, at up to 40 bytes each; where there are more,
+/// some are advertised in rotation.
 const MAX_DEPARTED: usize = 24;
-/// Members in one heartbeat, at 10 bytes; all are told in turn, 300 within
+/// Members in one heartbeat, at 10 bytes each; all are advertised in rotation, 300 within
 /// 1.4 s.
 pub(super) const MEMBERS_TOLD: usize = 32;
-/// Most members of its domain told to an instance that looks for them, and
-/// most of all others; an answer of up to 14 KB, once or twice a start.
+/// Most members of its own domain, and most members of other domains, that are sent to a
+/// joining instance; a response of up to 14 KB, once or twice per start.
 const MEMBERS_TOLD_JOINING: usize = 1_024;
 const OTHERS_TOLD_JOINING: usize = 448;
-/// How long an instance that hears nobody of its domain looks for others; it
-/// may be the only one.
+/// How long an instance without a live peer in its domain looks for others; it may be the
+/// only one.
 const JOINING: Duration = Duration::from_secs(3);
 
-/// An age as others are told it, rounded up: rounded down, a word that is passed on
-/// within a millisecond would never age.
+/// An age as advertised to peers, in milliseconds, rounded up. Rounded down, a statement
+/// that is relayed within a millisecond would never age.
 pub(crate) fn told_ms(age: Duration) -> u64 {
     millis(age).saturating_add(1)
 }
 
-/// Puts heartbeats together.
+/// Builds heartbeats from the state of this instance.
 pub(super) struct Composer {
     relay: Arc<Relay>,
     incarnation: Incarnation,
-    /// What the instance's own clock in heartbeats counts from.
+    /// The zero of this instance's own clock in heartbeats.
     pub(super) epoch: Instant,
 }
 
@@ -76,18 +78,18 @@
         }
     }
 
-    /// Whether the instance is old enough to speak for its domain.
+    /// Whether the instance is old enough to represent its domain.
     pub(super) fn may_speak(&self) -> bool {
         clock::since(self.epoch) >= SPEAK_AFTER
     }
 
-    /// Whether it has just started and looks for the others of its domain.
+    /// Whether it has just started and looks for the other instances of its domain.
     pub(super) fn is_joining(&self, table: &PeerTable, now: Instant) -> bool {
         clock::since(self.epoch) < JOINING && !table.hears_near(now)
     }
 
-    /// A heartbeat that tells of some of the members, from a place on, and what is told
-    /// in a turn.
+    /// A heartbeat with the members from an offset on, and the given part (`rotation`) of
+    /// each list that is too long.
     pub(super) fn heartbeat(&self, members_from: usize, turn: usize, now: Instant) -> Heartbeat {
         let config = self.relay.config_version().and_then(|version| {
             let age_ms = self.relay.config_age_ms(version, now)?;
@@ -132,7 +134,7 @@
         }
     }
 
-    /// What an instance is told that looks for the others of its domain.
+    /// The response to an instance that looks for the other members of `domain`.
     pub(super) fn joining_answer(&self, domain: &DomainId, now: Instant) -> Heartbeat {
         let mut answer = self.heartbeat(0, 0, now);
         answer.loads.clear();
@@ -149,7 +151,7 @@
         answer
     }
 
-    /// What the domain has under way, this instance included, as heard here.
+    /// The load that the own domain has in flight, this instance included, as known here.
     pub(super) fn domain_sums(&self, now: Instant) -> DomainSums {
         let mut loads = lock(&self.relay.peers).near_loads(now);
         for (server, own) in self.relay.beliefs.loads.snapshot() {
@@ -191,7 +193,7 @@
         seen.with_load(load)
     }
 
-    /// The holder of the lease: this instance, or the one last heard of.
+    /// The lease holder: this instance, or the one last reported by a peer.
     fn holder(&self, now: Instant) -> Option<HolderSeen> {
         if self.relay.holds_lease.load(Ordering::Relaxed) {
             return Some(HolderSeen {
--- a/crates/rookferry_relay/src/peers/exchange.rs
+++ b/crates/rookferry_relay/src/peers/exchange.rs
@@ -1,4 +1,11 @@
-//! Questions between instances over TCP: a length, then the message.
+//! Transfers bodies (configuration, server list) between instances over TCP.
+//!
+//! Each message is a length, as four big-endian bytes, followed by its `postcard`
+//! encoding.
+//!
+//! Load pattern: after a change many instances request the same body at once. An instance
+//! sends it to a few peers at a time, by its link's bandwidth, and redirects the others
+//! to peers that already have it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -28,19 +35,19 @@
 use crate::relay::Relay;
 use crate::sync::PeerList;
 
-/// How long a question may take, the connect included.
+/// Time limit of a request, including the connect.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Largest message, in bytes; a configuration with thousands of routes fits.
 const MAX_MESSAGE_BYTES: u32 = 16 * 1024 * 1024;
-/// Instances asked for one body; each that has it knows some that have it too.
+/// Peers tried for one body; each that has it names some others that have it too.
 const MAX_ASKED: usize = 8;
-/// Pause before one is asked again that is the first to have a body: about the
-/// time in which it sends it to one other.
+/// Pause before the same peer is asked again while no other has the body: about the time
+/// it takes to send the body to one peer.
 const ASK_PAUSE: Duration = Duration::from_millis(80);
-/// Pause after a failed accept, which is a lack of descriptors.
+/// Pause after a failed accept, whose cause is a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers questions until the process ends.
+/// Serves the requests of peers until the process exits.
 pub(crate) async fn answer_peers(relay: Arc<Relay>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -49,7 +56,7 @@
         };
         let relay = relay.clone();
         tokio::spawn(async move {
-            // Whoever asked sees a failure as a missing answer.
+            // The peer sees a failure as a missing response.
             let _ = tokio::time::timeout(EXCHANGE_TIMEOUT, answer(&relay, stream)).await;
         });
     }
@@ -76,7 +83,7 @@
     }
 }
 
-/// Gives a body on, or sends the one that asks to others that have it.
+/// Sends a body, or redirects the requester to peers that have it.
 async fn give<V: Copy + Default + PartialEq>(
     stream: &mut TcpStream,
     source: &Mutex<BodySource<V>>,
@@ -97,7 +104,7 @@
                 received_by: None,
             };
             send(stream, &body()).await?;
-            // The other end closes once it has read all.
+            // The requester closes the connection once it has read the whole body.
             let _ = stream.read(&mut [0]).await?;
             sending.received_by = Some(to);
             Ok(())
@@ -105,7 +112,8 @@
     }
 }
 
-/// A body that is being sent, until it is dropped, also by a timeout.
+/// A body transfer in progress; its end is recorded when it is dropped, also by a
+/// timeout.
 struct Sending<'a, V: Copy + Default + PartialEq> {
     source: &'a Mutex<BodySource<V>>,
     version: V,
@@ -142,8 +150,8 @@
     }
 }
 
-/// What differs from an earlier list that is remembered; it is small, and no reason to
-/// send others elsewhere.
+/// The difference from an earlier list that is still in the history. It is small, so it
+/// is sent to every requester instead of a redirect.
 fn changes_answer(relay: &Relay, had: ListMark) -> Option<PeerAnswer> {
     let view = relay.view.load_full();
     let table = view.servers.as_ref()?;
@@ -161,7 +169,7 @@
     })
 }
 
-/// Puts a peer's configuration in force if it is newer.
+/// Fetches a peer's configuration and activates it if it is newer.
 pub(super) async fn fetch_config(relay: &Relay, from: SocketAddr) {
     let newer_than = relay.config_version().unwrap_or(0);
     let request = PeerRequest::Config { newer_than };
@@ -170,8 +178,9 @@
         return;
     };
     if let PeerAnswer::Config { config, age_ms } = answer {
-        // The peer has looked after it was asked, so its age counts from then.
-        // One that has none is taken for too old to serve by.
+        // The peer computed the age after the request was sent, so it is subtracted from
+        // the time of the request. A configuration without an age counts as too old to
+        // serve by.
         let bound = relay.settings.bounds.max_config_age();
         let age = age_ms.map_or(bound, Duration::from_millis);
         let confirmed_at = asked_at.checked_sub(age).unwrap_or(asked_at);
@@ -180,16 +189,17 @@
     }
 }
 
-/// Hands a peer's backend servers on if they are newer.
+/// Fetches a peer's list of backend servers and passes it on if it is newer.
 pub(super) async fn fetch_servers(relay: &Relay, from: SocketAddr) {
     let had = lock(&relay.list_history).mark();
     if !take_servers(relay, from, had).await {
-        // The list here isn't the one that the peer remembers under its version.
+        // The own list differs from the one that the peer remembers under this version.
         take_servers(relay, from, ListMark::default()).await;
     }
 }
 
-/// Asks for servers, given the list that is had. Tells whether the answer could be used.
+/// Requests the list of servers, given the list that this instance has. Returns whether
+/// the response could be used.
 async fn take_servers(relay: &Relay, from: SocketAddr, had: ListMark) -> bool {
     let newer_than = relay.servers_version();
     let is_had = || relay.servers_version() > newer_than;
@@ -222,7 +232,7 @@
         }
         _ => return true,
     };
-    // The peer has looked after it was asked, so its age counts from then.
+    // The peer computed the age after the request was sent.
     let newest_at = age_ms.and_then(|age_ms| asked_at.checked_sub(Duration::from_millis(age_ms)));
     let list = PeerList {
         version,
@@ -233,13 +243,13 @@
     true
 }
 
-/// Counts the lists of servers that peers gave, by how they came.
+/// Counts the server lists received from peers, by their form.
 fn note_list(form: &'static str) {
     counter!("rookferry_lists_from_peers_total", "form" => form).increment(1);
 }
 
-/// Asks one that has a body, and those that it names, until one gives it.
-/// Tells when that one was asked.
+/// Requests a body from a peer, and from those it redirects to, until one sends it.
+/// Returns the response with the time at which that peer was asked.
 async fn ask_round(
     relay: &Relay,
     from: SocketAddr,
--- a/crates/rookferry_relay/src/peers/fetch.rs
+++ b/crates/rookferry_relay/src/peers/fetch.rs
@@ -1,4 +1,8 @@
-//! Fetches what a heartbeat tells to be newer, and confirms what is not.
+//! Fetches versions that a peer advertises as newer, and confirms the current ones.
+//!
+//! Input is each received heartbeat. A newer configuration or server list is fetched over
+//! TCP in a task of its own; an equal version only updates the time at which it was last
+//! known to be the newest.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,20 +18,20 @@
 use crate::mutex::lock;
 use crate::relay::Relay;
 
-/// How long an own watch may take to bring a version that a peer has.
+/// How long this instance's own watch may take to deliver a version before it is fetched
+/// from a peer.
 const OWN_WATCH_FIRST: Duration = Duration::from_millis(120);
-/// How long a version that is being fetched isn't fetched again, if the fetch
-/// doesn't end before.
+/// How long a fetch of a version blocks another one, if it doesn't end before.
 const FETCH_AGAIN: Duration = Duration::from_millis(1_500);
 
-/// Fetches the configuration and the list of servers from peers.
+/// Fetches the configuration and the server list from peers.
 pub(super) struct ListFetch {
     relay: Arc<Relay>,
     config: Arc<FetchGate<u64>>,
     servers: Arc<FetchGate<ListVersion>>,
 }
 
-/// Lets a version be fetched once at a time, though many peers tell of it.
+/// Admits one fetch of a version at a time, however many peers advertise it.
 #[derive(Debug, Default)]
 struct FetchGate<V> {
     begun: Mutex<Option<(V, Instant)>>,
@@ -52,7 +56,7 @@
     }
 }
 
-/// A fetch, until it ends.
+/// A fetch in progress, until it is dropped.
 struct Fetching<V: Copy + Ord> {
     gate: Arc<FetchGate<V>>,
     version: V,
@@ -82,13 +86,12 @@
         }
     }
 
-    /// A peer has something that this instance lacks.
+    /// Records that a peer has a version that this instance lacks.
     fn note_offer(&self) {
         *lock(&self.relay.offered_at) = Some(clock::now());
     }
 
-    /// A peer has newer servers: they are asked for, unless the own watch
-    /// brings them first.
+    /// Fetches a newer server list, unless this instance's own watch delivers it first.
     pub(super) fn take_servers(&self, beat: &Heartbeat, from: SocketAddr) {
         let version = beat.servers.version;
         let is_newer = self.relay.servers_version() < version;
@@ -112,12 +115,11 @@
         });
     }
 
-    /// A peer's word on the configuration: a newer version is fetched, the
-    /// same one is confirmed as of the peer's confirmation.
+    /// Handles the configuration version of a peer: a newer one is fetched, an equal one
+    /// is confirmed as of the peer's own confirmation.
     ///
-    /// The peer's age counts from when it got this instance's own clock, which
-    /// counts from `epoch`, so that a message that was long on its way only
-    /// looks older.
+    /// The peer's age counts from when it received this instance's own clock, which
+    /// counts from `epoch`, so a delayed message only makes the confirmation look older.
     pub(super) fn take_config(&self, beat: &Heartbeat, from: SocketAddr, epoch: Instant) {
         let Some(config) = beat.config else {
             return;
@@ -147,9 +149,9 @@
         }
     }
 
-    /// A peer's word on when its list of servers was the newest, and on when what the
-    /// store has was known; the latter counts within the domain, which reads the store
-    /// for itself.
+    /// Handles the ages in a peer's heartbeat: when its server list was last the newest,
+    /// and when it last knew the store's content. The latter counts only within the own
+    /// domain, each of which reads the store for itself.
     pub(super) fn take_ages(&self, beat: &Heartbeat, epoch: Instant) {
         let servers = beat.servers;
         let list_at = servers
@@ -167,7 +169,8 @@
     }
 }
 
-/// When a peer knew something of an age, by this instance's clock, which it sends back.
+/// When a peer knew something of the given age, by this instance's clock, as echoed by
+/// the peer.
 fn known_at(beat: &Heartbeat, age_ms: u64, epoch: Instant) -> Option<Instant> {
     beat.echo?.known_at(age_ms, epoch, clock::now())
 }
--- a/crates/rookferry_relay/src/peers/heartbeat.rs
+++ b/crates/rookferry_relay/src/peers/heartbeat.rs
@@ -1,4 +1,8 @@
-//! Sends and receives heartbeats.
+//! Sends and receives heartbeats over UDP.
+//!
+//! One task per instance: it sends a round of heartbeats at a fixed interval, or early
+//! after an urgent change, and handles every datagram that arrives. The loads of the
+//! peers are summed at most once per `MIN_SUM_INTERVAL`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,20 +27,20 @@
 use crate::mutex::lock;
 use crate::relay::Relay;
 
-/// Time between heartbeats; instances share engines, so loads must be fresh.
+/// Time between heartbeats; instances share engines, so loads must be recent.
 const ROUND_EVERY: Duration = Duration::from_millis(150);
-/// Largest datagram, in bytes.
+/// Size of the receive buffer, in bytes: the largest accepted datagram.
 const MAX_DATAGRAM_BYTES: usize = 20 * 1024;
-/// Rounds in which the same part is told of what is too much for one heartbeat: a head
-/// writes to its domain in every second.
+/// Rounds for which the same part of a list too long for one heartbeat is advertised: an
+/// aggregator sends to its domain in every second round.
 const ROUNDS_A_TURN: u32 = 2;
-/// Least time between two rounds when news bring one forward.
+/// Delay before a round that is sent early because of a change.
 const NEWS_PAUSE: Duration = Duration::from_millis(30);
-/// Least time between two sums of what others have under way: summed for each of
-/// hundreds of heartbeats a second they take most of a core.
+/// Least time between two sums of the peers' loads: summing after each of hundreds of
+/// heartbeats a second takes most of a core.
 const SUM_PAUSE: Duration = Duration::from_millis(20);
 
-/// The heartbeats of an instance.
+/// The heartbeat task of an instance.
 pub(crate) struct Heartbeats {
     relay: Arc<Relay>,
     socket: Arc<UdpSocket>,
@@ -46,30 +50,31 @@
     rounds: Rounds,
 }
 
-/// The rounds so far.
+/// State that is carried from round to round.
 #[derive(Debug, Default)]
 struct Rounds {
     number: u32,
     fanout: Fanout,
-    /// The places among the members to tell on from: to some, and, in fewer
-    /// rounds, to the whole domain, which is to be told all of them.
+    /// Where the next part of the member list begins: for most targets, and, in fewer
+    /// rounds, for the whole domain, which must receive every member.
     members_from: usize,
     domain_members_from: usize,
 }
 
 impl Rounds {
-    /// The turn of what is too much for one heartbeat.
+    /// Index of the part that is advertised of a list too long for one heartbeat.
     fn turn(&self) -> usize {
         usize::try_from(self.number / ROUNDS_A_TURN).unwrap_or_default()
     }
 
-    /// The next members to tell to some.
+    /// Advances to the next part of the members for most targets, and returns its offset.
     const fn next_members(&mut self) -> usize {
         self.members_from = self.members_from.wrapping_add(MEMBERS_TOLD);
         self.members_from
     }
 
-    /// The next members to tell to the whole domain.
+    /// Advances to the next part of the members for the whole domain, and returns its
+    /// offset.
     const fn next_domain_members(&mut self) -> usize {
         self.domain_members_from = self.domain_members_from.wrapping_add(MEMBERS_TOLD);
         self.domain_members_from
@@ -90,7 +95,7 @@
         }
     }
 
-    /// Runs until the process ends.
+    /// Runs until the process exits.
     pub(crate) async fn run(mut self) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         let mut next_round = tokio::time::Instant::now();
@@ -102,7 +107,8 @@
             let sum_due = next_sum.unwrap_or(next_round);
             tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => {
-                    // A failed receive is an earlier send's, to a dead member.
+                    // An error here belongs to an earlier send to an address where
+                    // nothing listens.
                     if let Ok((length, from)) = received {
                         self.take(&buffer[..length], from);
                         next_sum.get_or_insert(summed_at + SUM_PAUSE);
@@ -154,7 +160,7 @@
         }
     }
 
-    /// Whom to write to in the next round, and the members to tell them from.
+    /// The targets of the next round, and the offset of the members to advertise to them.
     fn next_targets(&mut self, has_news: bool, now: Instant) -> (Targets, usize) {
         let table = lock(&self.relay.peers);
         let rounds = &mut self.rounds;
@@ -169,8 +175,8 @@
         (targets, rounds.next_members())
     }
 
-    /// Sends a heartbeat to the domain's members, each with what the others
-    /// have under way.
+    /// Sends a heartbeat to the members of the own domain, each with the summed load of
+    /// all the other members.
     fn send_sums(&mut self, beat: &mut Heartbeat, targets: Vec<SocketAddr>, now: Instant) {
         if targets.is_empty() {
             return;
@@ -185,8 +191,8 @@
         }
     }
 
-    /// Drops what is old, and learns the seeds again: one that was down may be
-    /// back, or be another one by now.
+    /// Removes expired peers, and adds the seed addresses again: an instance that was
+    /// down may be back, or another one may use the address.
     fn expire(&self, now: Instant) {
         let silent = {
             let mut table = lock(&self.relay.peers);
@@ -204,11 +210,12 @@
         }
     }
 
-    /// Sends a heartbeat with the member's own clock.
+    /// Sends a heartbeat that echoes the target's own clock.
     fn send(&self, beat: &mut Heartbeat, target: SocketAddr, now: Instant) {
         beat.echo = lock(&self.relay.peers).echo(target, now);
         if let Ok(bytes) = postcard::to_stdvec(&PeerDatagram::Heartbeat(&*beat)) {
-            // A full queue or a dead member; the next round tries again.
+            // The send queue is full or nothing listens there; the next round sends
+            // again.
             let _ = self.socket.try_send_to(&bytes, target);
         }
     }
@@ -224,7 +231,7 @@
             Ok(PeerDatagram::Answer(number, answer)) => {
                 self.relay.permits.answered(number, answer);
             }
-            // Cut short, or another version's.
+            // Truncated, or from an incompatible version.
             Err(_) => counter!("rookferry_heartbeats_unreadable_total").increment(1),
         }
     }
@@ -234,12 +241,13 @@
             counter!("rookferry_heartbeats_of_others_total").increment(1);
             return;
         }
-        // Members tell this instance's own address too.
+        // Peers advertise this instance's own address too, so its heartbeats may reach
+        // itself.
         let own = &self.relay.settings.instance;
         if beat.instance == *own && beat.incarnation == self.incarnation {
             return;
         }
-        // Its own word comes back by the others.
+        // Peers relay this instance's own claim to the lease.
         beat.holder = beat.holder.filter(|holder| holder.instance != *own);
         let now = clock::now();
         self.intake.take(&beat, from, self.composer.epoch, now);
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/intake.rs
@@ -1,4 +1,4 @@
-//! Takes in what others tell.
+//! Applies received heartbeats to this instance's state: peers, server states, budgets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,11 +20,11 @@
 use crate::probe;
 use crate::relay::Relay;
 
-/// Most instances that another's count of them is taken for: several times
-/// the largest site, so that a damaged count doesn't take all budgets away.
+/// Upper limit on an instance count that a peer reports: several times the largest site,
+/// so that a corrupted count cannot use up all budgets.
 const MAX_TOLD_INSTANCES: usize = 4_096;
 
-/// Takes heartbeats in.
+/// Applies received heartbeats.
 pub(super) struct Intake {
     relay: Arc<Relay>,
     fetch: ListFetch,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Takes another instance's heartbeat in; the own clock counts from
-    /// `epoch`.
+    /// Applies another instance's heartbeat; `epoch` is the zero of this instance's own
+    /// clock in heartbeats.
     pub(super) fn take(&self, beat: &Heartbeat, from: SocketAddr, epoch: Instant, now: Instant) {
         let (is_new, newly_out) = {
             let mut table = lock(&self.relay.peers);
@@ -70,14 +70,15 @@
         self.fetch.take_ages(beat, epoch);
     }
 
-    /// Another instance has trouble with servers.
+    /// Records that a peer suspects servers, and probes those that this instance must
+    /// check itself.
     fn take_doubts(&self, servers: &[ServerKey], beat: &Heartbeat, now: Instant) {
         let rank = self.relay.rank(now);
         let doubted = self.relay.beliefs.doubted();
         for server in servers.iter().copied() {
             let is_asking = self.relay.doubted_use(server, rank).is_asking();
-            // Told once while several doubt it: a cut has each of a domain doubt
-            // all engines beyond it, thousands of lines.
+            // Logged once while several peers suspect it: a network partition makes each
+            // instance of a domain suspect all engines beyond it, thousands of lines.
             let is_news = doubted.since(server).is_none();
             if is_news && let Some(log) = self.relay.events.line(Weight::Routine) {
                 info!(log, "peers: a server doesn't answer another"; "event" => "server_doubted",
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Counts others, and sums what they have under way.
+    /// Counts the instances, and sums the load that peers have in flight.
     pub(super) fn sum_loads(&self, now: Instant) {
         self.count_instances();
         let (loads, doubted) = {
@@ -100,12 +101,12 @@
         self.relay.door.note_change();
     }
 
-    /// Takes in what a peer saw of the servers that it uses.
+    /// Records the liveness evidence and reports that a peer has of the servers it uses.
     fn take_signs(&self, loads: &[LoadEntry], now: Instant) {
         let signs = &self.relay.beliefs.signs;
         let before = |age_ms| now.checked_sub(Duration::from_millis(age_ms));
         let view = self.relay.view.load();
-        // A start that isn't known here is told of again with the next round.
+        // An incarnation that isn't known here yet is advertised again in the next round.
         let known = loads
             .iter()
             .filter(|entry| view.server(entry.server).is_some());
@@ -121,11 +122,11 @@
         }
     }
 
-    /// Takes in what servers told others of the requests that they take.
+    /// Records the request limits that servers have given to peers.
     fn take_limits(&self, beat: &Heartbeat, now: Instant) {
         for seen in &beat.limits {
             let beliefs = &self.relay.beliefs;
-            // Each heartbeat tells the same again.
+            // Every heartbeat repeats the limit.
             if beliefs.limits().of(seen.server) == seen.rate {
                 continue;
             }
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Takes in which servers leave.
+    /// Records which servers are leaving.
     fn take_departed(&self, beat: &Heartbeat) {
         let mut has_news = false;
         for seen in &beat.departed {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Takes in which servers refused work that they had room for.
+    /// Records which servers refused work although they had free capacity.
     fn take_closed(&self, beat: &Heartbeat, now: Instant) {
         let news: Vec<&ClosedSeen> = {
             let mut closed = self.relay.beliefs.closed();
@@ -178,9 +179,10 @@
         }
     }
 
-    /// Counts the instances that share budgets: all that are known or told of,
-    /// also those not heard. Budgets shrink at once and grow back only with a
-    /// restart: a member that is cut off still spends its part.
+    /// Counts the instances that share budgets: all that are known or advertised,
+    /// including those that no heartbeat was received from. Budgets shrink at once and
+    /// grow back only with a restart, since a partitioned instance still spends its
+    /// share.
     fn count_instances(&self) {
         let (known, near) = {
             let table = lock(&self.relay.peers);
@@ -190,7 +192,7 @@
         self.relay.near_instances.fetch_max(near, Ordering::Relaxed);
     }
 
-    /// Another's count of them, which one that starts has before its own.
+    /// Applies a peer's instance count, which a starting instance has before its own.
     fn take_count(&self, told: u32) {
         let told = usize::try_from(told).unwrap_or(MAX_TOLD_INSTANCES);
         let told = told.min(MAX_TOLD_INSTANCES);
--- a/crates/rookferry_relay/src/peers/message.rs
+++ b/crates/rookferry_relay/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! Questions between instances, and their answers.
+//! Messages between instances, encoded with `postcard`.
 
 use std::net::SocketAddr;
 
@@ -12,59 +12,60 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A datagram between instances; heartbeats are sent as references.
+/// A datagram between instances; `H` is a heartbeat, or a reference to one when sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum PeerDatagram<H> {
-    /// What an instance tells of itself and of the site.
+    /// State of the sender and of the site.
     Heartbeat(H),
-    /// May a request be sent?
+    /// Asks for a permit to send a request to a server.
     Ask(PermitAsk),
-    /// The answer to the question of a number.
+    /// The answer to the permit request of this number.
     Answer(u64, PermitAnswer),
 }
 
-/// A question over TCP.
+/// A request over TCP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PeerQuestion {
-    /// Where the one that asks answers others.
+    /// Where the requesting instance serves its peers.
     pub(crate) from: SocketAddr,
     pub(crate) request: PeerRequest,
 }
 
-/// What is asked for.
+/// The body that is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum PeerRequest {
-    /// The configuration, if it is newer than a version.
+    /// The configuration, if it is newer than this version.
     Config { newer_than: u64 },
-    /// The backend servers, if their list is newer than the one that is had.
+    /// The backend servers, if their list is newer than the one the requester has.
     Servers { had: ListMark },
 }
 
-/// Its answer.
+/// The response to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum PeerAnswer {
     /// A newer configuration.
     Config {
         config: Box<ServingConfig>,
-        /// How long ago it was known to be the newest.
+        /// Time since it was last known to be the newest, in milliseconds.
         age_ms: Option<u64>,
     },
-    /// Newer backend servers.
+    /// A newer list of backend servers.
     Servers {
         version: ListVersion,
         servers: Vec<BackendServer>,
-        /// How long ago they were known to be the newest.
+        /// Time since the list was last known to be the newest, in milliseconds.
         age_ms: Option<u64>,
     },
-    /// What differs in a newer list of backend servers from the one that is had.
+    /// The difference between the requester's list of backend servers and a newer one.
     ServerChanges {
         list: ListMark,
         delta: ListDelta,
-        /// How long ago the list was known to be the newest.
+        /// Time since the list was last known to be the newest, in milliseconds.
         age_ms: Option<u64>,
     },
     /// Nothing newer.
     NothingNewer,
-    /// Something newer, which these have too; or none yet but the one asked.
+    /// There is a newer body, which these peers have too; empty while only the responding
+    /// instance has it.
     Elsewhere(Vec<SocketAddr>),
 }
--- a/crates/rookferry_relay/src/peers/mod.rs
+++ b/crates/rookferry_relay/src/peers/mod.rs
@@ -1,9 +1,10 @@
-//! What the instances of a site tell each other.
+//! Exchange of state between the instances of a site.
 //!
-//! Heartbeats by UDP carry the version and age of the configuration, what is
-//! under way at the servers, and other members. Bodies, which are larger, are
-//! fetched by TCP from a peer that has a newer one. Suspicion decides only
-//! whom to ask and how budgets are shared; no safety rests on it.
+//! Heartbeats over UDP carry the version and age of the configuration and of the server
+//! list, the load in flight at each server, and the addresses of other instances. Bodies,
+//! which are larger, are fetched over TCP from a peer that advertises a newer version.
+//! Failure suspicion only decides which peers are contacted and how budgets are shared;
+//! no safety property depends on it.
 
 mod compose;
 mod exchange;
--- a/crates/rookferry_relay/src/placement/census.rs
+++ b/crates/rookferry_relay/src/placement/census.rs
@@ -1,4 +1,6 @@
-//! Which engines of a service are there to plan with.
+//! Selects the engines of a service that a layout is planned with.
+//!
+//! Engines that leave, that have just appeared, or that count as lost are left out.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,15 +16,15 @@
 use crate::relay::Relay;
 use crate::view::ServerTable;
 
-/// How long a server is out before its layers count as lost. A crashed
-/// engine comes back empty, so waiting longer gains nothing; a lost packet
-/// or a short pause is over by then.
+/// How long a server is unresponsive before its layers count as lost. A crashed engine
+/// comes back empty, so waiting longer gains nothing; a lost packet or a short pause is
+/// over by then.
 const LOST_AFTER: Duration = Duration::from_millis(400);
-/// The part of a site's engines that may be out before it is more likely
-/// that this instance is cut off than that they are lost.
+/// Share of a site's engines that may be unresponsive; above it, this instance is more
+/// likely partitioned than the engines lost.
 const MAX_LOST_PART: f64 = 0.34;
 
-/// What is known of the engines, and of how they came to be listed.
+/// The engines seen so far, and when they were listed.
 pub(super) struct Census {
     relay: Arc<Relay>,
     /// The engines seen so far, by service.
@@ -37,8 +39,7 @@
         }
     }
 
-    /// The engines to plan with: those that stay, without those that are just
-    /// coming.
+    /// The engines to plan with: without those that leave or have only just appeared.
     pub(super) fn take(
         &mut self,
         service: &ServingService,
@@ -52,7 +53,7 @@
         fleet.observe(engines, clock::now())
     }
 
-    /// The engines that stay, with what they hold or were ordered to hold.
+    /// The engines that stay, with the layers they hold or were ordered to hold.
     fn layout(
         &self,
         service: &ServingService,
--- a/crates/rookferry_relay/src/placement/lease_keeper.rs
+++ b/crates/rookferry_relay/src/placement/lease_keeper.rs
@@ -1,5 +1,7 @@
-//! Who may order engines: the holder of the site's lease, or, while there is
-//! none, the first instance of each domain in its own.
+//! Acquires and renews the site's lease, and decides which engines may be ordered.
+//!
+//! The lease holder orders engines of the whole site. While there is no holder, the
+//! first-ranked instance of each failure domain orders engines of its own domain.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,18 +22,18 @@
 use crate::relay::Relay;
 use crate::store::StoreError;
 
-/// How long the lease lasts; a dead holder is replaced after about this.
+/// Duration of the lease; a dead holder is replaced after about this time.
 const LEASE: Duration = Duration::from_secs(2);
-/// How long a sender may be paused between its check and its sending. Orders
-/// name the engine's sequence, so nothing waits for it.
+/// How long an instance may be paused between checking the lease and sending. Orders
+/// carry the engine's sequence number, so nothing waits for this time.
 const PAUSE_BOUND: Duration = Duration::from_secs(1);
-/// How often a rival looks at the lease while it hears no holder.
+/// How often a candidate reads the lease while no holder is known.
 const RIVAL_READS: Duration = Duration::from_millis(500);
-/// The same while it hears one; covers a holder that has lost the lease to
-/// another without knowing.
+/// How often it does while a holder is known; covers a holder that has lost the lease to
+/// another without noticing.
 const QUIET_READS: Duration = Duration::from_secs(15);
-/// How long no holder must have been heard before an instance orders engines
-/// of its own domain without a lease: longer than another takes to get it.
+/// How long no holder must have been reported before an instance orders engines of its
+/// own domain without a lease: longer than another instance takes to acquire it.
 const DEPUTY_AFTER: Duration = Duration::from_millis(3_500);
 
 /// The engines that an instance may order.
@@ -45,19 +47,19 @@
     Site,
 }
 
-/// Keeps the lease, or looks for it.
+/// Renews the lease, or tries to acquire it.
 pub(super) struct LeaseKeeper {
     relay: Arc<Relay>,
     lease: Lease,
-    /// The store's era that the lease is of.
+    /// The store's era in which the lease was read or written.
     era: StoreEra,
     read_at: Option<Instant>,
-    /// Whether the lease was held when the store was restored: it is read again
-    /// whoever reads the store for the domain.
+    /// Whether the lease was held when the store was restored; it is then read again
+    /// whichever instance reads the store for the domain.
     is_to_reread: bool,
     /// Whether this instance held the lease when the store last answered.
     was_holder: bool,
-    /// Since when the store hasn't answered about the lease.
+    /// Since when calls about the lease have failed.
     away_since: Option<Instant>,
     started_at: Instant,
 }
@@ -94,8 +96,9 @@
         if peers.hears_holder(now) {
             return Scope::Nothing;
         }
-        // While the store is away nobody can take the lease over, and orders
-        // of two would meet the engines' own count of orders.
+        // While the store is unavailable no instance can take the lease over, and
+        // conflicting orders of two instances would be refused by the engines' sequence
+        // numbers.
         if self.was_holder && self.away_since.is_some() {
             return Scope::Site;
         }
@@ -109,24 +112,23 @@
         }
     }
 
-    /// Lets another instance take the lease at once.
+    /// Releases the lease, so that another instance can acquire it at once.
     pub(super) async fn give_up(&mut self) {
         if let Some((expected, object)) = self.lease.release() {
-            // If it fails, the lease runs out by itself.
+            // If this fails, the lease expires by itself.
             let expected = StoreVersion::new(self.era, expected);
             let _ = self.relay.store.write_lease(expected, &object).await;
         }
         self.note_lease();
     }
 
-    /// Renews the lease, or takes it where it has run out. Tells whether it
-    /// was won or lost.
+    /// Renews the lease, or acquires an expired one. Returns whether it was won or lost.
     pub(super) async fn keep(&mut self) -> bool {
         self.follow_era();
         let asked_at = clock::now();
         let is_heard = lock(&self.relay.peers).hears_holder(asked_at);
         let pause = if is_heard { QUIET_READS } else { RIVAL_READS };
-        // Of the others one a domain is a rival, the one that asks the store.
+        // Only one instance per domain is a candidate: its store reader.
         let is_rival = self.is_to_reread || !self.relay.leaves_store();
         let is_due = !self.is_holder()
             && is_rival
@@ -146,13 +148,13 @@
                         self.store_answered();
                     }
                 }
-                // It shows as a lost dependency where the servers are read.
+                // The outage is logged by the task that reads the server list.
                 Err(_) => {
                     self.away_since.get_or_insert(asked_at);
                 }
             }
         }
-        // What isn't read while a holder is heard looks run out, and isn't.
+        // A lease that isn't read while a holder is known only looks expired.
         let may_write = self.is_holder() || (is_due && !is_heard);
         if may_write && let LeaseAction::Write { expected, object } = self.lease.next(clock::now())
         {
@@ -168,9 +170,9 @@
                     self.lease.observed(clock::now(), current.as_ref());
                     self.store_answered();
                 }
-                // It may have been written over another holder's.
+                // It may have been written over another holder's lease.
                 Err(StoreError::Outdated) => self.read_at = None,
-                // Whether it was written is read back next time.
+                // The next read shows whether it was written.
                 Err(_) => {
                     self.read_at = None;
                     self.away_since.get_or_insert(sent_at);
@@ -180,8 +182,8 @@
         self.note_lease()
     }
 
-    /// In another era of the store nothing holds that was read or written of the
-    /// lease: another may hold it, or nobody.
+    /// Discards what was read or written of the lease in a previous era of the store:
+    /// another instance may hold it now, or none.
     fn follow_era(&mut self) {
         let era = self.relay.store.era();
         if era == self.era {
@@ -199,7 +201,8 @@
         self.was_holder = self.is_holder();
     }
 
-    /// Notes whether this instance orders; tells whether that has changed.
+    /// Publishes and logs whether this instance orders the whole site; returns whether
+    /// that has changed.
     fn note_lease(&self) -> bool {
         let is_held = self.scope() == Scope::Site;
         if self.relay.holds_lease.swap(is_held, Ordering::Relaxed) == is_held {
--- a/crates/rookferry_relay/src/placement/mod.rs
+++ b/crates/rookferry_relay/src/placement/mod.rs
@@ -1,10 +1,9 @@
-//! Orders engines to hold layers, under the site's lease.
+//! Orders engines to load layers, under the site's lease.
 //!
-//! One instance holds the lease and plans for the whole site from what the
-//! engines' entries say, so that a new holder goes on from what stands. An
-//! order names the engine's sequence as last reported; an engine that has
-//! taken another order meanwhile refuses it, which fences orders of a former
-//! holder.
+//! The lease holder plans for the whole site from the engines' entries, so a new holder
+//! continues from the current layout. An order carries the engine's last reported
+//! sequence number; an engine that has accepted another order since then refuses it,
+//! which fences orders of a former holder.
 
 mod census;
 mod lease_keeper;
@@ -28,12 +27,12 @@
 use crate::relay::Relay;
 use crate::view::ServerTable;
 
-/// Longest time between two plans; a change of the fleet brings one forward.
+/// Longest time between two plans; a change of the fleet triggers one early.
 const PLAN_EVERY: Duration = Duration::from_millis(500);
 /// Least time between two plans.
 const PLAN_PAUSE: Duration = Duration::from_millis(60);
 
-/// Plans and orders while this instance holds the lease.
+/// Plans and sends orders while this instance holds the lease.
 pub(crate) struct Placement {
     relay: Arc<Relay>,
     keeper: LeaseKeeper,
@@ -51,7 +50,7 @@
         }
     }
 
-    /// Runs until the process ends.
+    /// Runs until the process exits.
     pub(crate) async fn run(mut self) {
         let mut fleet = self.relay.fleet_changes.subscribe();
         loop {
@@ -73,13 +72,13 @@
         }
     }
 
-    /// Whether this instance ordered engines of the whole site when it last
-    /// looked.
+    /// Whether this instance was allowed to order engines of the whole site at the last
+    /// check.
     fn holds_lease(&self) -> bool {
         self.relay.holds_lease.load(Ordering::Relaxed)
     }
 
-    /// Plans for all services; tells whether orders are left to send.
+    /// Plans for all services; returns whether orders are left to send.
     async fn plan_all(&mut self) -> bool {
         let scope = self.keeper.scope();
         let view = self.relay.view.load_full();
@@ -107,8 +106,8 @@
         if scope != Scope::Nothing {
             self.orders.settle(service, table).await;
         }
-        // Also by those that don't order: one that begins to knows what has
-        // just come back.
+        // Also on instances that may not order, so that one that takes over knows which
+        // engines have just come back.
         let mut engines = self.census.take(service, table, &self.orders);
         if scope == Scope::Nothing {
             return false;
--- a/crates/rookferry_relay/src/placement/orders.rs
+++ b/crates/rookferry_relay/src/placement/orders.rs
@@ -1,9 +1,9 @@
-//! Orders that engines were sent, until they show in the engines' entries.
+//! Orders sent to engines, tracked until they show in the engines' entries.
 //!
-//! Load pattern: thousands of engines that start empty, and one instance with
-//! an eighth of a core to order them all. Sent at once they take so long that each
-//! runs into its time limit and the lease runs out; so they go a few at a time, and
-//! a round of them leaves time to renew the lease.
+//! Load pattern: thousands of engines start empty, and one instance with an eighth of a
+//! core orders them all. Sent at once, the calls take so long that each reaches its time
+//! limit and the lease expires. They are therefore sent a few at a time, and a round of
+//! them leaves time to renew the lease.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,15 +27,16 @@
 use crate::upstream::Upstream;
 use crate::view::ServerTable;
 
-/// How long an order may take.
+/// Time limit of one call of an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long an ordered engine may take to show its layers before it is asked.
+/// How long an ordered engine may take to show its layers before it is asked for a
+/// report.
 const PLACED_AFTER: Duration = Duration::from_secs(4);
-/// Engines that are called at once. Each answers within a few milliseconds, so
-/// that more would only queue in this process.
+/// Engines that are called concurrently. Each answers within a few milliseconds, so more
+/// calls would only queue in this process.
 const CALLS_AT_ONCE: usize = 32;
-/// How long a round goes on to call engines. With the last one's two calls,
-/// which may take 1.2 s, it ends within the lease's 2 s.
+/// How long a round starts new calls. With the two calls of the last engine, which may
+/// take 1.2 s, the round ends within the lease's 2 s.
 const ROUND: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug)]
@@ -44,17 +45,18 @@
     at: Instant,
 }
 
-/// An order that an engine took, or may have taken.
+/// An order that an engine accepted, or may have accepted.
 #[derive(Clone, Copy, Debug)]
 struct Taken {
     engine: ServerKey,
     layers: LayerRange,
 }
 
-/// Orders under way.
+/// Pending orders.
 pub(super) struct Orders {
     relay: Arc<Relay>,
-    /// By the start that each went to: one that starts again knows of none.
+    /// By the incarnation that each was sent to: a restarted engine doesn't know of
+    /// earlier orders.
     ordered: BTreeMap<ServerKey, Ordered>,
 }
 
@@ -66,19 +68,18 @@
         }
     }
 
-    /// The layers that an engine was ordered to hold, and doesn't show yet.
+    /// The layers that an engine was ordered to hold and doesn't show yet.
     pub(super) fn layers(&self, engine: ServerKey) -> Option<LayerRange> {
         self.ordered.get(&engine).map(|ordered| ordered.layers)
     }
 
-    /// Forgets all: another instance orders from now on.
+    /// Discards all: another instance orders from now on.
     pub(super) fn clear(&mut self) {
         self.ordered.clear();
     }
 
-    /// Sends orders that `may_order` still allows when each is about to leave,
-    /// missing layers first, for the time of a round. Tells whether some are
-    /// left for the next.
+    /// Sends orders for the time of a round, missing layers first; `may_order` is checked
+    /// again just before each is sent. Returns whether some are left for the next round.
     pub(super) async fn send(
         &mut self,
         service: &ServingService,
@@ -100,7 +101,7 @@
         has_more
     }
 
-    /// Forgets orders that show in the engines' entries, or didn't come about.
+    /// Discards orders that show in the engines' entries, or that were not carried out.
     pub(super) async fn settle(&mut self, service: &ServingService, table: &ServerTable) {
         let mut overdue = Vec::new();
         self.ordered.retain(|engine, ordered| {
@@ -127,7 +128,8 @@
         }
     }
 
-    /// Goes on waiting for an engine that is at its order, by its own word.
+    /// Extends the wait for an engine that reports to be working on its order, or to have
+    /// completed it.
     fn take_report(&mut self, engine: ServerKey, report: Option<EngineReport>) {
         let Some(ordered) = self.ordered.get_mut(&engine) else {
             return;
@@ -139,7 +141,7 @@
         }
     }
 
-    /// What an engine says of itself, if it answers.
+    /// An engine's report, if it answers.
     async fn report(&self, upstream: Upstream) -> Option<EngineReport> {
         let protocol = &self.relay.protocol;
         let request = protocol.report_call().request(upstream.server.addr);
@@ -147,7 +149,7 @@
         protocol.read_report(&answer.ok()?.body).ok()
     }
 
-    /// Orders an engine to hold layers; tells if it may have taken the order.
+    /// Orders an engine to hold layers; returns the order if it may have been accepted.
     async fn order(
         &self,
         service: &ServingService,
@@ -164,22 +166,22 @@
         let upstream = self.relay.upstream(server.key, service);
         let report = self.report(upstream).await?;
         if !report.is_from(server) {
-            // The plan is for the process before, which held other layers.
+            // The plan was made for the previous process, which held other layers.
             self.relay.other_start_answered(server.key, &report);
             return None;
         }
         if report.is_busy {
             return Some(taken);
         }
-        // The lease may have run out while the engine was asked.
+        // The lease may have expired while the engine was asked.
         if !may_order() {
             return None;
         }
         let call = protocol.place_call(placement.layers, Some(report.sequence));
         let request = call.request(server.addr());
         let answer = self.relay.call(upstream, request, ORDER_TIMEOUT).await;
-        // An engine is seldom ordered again, and the one that orders thousands would
-        // keep a connection to each, most of its memory.
+        // An engine is seldom ordered again, and keeping a connection to each of
+        // thousands of engines would take most of this process's memory.
         self.relay.pool.close_last(server.key);
         let outcome = match &answer {
             Ok(answer) => answer.status.as_str().to_owned(),
@@ -203,14 +205,14 @@
                 }
                 None
             }
-            // It may have been taken.
+            // The order may have been accepted.
             Err(error) if !error.is_unsent() => Some(taken),
             Err(_) => None,
         }
     }
 }
 
-/// Items until a round that begins now is over.
+/// Yields items until a round that begins now is over.
 fn for_a_round<T>(items: Vec<T>) -> impl Iterator<Item = T> {
     let until = clock::now() + ROUND;
     let items = items.into_iter();
--- a/crates/rookferry_relay/src/probe.rs
+++ b/crates/rookferry_relay/src/probe.rs
@@ -1,4 +1,9 @@
-//! Asks servers for a sign of life.
+//! Probes servers: at once on suspicion, and periodically while they are unresponsive.
+//!
+//! Engines are asked for their report, plain servers (of services without a model) for
+//! their health path. An engine that doesn't answer counts as unresponsive; so does a
+//! plain server only if it refuses the connection. Any server is used again once a
+//! periodic probe gets an answer.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,31 +27,32 @@
 use crate::upstream::UpstreamError;
 use crate::upstream::WholeAnswer;
 
-/// How long an engine may take to answer; within a site a round trip takes
-/// under a millisecond.
+/// Time limit of an engine's answer; a round trip within a site takes under a
+/// millisecond.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(80);
-/// How long a question to an engine stands for those of other streams; they
-/// hear of a lost engine, too.
+/// How long a probe of an engine serves other streams too; they are notified if it finds
+/// the engine lost.
 pub(crate) const ASK_AGAIN: Duration = Duration::from_millis(110);
-/// How long to look for an answer that is there already.
+/// Least time to wait for an answer that has already arrived.
 const LATE_LOOK: Duration = Duration::from_millis(20);
-/// How much longer to look, for each time that this process itself was late to
-/// see that an answer was due: what delays its timers delays what it reads.
+/// Factor of the additional wait, relative to how late this process itself noticed that
+/// the answer was due: what delays its timers delays its reads too.
 const LATE_FACTOR: u32 = 2;
-/// The longest look. An engine that is lost holds a stream up meanwhile.
+/// Longest additional wait. A lost engine stalls a stream meanwhile.
 const LONGEST_LATE_LOOK: Duration = Duration::from_millis(400);
-/// How long a question may take in all, an own delay included.
+/// Time limit of a probe as a whole, including this process's own delay.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// First time between probes of a server that is out; doubles.
+/// First interval between probes of an unresponsive server; it doubles.
 const FIRST_PAUSE: Duration = Duration::from_millis(300);
-/// Longest time between them.
+/// Longest interval between such probes.
 const LONGEST_PAUSE: Duration = Duration::from_millis(1_500);
-/// How often a plain server is asked at once after a run broke there.
+/// Most checks in a row of a plain server after a run broke there.
 const MAX_END_CHECKS: usize = 3;
-/// How often servers that are out are looked through.
+/// How often the unresponsive servers are scanned.
 const ROUND: Duration = Duration::from_millis(150);
 
-/// Whether an engine gives a sign within the bound; marks it lost if not.
+/// Probes an engine; returns whether it answers in time and matches its entry. Marks it
+/// lost if not.
 pub(crate) async fn check(relay: &Relay, upstream: Upstream) -> bool {
     if relay.beliefs.health().is_out(upstream.server) {
         return false;
@@ -84,8 +90,8 @@
     }
 }
 
-/// Asks an engine for a sign because another engine, or another instance, had
-/// trouble with it.
+/// Spawns a probe of an engine that another engine or instance reported trouble with,
+/// unless one is in flight.
 pub(crate) fn check_soon(relay: &Arc<Relay>, server: ServerKey) {
     let view = relay.view.load();
     let Some(service) = view
@@ -108,8 +114,8 @@
     tokio::spawn(async move { check(&relay, upstream).await });
 }
 
-/// Asks a server that a run broke at whether it is still there, whatever was
-/// asked of it just before. One that is out is being probed.
+/// Checks whether a server at which a run broke has exited, even if it was probed just
+/// before. An unresponsive server is already being probed.
 pub(crate) async fn check_ended(relay: &Relay, server: ServerKey) {
     if relay.beliefs.health().is_out(server) {
         return;
@@ -126,11 +132,11 @@
     }
 }
 
-/// Asks a plain server whether it is there. It may just be busy, so that no
-/// answer says nothing.
+/// Checks whether a plain server has exited. It may just be busy, so a missing answer
+/// proves nothing.
 async fn check_plain(relay: &Relay, upstream: Upstream, health_path: &str) {
     let server = upstream.server;
-    // The first may meet a connection that the end is yet to be heard on.
+    // The first call may use a connection whose close hasn't been read yet.
     for _ in 0..MAX_END_CHECKS {
         let Some(request) = health_request(server.addr, health_path) else {
             return;
@@ -140,16 +146,16 @@
             Err(error) if error.shows_end() => {
                 return relay.server_lost(server, &ServerLoss::Refused);
             }
-            // Nothing was asked, and asking again at once comes to the same.
+            // Nothing was sent, and an immediate retry would fail in the same way.
             Err(error) if error.is_held_here() => return,
             Err(_) => {}
         }
     }
 }
 
-/// Whether an engine is the start that its entry tells of, with its layers; it
-/// is out if not. One that crashed and came back at its address has none, and
-/// its old entry stays for a while.
+/// Whether an engine is the incarnation that its entry describes, with its layers; marks
+/// it lost if not. An engine that crashed and came back at its address has no layers, and
+/// its old entry remains for a while.
 fn is_as_listed(relay: &Relay, server: ServerKey, report: &EngineReport) -> bool {
     let view = relay.view.load();
     let Some(entry) = view.server(server) else {
@@ -167,9 +173,8 @@
     true
 }
 
-/// A last look for an answer that was due, but has arrived while this process
-/// stood still itself: after a pause its timers are seen before what came in
-/// meanwhile.
+/// Waits a little longer for an answer that was due, but may have arrived while this
+/// process was paused: after a pause its timers fire before the received data is read.
 async fn late(
     addr: SocketAddr,
     asked: impl Future<Output = Result<WholeAnswer, UpstreamError>>,
@@ -183,7 +188,7 @@
     })
 }
 
-/// Probes servers that are out until they answer again.
+/// Probes unresponsive servers until they answer again.
 pub(crate) async fn watch_lost(relay: Arc<Relay>) {
     let mut due: HashMap<ServerKey, (Instant, Duration)> = HashMap::new();
     loop {
@@ -220,23 +225,23 @@
         request
     };
     let upstream = relay.upstream(server, service);
-    // Any answer shows that it is there; one that is full answers too.
+    // Any answer shows that it is alive; an overloaded server answers too.
     match relay.call(upstream, request, PROBE_TIMEOUT * 3).await {
         Ok(answer) if is_engine && is_other(&relay, server, &answer) => {}
         Ok(_) | Err(UpstreamError::Crossed { .. }) => relay.server_answered(server),
         Err(error) if error.shows_end() => relay.server_ended(server),
-        // It stays out, and is probed again.
+        // It stays unresponsive, and is probed again.
         Err(_) => {}
     }
 }
 
-/// Whether an engine's answer says that it isn't as it is listed.
+/// Whether an engine's answer contradicts its entry.
 fn is_other(relay: &Relay, server: ServerKey, answer: &WholeAnswer) -> bool {
     let report = read_report(relay, server, answer);
     report.is_some_and(|report| !is_as_listed(relay, server, &report))
 }
 
-/// An engine's report; one that doesn't read still shows that it is there.
+/// Parses an engine's report; an invalid one still shows that the engine is alive.
 fn read_report(relay: &Relay, server: ServerKey, answer: &WholeAnswer) -> Option<EngineReport> {
     match relay.protocol.read_report(&answer.body) {
         Ok(report) => Some(report),
--- a/crates/rookferry_relay/src/protocol.rs
+++ b/crates/rookferry_relay/src/protocol.rs
@@ -1,6 +1,6 @@
-//! The names and formats that callers and backend servers speak.
+//! The interface to the names and formats of callers and backend servers.
 //!
-//! The relay decides; an implementation of [`ServerProtocol`] only encodes
+//! The relay makes the decisions; an implementation of [`ServerProtocol`] only encodes
 //! and decodes.
 
 use std::net::SocketAddr;
@@ -21,10 +21,10 @@
 use rookferry_wire::LayerRange;
 use snafu::Snafu;
 
-/// Names of the headers that carry what the relay reads or sets.
+/// Names of the headers that the relay reads or sets.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// The caller's id of the attempt.
+    /// The caller's ID of the attempt.
     pub attempt: HeaderName,
     /// Milliseconds that the caller, or the relay, will still wait.
     pub time_left_ms: HeaderName,
@@ -34,20 +34,20 @@
     pub signature: HeaderName,
     /// The client account, set by the relay.
     pub account: HeaderName,
-    /// The start of a server that alone may run the request.
+    /// The only server incarnation that may run the request.
     pub expected_server: HeaderName,
     /// Set by servers on answers to requests that they didn't run.
     pub not_run: HeaderName,
-    /// The engines that a request passes.
+    /// The engines that a request passes through.
     pub path: HeaderName,
-    /// The engine at fault, in refusals.
+    /// The engine that caused a refusal.
     pub faulty_server: HeaderName,
 }
 
-/// What a caller's headers say.
+/// The values of a caller's headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerHead {
-    /// The attempt's id, if there is one that reads.
+    /// The attempt's ID, if there is a valid one.
     pub attempt: Option<String>,
     /// How long the caller will wait, in milliseconds.
     pub time_left_ms: Option<u64>,
@@ -57,16 +57,16 @@
     pub prompt_tokens: u32,
     /// Most tokens of the answer.
     pub answer_tokens: u32,
-    /// Tokens of the answer that the caller expects, if it says so.
+    /// Tokens of the answer that the caller expects, if given.
     pub expected_answer_tokens: Option<u32>,
     /// The last event that an earlier attempt delivered.
     pub last_event: Option<u64>,
 }
 
 impl CallerHead {
-    /// Tokens that the request holds in an engine's cache, over its life on
-    /// average. The caller's guess has the mean of what comes; the most that
-    /// it asks for is three times that, and had a fifth of the room unused.
+    /// Tokens that the request occupies in an engine's cache, averaged over its duration.
+    /// The caller's estimate matches the mean length of answers; the maximum that it asks
+    /// for is three times that, and left a fifth of the cache unused.
     #[must_use]
     pub fn held_tokens(&self) -> f64 {
         let most = self.answer_tokens;
@@ -78,20 +78,21 @@
 /// An engine's report on itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineReport {
-    /// When it started, in Unix milliseconds, if it tells.
+    /// When it started, in Unix milliseconds, if reported.
     pub incarnation: Option<Incarnation>,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub is_busy: bool,
-    /// Orders taken since its start.
+    /// Orders accepted since its start.
     pub sequence: u64,
-    /// The layers it holds, ready to run.
+    /// The layers that it holds, ready to run.
     pub held: Option<LayerRange>,
-    /// How many times as long as published its steps take.
+    /// The factor by which its steps take longer than published.
     pub slowdown: f64,
 }
 
 impl EngineReport {
-    /// Whether it is of the start that an entry is of, as far as both tell.
+    /// Whether the report and `entry` are of the same incarnation; true if either doesn't
+    /// state it.
     #[must_use]
     pub fn is_from(&self, entry: &BackendServer) -> bool {
         let starts = self.incarnation.zip(entry.incarnation);
@@ -123,15 +124,15 @@
     }
 }
 
-/// Names the server that a request of the relay's own goes to.
+/// Sets the `Host` header of a request that the relay itself makes.
 pub(crate) fn set_host(request: &mut Request<Full<Bytes>>, addr: SocketAddr) {
-    // An address is always fit for a header.
+    // An address is always a valid header value.
     if let Ok(host) = HeaderValue::from_str(&addr.to_string()) {
         request.headers_mut().insert(HOST, host);
     }
 }
 
-/// A body or header that doesn't read.
+/// A body or header that can't be parsed.
 #[derive(Debug, Snafu)]
 #[snafu(display("what the server says doesn't read: {message}"))]
 pub struct FormatError {
@@ -139,48 +140,47 @@
     pub message: String,
 }
 
-/// Encodes and decodes what callers and backend servers speak.
+/// Encodes and decodes the formats of callers and backend servers.
 pub trait ServerProtocol: Send + Sync {
     /// The names of headers.
     fn names(&self) -> &HeaderNames;
 
-    /// Reads a caller's headers.
+    /// Parses a caller's headers.
     fn caller_head(&self, headers: &HeaderMap) -> CallerHead;
 
     /// Whether an answer says that its server is leaving.
     ///
     /// # Errors
     ///
-    /// If what it says doesn't read.
+    /// If the header can't be parsed.
     fn says_leaving(&self, headers: &HeaderMap) -> Result<bool, FormatError>;
 
-    /// The requests a second that a server takes of all instances together, if an
-    /// answer names them.
+    /// The requests per second that a server accepts from all instances together, if an
+    /// answer states them.
     ///
     /// # Errors
     ///
-    /// If what it names doesn't read.
+    /// If the header can't be parsed.
     fn named_limit(&self, headers: &HeaderMap) -> Result<Option<f64>, FormatError>;
 
-    /// A path as the header that names it.
+    /// Encodes a path as a header value.
     fn path_value(&self, path: &PipelinePath) -> HeaderValue;
 
     /// The call that asks an engine for its report.
     fn report_call(&self) -> EngineCall;
 
-    /// Reads a report.
+    /// Parses a report.
     ///
     /// # Errors
     ///
-    /// If it doesn't read.
+    /// If it can't be parsed.
     fn read_report(&self, body: &[u8]) -> Result<EngineReport, FormatError>;
 
-    /// The order to hold layers; an engine whose sequence isn't the expected
-    /// one doesn't take it.
+    /// The order to hold layers; an engine whose sequence isn't the expected one refuses
+    /// it.
     fn place_call(&self, layers: LayerRange, expected_sequence: Option<u64>) -> EngineCall;
 
-    /// The order to move a running request to another path with the same
-    /// first stage.
+    /// The order to move a running request to another path with the same first stage.
     fn repath_call(&self, attempt: &str, path: &PipelinePath) -> EngineCall;
 
     /// The engine that a refused order names.
--- a/crates/rookferry_relay/src/quarantine_keeper.rs
+++ b/crates/rookferry_relay/src/quarantine_keeper.rs
@@ -1,9 +1,9 @@
-//! Keeps the held requests in the platform's store.
+//! Synchronises the quarantined requests with the platform's store.
 //!
-//! The instance that finds one writes it at once. Of each failure domain the
-//! instance that asks the store also reads what others wrote, and writes what
-//! is missing; heartbeats carry it on. So what is known outlives all instances,
-//! and reaches a domain that hears no other.
+//! The instance that quarantines a request writes it to the store at once. In each
+//! failure domain the store reader also reads what others have written and writes what is
+//! missing; heartbeats carry it to the other instances. So the quarantine survives the
+//! loss of all instances, and reaches a domain that receives from no other.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -22,19 +22,18 @@
 use crate::store::StoreError;
 use crate::tracked_store::Versioned;
 
-/// How long a watch waits: three calls a minute and failure domain, a fortieth
-/// of those for the configuration.
+/// How long a watch waits: three calls per minute and failure domain, a fortieth of those
+/// for the configuration.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// Pause after a failed call, and between looks whether the store is this
-/// instance's to ask.
+/// Pause after a failed call, and between checks whether this instance reads the store.
 const PAUSE: Duration = Duration::from_secs(1);
-/// The same while the instance has just started and knows of none, and after a watch that
-/// was refused.
+/// The same while the instance has just started and has no state, and after a refused
+/// watch.
 const START_PAUSE: Duration = Duration::from_millis(50);
-/// How often a write is tried against others' writes.
+/// Most write attempts against concurrent writes.
 const MAX_WRITES: usize = 4;
 
-/// Keeps the held requests until the process ends.
+/// Synchronises the quarantined requests until the process exits.
 pub(crate) async fn keep_quarantine(relay: Arc<Relay>) {
     let mut keeper = QuarantineKeeper {
         relay: relay.clone(),
@@ -43,8 +42,8 @@
     loop {
         let may_lack = tokio::select! {
             () = relay.quarantine.to_store.notified() => true,
-            // Without this, instances that start read of a request that was
-            // released, and all held it again.
+            // Otherwise starting instances would read a released request from the store
+            // and every instance would quarantine it again.
             () = relay.quarantine.released.notified() => keeper.stores_cleared(),
             has_read = keeper.read_next() => has_read,
         };
@@ -54,13 +53,13 @@
     }
 }
 
-/// The object as it was last seen.
+/// The object as last read or written.
 #[derive(Debug, Default)]
 struct Stored {
-    /// The version of the store to watch from; `None` before the first read, and after
-    /// a restore.
+    /// The store version to watch from; `None` before the first read, and after a
+    /// restore.
     after: Option<StoreVersion>,
-    /// The object's revision in the era that it was seen in.
+    /// The object's revision, in the era in which it was read.
     version: StoreVersion,
     quarantine: QuarantineObject,
 }
@@ -71,7 +70,7 @@
 }
 
 impl QuarantineKeeper {
-    /// The next news of the store, or a pause; tells whether it was read.
+    /// Reads the next change from the store, or pauses; returns whether it was read.
     async fn read_next(&mut self) -> bool {
         if self.relay.leaves_store() || self.relay.is_store_away.load(Ordering::Relaxed) {
             let pause = if self.relay.awaits_peers() {
@@ -94,21 +93,21 @@
                 }
                 return true;
             }
-            // It is read anew after a pause: a store may refuse each watch.
+            // It is read again after a pause, since a store may refuse each watch.
             Err(StoreError::Forgotten | StoreError::Outdated) => {
                 self.stored.after = None;
                 tokio::time::sleep(START_PAUSE).await;
             }
-            // A store that is away shows as a lost dependency already.
+            // The outage is logged by the tasks that read configuration and servers.
             Err(_) => tokio::time::sleep(PAUSE).await,
         }
         false
     }
 
-    /// Reads what the store has, in whichever era it is; tells whether it was read.
+    /// Reads what the store has, in its current era; returns whether it was read.
     async fn read_anew(&mut self) -> bool {
         let Ok(Versioned { version, value, .. }) = self.relay.store.quarantine().await else {
-            // A store that is away shows as a lost dependency already.
+            // The outage is logged by the tasks that read configuration and servers.
             tokio::time::sleep(PAUSE).await;
             return false;
         };
@@ -123,7 +122,7 @@
         true
     }
 
-    /// Takes in what the store has in the era that was last read in.
+    /// Applies an object of the era that was last read.
     fn take(&mut self, object: &Object) {
         let quarantine = match serde_json::from_value(object.value.clone()) {
             Ok(quarantine) => quarantine,
@@ -148,14 +147,15 @@
         }
     }
 
-    /// Whether the store, as last seen, holds a request that has ended well.
+    /// Whether the stored object, as last seen, contains a request that has succeeded
+    /// since.
     fn stores_cleared(&self) -> bool {
         let quarantine = self.relay.quarantine.lock();
         let mut stored = self.stored.quarantine.requests();
         stored.any(|(signature, _)| quarantine.is_cleared(signature))
     }
 
-    /// Writes what is held here and isn't in the store, and what is to go.
+    /// Writes quarantined requests that the store lacks, and removes released ones.
     async fn write_missing(&mut self) {
         for _ in 0..MAX_WRITES {
             let Some(quarantine) = self.missing() else {
@@ -172,23 +172,23 @@
                 Err(StoreError::Conflict {
                     current: Some(current),
                 }) => self.take(&current),
-                // It may have been written over what wasn't read.
+                // The write may have replaced an object that wasn't read.
                 Err(StoreError::Outdated) => {
                     self.read_anew().await;
                 }
-                // Read it anew: it may have been written all the same.
+                // The write may have taken effect all the same.
                 Err(_) => {
                     tokio::time::sleep(PAUSE).await;
                     self.read_anew().await;
                 }
             }
         }
-        // The next look tries again.
+        // The next pass tries again.
         self.relay.quarantine.to_store.notify_one();
     }
 
-    /// The object with what is held here, if the store's lacks some of it or
-    /// holds what has ended well since.
+    /// The object to write, if the stored one lacks a quarantined request or contains one
+    /// that has succeeded since.
     fn missing(&self) -> Option<QuarantineObject> {
         let now = clock::now();
         let unix_now = clock::unix_now();
--- a/crates/rookferry_relay/src/readiness.rs
+++ b/crates/rookferry_relay/src/readiness.rs
@@ -1,4 +1,8 @@
-//! What an instance knows of its site, and whether it serves by that.
+//! Decides whether this instance knows the site well enough to serve, and whether it
+//! reads the store itself or relies on its peers.
+//!
+//! Only one instance per failure domain reads the store; the others use that instance's
+//! state and fall back to the store when it grows old.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,55 +21,54 @@
         !self.is_leaving() && self.knows_site()
     }
 
-    /// Whether this instance has just started, and may know the site within
-    /// moments.
+    /// Whether this instance has just started, and may know the site within moments.
     pub(crate) fn is_starting(&self) -> bool {
         !self.knows_site() && self.start_line().is_starting(self.age())
     }
 
-    /// Whether configuration and servers are known well enough to serve by.
+    /// Whether configuration and servers are known and recent enough to serve by.
     pub(crate) fn knows_site(&self) -> bool {
         let view = self.view.load();
         view.index.is_some() && view.servers.is_some() && self.is_config_fresh()
     }
 
-    /// Why requests can't be served while the site isn't known.
+    /// The refusal for requests that can't be served while the site isn't known.
     pub(crate) fn unknown_site(&self) -> Refusal {
         if self.is_starting() {
             let line = self.start_line();
             return Refusal::Starting(line.come_back_after(self.age(), rand::random()));
         }
-        // Peers that are heard would have passed a newer word on.
+        // Live peers would have passed on a newer confirmation.
         if lock(&self.peers).hears_any(clock::now()) {
             return Refusal::ConfigStale;
         }
         Refusal::ConfigUnknown
     }
 
-    /// Whether the configuration was known to be the newest a short time ago.
+    /// Whether the configuration was recently confirmed to be the newest.
     pub(crate) fn is_config_fresh(&self) -> bool {
         let bound = self.settings.bounds.max_config_age();
         lock(&self.config_age).is_fresh(clock::now(), bound)
     }
 
-    /// How long ago a version was known to be the newest, rounded up, as peers
-    /// are told.
+    /// Milliseconds since a version was known to be the newest, rounded up, as advertised
+    /// to peers; `None` if another version is active.
     pub(crate) fn config_age_ms(&self, version: u64, now: Instant) -> Option<u64> {
         let known = self.config_age();
         let age = known.age(now).filter(|_| known.version() == version)?;
         Some(told_ms(age))
     }
 
-    /// How long ago the list of servers in force was known to be the newest.
+    /// Time since the active server list was known to be the newest.
     pub(crate) fn servers_age(&self, now: Instant) -> Option<Duration> {
         lock(&self.servers_age).age(now)
     }
 
-    /// Whether this instance hears what the store has from one that reads it.
+    /// Whether this instance gets the store's content from a peer that reads it.
     ///
-    /// One instance a failure domain reads the store; the others take its word, which
-    /// heartbeats bring with its age, and read themselves when that grows old, or what
-    /// they have in force does.
+    /// One instance per failure domain, the store reader, reads the store. The others
+    /// rely on its heartbeats, which carry the age of its state, and read the store
+    /// themselves when that or their own state grows too old.
     pub(crate) fn relies_on_peers(&self) -> bool {
         let now = clock::now();
         let budget = self.settings.bounds.news_budget();
@@ -76,8 +79,8 @@
         is_informed && !lock(&self.peers).reads_store(budget, now)
     }
 
-    /// Whether no newer configuration is known of. One that nobody confirms, since the
-    /// store was restored from before it, is the newest all the same.
+    /// Whether no newer configuration is known. One that no instance confirms, since the
+    /// store was restored from an older backup, still counts as the newest.
     fn has_newest_config(&self, now: Instant, bound: Duration) -> bool {
         let Some(version) = self.config_version() else {
             return false;
@@ -85,9 +88,8 @@
         self.config_age().is_fresh(now, bound) || !lock(&self.peers).has_newer_config(version, now)
     }
 
-    /// Whether this instance has just started, and its peers are yet to tell
-    /// it what they know, or what they told is fresh. It reads the store itself if
-    /// they don't.
+    /// Whether this instance has just started and its peers have not yet sent their
+    /// state, or have sent a recent one. It reads the store itself if they don't.
     pub(crate) fn awaits_peers(&self) -> bool {
         if self.age() >= self.start_line().first_read_after() {
             return false;
@@ -96,7 +98,7 @@
         !self.knows_site() || self.store.contact().is_fresh(clock::now(), fresh)
     }
 
-    /// This instance's place in line at its start.
+    /// This instance's place in the queue at its start.
     fn start_line(&self) -> StartLine {
         let peers = lock(&self.peers);
         StartLine {
@@ -107,19 +109,19 @@
         }
     }
 
-    /// How long a request waits at most that comes while this instance starts; `None` if
-    /// it is refused at once.
+    /// The longest time that a request waits while this instance starts; `None` if it is
+    /// refused at once.
     pub(crate) fn start_wait(&self) -> Option<Duration> {
         self.start_line().wait(self.age())
     }
 
-    /// Whether the store is left alone, because peers tell what it has.
+    /// Whether the store isn't read, because peers provide its content.
     pub(crate) fn leaves_store(&self) -> bool {
         self.relies_on_peers() || self.awaits_peers()
     }
 
-    /// How many instances of the failure domain are before this one in asking
-    /// the store.
+    /// This instance's rank in its failure domain: how many instances precede it for the
+    /// domain's duties, such as reading the store.
     pub(crate) fn rank(&self, now: Instant) -> usize {
         lock(&self.peers).rank(now)
     }
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -1,4 +1,8 @@
-//! What the parts of an instance share.
+//! State that the tasks of an instance share, and its updates.
+//!
+//! Configuration and server list are replaced as a whole in a snapshot ([`SiteView`]),
+//! which requests read without a lock. Changes wake the tasks that wait for them through
+//! watch channels.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -48,51 +52,51 @@
 use crate::view::ServerTable;
 use crate::view::SiteView;
 
-/// Most servers named in a line that leave, and most that are gone.
+/// Most servers named in a log line as leaving, and most as removed.
 const MAX_DEPARTED_NAMED: usize = 8;
 
-/// State that all parts of an instance share.
+/// State shared by all tasks of an instance.
 pub(crate) struct Relay {
     pub(crate) settings: RelaySettings,
     pub(crate) protocol: Arc<dyn ServerProtocol>,
     pub(crate) store: TrackedStore,
     pub(crate) pool: UpstreamPool,
     pub(crate) view: ArcSwap<SiteView>,
-    /// What is believed of the servers.
+    /// What this instance currently assumes about each server.
     pub(crate) beliefs: ServerBeliefs,
-    /// Requests under which servers ended.
+    /// Requests under which servers crashed.
     pub(crate) quarantine: RequestQuarantine,
-    /// Permits for servers that named a limit.
+    /// Permits for servers that have given a limit.
     pub(crate) permits: Permits,
     pub(crate) door: Arc<Door>,
     pub(crate) events: Arc<EventLog>,
-    /// Raised whenever paths may have to be looked at again.
+    /// Incremented whenever paths may have to be checked again.
     pub(crate) fleet_changes: watch::Sender<u64>,
-    /// Raised whenever others are to be told of something at once: a newer configuration
-    /// or list of servers, or a server that leaves.
+    /// Incremented whenever peers must be notified early: of a newer configuration or
+    /// server list, or of a leaving server.
     pub(crate) versions: watch::Sender<u64>,
     /// Instances that share the site's budgets, this one included.
     pub(crate) instances: AtomicUsize,
     /// Those of them in the same failure domain.
     pub(crate) near_instances: AtomicUsize,
     pub(crate) peers: Mutex<PeerTable>,
-    /// What has changed in the list of servers in force.
+    /// Recent changes of the active server list.
     pub(crate) list_history: Mutex<ListHistory>,
-    /// The newest list of servers that a peer gave.
+    /// The newest server list received from a peer.
     pub(crate) peer_servers: watch::Sender<Option<PeerList>>,
-    /// Engines that started again before their entries tell of it.
+    /// Engines that have restarted and whose entries don't show it yet.
     pub(crate) restarts: Restarts,
-    /// What this instance may send over the link between failure domains.
+    /// Limits what this instance sends over the link between failure domains.
     pub(crate) link_pace: Mutex<LinkPace>,
-    /// Who gets the configuration, and the servers, from this instance.
+    /// Transfers of the configuration, and of the server list, to peers.
     pub(crate) config_source: Mutex<BodySource<u64>>,
     pub(crate) servers_source: Mutex<BodySource<ListVersion>>,
-    /// When a peer last told of a configuration or a list newer than this instance's.
+    /// When a peer last advertised a configuration or list newer than the active one.
     pub(crate) offered_at: Mutex<Option<Instant>>,
-    /// Whether this instance orders engines.
+    /// Whether this instance orders engines of the whole site.
     pub(crate) holds_lease: AtomicBool,
-    /// Whether this instance's last read of the configuration failed. Other
-    /// reads then wait for the next that succeeds.
+    /// Whether this instance's last read of the configuration failed. Other reads then
+    /// wait for the next one that succeeds.
     pub(crate) is_store_away: AtomicBool,
     pub(crate) started_at: Instant,
     leaving_since: OnceLock<Instant>,
@@ -146,12 +150,12 @@
         }
     }
 
-    /// Whether the instance has been told to stop.
+    /// Whether the instance has been asked to stop.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving_since.get().is_some()
     }
 
-    /// How long ago it was told to stop.
+    /// Time since it was asked to stop.
     pub(crate) fn leaving_for(&self) -> Option<Duration> {
         self.leaving_since.get().copied().map(clock::since)
     }
@@ -170,13 +174,14 @@
         *lock(&self.config_age)
     }
 
-    /// A version was the newest at some time, seen here or told by a peer.
+    /// Records that a version was the newest at a time, as read here or reported by a
+    /// peer.
     pub(crate) fn confirm_config(&self, version: u64, at: Instant) {
         lock(&self.config_age).confirm(version, at);
     }
 
-    /// The list of servers in force was the newest at some time: it is of that version,
-    /// or of a later one.
+    /// Records that the active server list was the newest at a time: it has that version
+    /// or a later one.
     pub(crate) fn confirm_servers(&self, version: ListVersion, at: Instant) {
         let in_force = self.servers_version();
         if version.store.era != in_force.store.era || version > in_force {
@@ -190,9 +195,9 @@
         age.confirm(in_force, at);
     }
 
-    /// A configuration or a list that a peer gave says what the store had when both
-    /// were the newest. An instance that has just started relies on that until it hears
-    /// from the one that reads the store.
+    /// Derives contact with the store from bodies: a configuration and a list from a peer
+    /// show what the store contained when both were the newest. A starting instance
+    /// relies on that until its domain's store reader sends it a heartbeat.
     pub(crate) fn note_contact_by_bodies(&self) {
         let config_at = lock(&self.config_age).confirmed_at();
         let servers_at = lock(&self.servers_age).confirmed_at();
@@ -201,7 +206,7 @@
         }
     }
 
-    /// Puts a newer configuration in force.
+    /// Activates a configuration if it is newer, and confirms its version as of `at`.
     pub(crate) fn adopt_config(&self, config: ServingConfig, source: &'static str, at: Instant) {
         let version = config.version;
         let before = self.config_version();
@@ -228,7 +233,7 @@
         }
     }
 
-    /// Tells of accelerators that can't be planned with.
+    /// Logs accelerators whose figures can't be used for planning.
     fn note_unusable_figures(&self, index: &ServingIndex) {
         for service in &index.config().services {
             let Some(model) = &service.model else {
@@ -247,12 +252,12 @@
         }
     }
 
-    /// The version in force.
+    /// The version of the active configuration.
     pub(crate) fn config_version(&self) -> Option<u64> {
         self.view.load().config_version()
     }
 
-    /// The version of the list of servers in force; the lowest while there is none.
+    /// The version of the active server list; the lowest while there is none.
     pub(crate) fn servers_version(&self) -> ListVersion {
         self.view.load().servers_version()
     }
@@ -275,8 +280,8 @@
         self.versions.send_modify(|changes| *changes += 1);
     }
 
-    /// Tells which list of servers is in force from now on, and whom it takes out of
-    /// use.
+    /// Logs the newly active server list, and the servers that leave or are removed with
+    /// it.
     fn note_servers(&self, servers: &ServerTable, source: &'static str) {
         if let Some(log) = self.events.line(Weight::Notable) {
             let before = self.view.load();
@@ -291,12 +296,13 @@
         self.view.rcu(|view| Arc::new(update(view)));
     }
 
-    /// Wakes the streams, so that they look at their paths again.
+    /// Wakes the streams, so that they check their paths again.
     pub(crate) fn note_fleet_change(&self) {
         self.fleet_changes.send_modify(|changes| *changes += 1);
     }
 
-    /// A server didn't answer at all: it is out until a probe finds it.
+    /// Records that a server didn't answer: it counts as unresponsive until a probe
+    /// succeeds.
     pub(crate) fn server_lost(&self, server: ServerKey, loss: &ServerLoss) {
         if loss.is_end() {
             self.server_ended(server);
@@ -311,8 +317,8 @@
         self.note_fleet_change();
     }
 
-    /// Another process answers than the one that is listed: what was sent to
-    /// that one is lost. A later start is taken in before its entry shows it.
+    /// Records that another process answers than the listed one: what was sent to the
+    /// listed one is lost. A later incarnation is used before its entry shows it.
     pub(crate) fn other_start_answered(&self, server: ServerKey, report: &EngineReport) {
         self.server_lost(server, &ServerLoss::OtherStart);
         let view = self.view.load();
@@ -339,7 +345,7 @@
         }
     }
 
-    /// A server answered.
+    /// Records that a server answered.
     pub(crate) fn server_answered(&self, server: ServerKey) {
         self.beliefs.broken_runs.server_answered(server);
         let mut health = self.beliefs.health();
--- a/crates/rookferry_relay/src/restarts.rs
+++ b/crates/rookferry_relay/src/restarts.rs
@@ -1,10 +1,9 @@
-//! Engines that were found to have started again, on their way to the
-//! directory.
+//! Engines that were found to have restarted, queued for the directory.
 //!
-//! Load pattern: engines start again while the platform's store is away. Their
-//! entries tell of the former processes until it is back, so whoever asks such
-//! an engine learns of its start first. Without this, layers that were lost
-//! during an outage were ordered anew only after it.
+//! Load pattern: engines restart while the platform's store is unavailable. Their entries
+//! describe the former processes until it is back, so an instance that calls such an
+//! engine learns of its restart first. Without this queue, layers that were lost during
+//! an outage were ordered again only after it.
 
 use std::sync::Mutex;
 
@@ -13,11 +12,11 @@
 
 use crate::mutex::lock;
 
-/// Most restarts that wait: more than engines of a failure domain. One that
-/// finds no place is found again by the next question.
+/// Most queued restarts: more than there are engines in a failure domain. An engine that
+/// doesn't fit is found again by the next call to it.
 const MAX_WAITING: usize = 1_024;
 
-/// Servers as their new processes describe themselves.
+/// Servers as described by their new processes.
 #[derive(Debug, Default)]
 pub(crate) struct Restarts {
     waiting: Mutex<Vec<BackendServer>>,
@@ -25,7 +24,7 @@
 }
 
 impl Restarts {
-    /// Adds a server; tells whether there was a place for it.
+    /// Queues a server; returns whether it was added.
     pub(crate) fn push(&self, server: BackendServer) -> bool {
         let mut waiting = lock(&self.waiting);
         if waiting.len() >= MAX_WAITING || waiting.iter().any(|known| known.key == server.key) {
@@ -37,7 +36,7 @@
         true
     }
 
-    /// Waits for servers. Nothing is lost when this is dropped while it waits.
+    /// Waits for servers. Cancel safe.
     pub(crate) async fn next(&self) -> Vec<BackendServer> {
         loop {
             let servers = std::mem::take(&mut *lock(&self.waiting));
--- a/crates/rookferry_relay/src/server_loss.rs
+++ b/crates/rookferry_relay/src/server_loss.rs
@@ -1,24 +1,24 @@
-//! Why a server counts as lost.
+//! Reasons for which a server counts as lost.
 
 use std::fmt;
 
 use crate::upstream::UpstreamError;
 
-/// What showed that a server can't be used.
+/// Evidence that a server can't be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ServerLoss {
-    /// Nothing listens at its address: the process has ended.
+    /// Nothing listens at its address: the process has exited.
     Refused,
-    /// Another start of it answers: the process has ended.
+    /// Another incarnation answers at its address: the process has exited.
     OtherStart,
-    /// It answers, without the layers that its entry tells of.
+    /// It answers, but without the layers that its entry lists.
     LayersGone,
-    /// It didn't answer, which a cut between here and there explains as well.
+    /// It didn't answer, which a network partition explains as well. Contains the cause.
     Unreachable(String),
 }
 
 impl ServerLoss {
-    /// Whether the process has ended.
+    /// Whether it proves that the process has exited.
     pub(crate) const fn is_end(&self) -> bool {
         matches!(self, Self::Refused | Self::OtherStart)
     }
--- a/crates/rookferry_relay/src/settings.rs
+++ b/crates/rookferry_relay/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an instance.
+//! Settings of an instance, read from JSON.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,51 +12,52 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Where an instance listens.
+/// Addresses at which an instance listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether it is ready.
+    /// For the load balancer's readiness check.
     pub readiness: SocketAddr,
-    /// For its figures.
+    /// For metrics scrapes.
     pub metrics: SocketAddr,
     /// For other instances, by UDP and TCP.
     pub peers: SocketAddr,
 }
 
-/// What the machine that an instance runs on can carry.
+/// Resources of the machine that an instance runs on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineSettings {
-    /// The cores that the instance may use, also parts of one.
+    /// Cores that the instance may use, possibly a fraction.
     #[serde(default)]
     pub cores: Option<f64>,
-    /// The bandwidth of the machine's link.
+    /// Bandwidth of the machine's link, in Mbit/s.
     #[serde(default)]
     pub link_mbps: Option<f64>,
 }
 
-/// Bounds that the operator sets; each runs from a platform's answer.
+/// Bounds set by the operator; each counts from an answer of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BoundSettings {
-    /// A removed key must not be served this long after its removal.
+    /// Milliseconds after its removal from which a key must not be served.
     pub revoke_ms: u64,
-    /// A server must get no request this long after the store knows that it leaves.
+    /// Milliseconds after the store knows that a server leaves from which it must get no
+    /// request.
     pub drain_ms: u64,
-    /// Time from the word to stop until the process is killed.
+    /// Seconds from the stop signal until the process is killed.
     pub grace_s: f64,
-    /// Repeats allowed as a share of fresh requests, over all instances.
+    /// Retries allowed as a share of first attempts, over all instances.
     pub retry_ratio: f64,
-    /// Repeats allowed on top of the share, over all instances.
+    /// Retries allowed in addition to the share, over all instances.
     pub retry_slack: f64,
-    /// The window of both.
+    /// The window of both, in seconds.
     pub retry_window_s: f64,
-    /// How often backend servers write their entries.
+    /// Milliseconds between two writes of a backend server's entry.
     pub heartbeat_ms: u64,
-    /// How long the platform's own entries may be missing after its outage.
+    /// Milliseconds for which the platform's own entries may be missing after its outage.
     pub lapse_grace_ms: u64,
 }
 
@@ -64,45 +65,45 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelaySettings {
-    /// The name of its site, the same for all of its instances; what instances of others
-    /// say is passed over.
+    /// The name of the site, the same for all of its instances; heartbeats of other sites
+    /// are ignored.
     #[serde(default = "unnamed_site")]
     pub site: SiteId,
-    /// Its name.
+    /// The instance's name.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// The instance's failure domain.
     pub domain: DomainId,
     /// Where it listens.
     pub listen: ListenSettings,
-    /// Whether the whole site starts for the first time, so that nothing was
-    /// spent of its budgets before.
+    /// Whether the whole site starts for the first time, so that none of its budgets has
+    /// been spent before.
     #[serde(default)]
     pub is_first_start: bool,
-    /// The machine, as far as it is known. Where it isn't the instance counts as a
+    /// Resources of the machine, as far as known; otherwise the instance counts as a
     /// small one.
     #[serde(default)]
     pub machine: MachineSettings,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
     /// Addresses at which other instances may listen for peers.
     pub seeds: Vec<SocketAddr>,
-    /// Bounds.
+    /// Bounds set by the operator.
     pub bounds: BoundSettings,
 }
 
-/// Settings that don't hold.
+/// Why settings are refused.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// They don't read.
+    /// They can't be parsed.
     #[snafu(display("the settings don't read: {message}; see docs/OPERATIONS.md for the fields"))]
     Unreadable {
-        /// Where and why.
+        /// The position and the cause.
         message: String,
     },
-    /// Values that can't be.
+    /// Values are out of range.
     #[snafu(display("{faults}"))]
     Invalid {
-        /// One line a fault.
+        /// One line for each fault.
         faults: String,
     },
 }
@@ -112,11 +113,12 @@
 }
 
 impl RelaySettings {
-    /// Reads and checks settings.
+    /// Parses and checks settings.
     ///
     /// # Errors
     ///
-    /// If they don't read, or values can't be; every such value is named.
+    /// If they can't be parsed, or values are out of range; the error names every such
+    /// value.
     pub fn from_json(text: &str) -> Result<Self, SettingsError> {
         let settings: Self =
             serde_json::from_str(text).map_err(|error| SettingsError::Unreadable {
@@ -180,7 +182,8 @@
 }
 
 impl MachineSettings {
-    /// What it can carry of a failure domain's duties.
+    /// The capacity that decides how many of its failure domain's duties the instance
+    /// takes.
     pub(crate) fn capacity(&self) -> Capacity {
         match (self.cores, self.link_mbps) {
             (Some(cores), Some(link_mbps)) => Capacity::of_machine(cores, link_mbps),
@@ -190,23 +193,23 @@
 }
 
 impl BoundSettings {
-    /// How old a configuration may be when a request is sent.
+    /// How old the configuration may be when a request is sent.
     ///
-    /// The bound runs from a removal to the moment in which the caller sends,
-    /// and a caller has sent before its request is looked at here; so only
-    /// the clock's own error is kept of it, a fiftieth.
+    /// The bound counts from a removal to the time at which the caller sends, and that is
+    /// before its request is handled here. So only a fiftieth of the bound is reserved,
+    /// for the clock's own error.
     #[must_use]
     pub const fn max_config_age(&self) -> Duration {
         Duration::from_millis(self.revoke_ms * 49 / 50)
     }
 
-    /// How long each step of the store's news may take.
+    /// The time that each step of the propagation of a store change may take.
     #[must_use]
     pub const fn news_budget(&self) -> NewsBudget {
         NewsBudget::new(Duration::from_millis(self.drain_ms))
     }
 
-    /// Time from the word to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     #[must_use]
     pub fn grace(&self) -> Duration {
         Duration::try_from_secs_f64(self.grace_s).unwrap_or(Duration::from_secs(5))
--- a/crates/rookferry_relay/src/signs.rs
+++ b/crates/rookferry_relay/src/signs.rs
@@ -1,9 +1,8 @@
-//! When each server last gave a sign of life, through any request.
+//! Liveness evidence of each server: when it last showed activity, through any request.
 //!
-//! An event of a stream shows that every engine of its path ran a step. So
-//! where one stream stands still and others through the same engine don't,
-//! that engine needs no probe. Instances pass on by heartbeat what they saw,
-//! so that one of them asks and not each.
+//! An event of a stream shows that every engine on its path ran a step. So if one stream
+//! stalls while others through the same engine don't, that engine needs no probe.
+//! Heartbeats pass the evidence on to peers, so that one instance probes instead of all.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,25 +17,25 @@
 
 use crate::mutex::lock;
 
-/// The last sign of one server, shared by all that see it.
+/// When a server was last seen active; clones share the value.
 #[derive(Clone, Debug)]
 pub(crate) struct Sign {
     epoch: Instant,
-    /// Milliseconds since the epoch; 0 before the first sign.
+    /// Milliseconds since the epoch; 0 before the first evidence.
     at_ms: Arc<AtomicU64>,
 }
 
-/// How long a reported slowdown counts.
+/// How long a reported slowdown is valid.
 const REPORT_KEPT: Duration = Duration::from_secs(3);
 
-/// A server's word on how slow it is.
+/// A server's report of its slowdown.
 #[derive(Clone, Copy, Debug)]
 struct Report {
     slowdown: f64,
     at: Instant,
 }
 
-/// What is known of one server.
+/// The evidence about one server.
 #[derive(Debug)]
 struct Seen {
     sign: Sign,
@@ -44,7 +43,7 @@
     asked_at: Option<Instant>,
 }
 
-/// The signs of all servers.
+/// The liveness evidence of all servers.
 #[derive(Debug)]
 pub(crate) struct Signs {
     epoch: Instant,
@@ -59,12 +58,12 @@
         }
     }
 
-    /// The sign of a server.
+    /// The shared last-seen time of a server.
     pub(crate) fn of(&self, server: ServerKey) -> Sign {
         self.with(server, |seen| seen.sign.clone())
     }
 
-    /// An engine reported how slow it is, to this instance or another.
+    /// Records a slowdown that an engine reported to this instance or a peer.
     pub(crate) fn note_report(&self, server: ServerKey, slowdown: f64, at: Instant) {
         self.with(server, |seen| {
             if seen.report.is_none_or(|known| known.at < at) {
@@ -73,27 +72,27 @@
         });
     }
 
-    /// What an engine last reported, and how long ago, while it counts.
+    /// An engine's last reported slowdown with its age, while it is valid.
     pub(crate) fn report(&self, server: ServerKey, now: Instant) -> Option<(f64, Duration)> {
         let known = lock(&self.by_server).get(&server)?.report?;
         let age = now.saturating_duration_since(known.at);
         (age < REPORT_KEPT).then_some((known.slowdown, age))
     }
 
-    /// How many times as long as published an engine's steps take.
+    /// The factor by which an engine's steps take longer than published; at least 1.
     pub(crate) fn slowdown(&self, server: ServerKey, now: Instant) -> f64 {
         let report = self.report(server, now);
         report.map_or(1.0, |(slowdown, _)| slowdown.max(1.0))
     }
 
-    /// How long ago an engine last reported.
+    /// Time since an engine's last report; the maximum if none is valid.
     pub(crate) fn report_age(&self, server: ServerKey, now: Instant) -> Duration {
         let report = self.report(server, now);
         report.map_or(Duration::MAX, |(_, age)| age)
     }
 
-    /// Whether a server should be asked now: not while an answer to another
-    /// stream's question, at most `pause` ago, may still come.
+    /// Whether a server should be probed now: not while the answer to a probe for another
+    /// stream, sent at most `pause` ago, may still come.
     pub(crate) fn begin_asking(&self, server: ServerKey, pause: Duration, now: Instant) -> bool {
         self.with(server, |seen| {
             let is_asked = seen
@@ -106,7 +105,7 @@
         })
     }
 
-    /// Forgets servers that `is_known` doesn't know.
+    /// Removes servers that `is_known` rejects.
     pub(crate) fn retain(&self, is_known: impl Fn(ServerKey) -> bool) {
         lock(&self.by_server).retain(|server, _| is_known(*server));
     }
@@ -126,14 +125,14 @@
 }
 
 impl Sign {
-    /// The server gave a sign.
+    /// Records activity at a time.
     pub(crate) fn note(&self, now: Instant) {
         let at = now.saturating_duration_since(self.epoch).as_millis();
         let at = u64::try_from(at).unwrap_or(u64::MAX);
         self.at_ms.fetch_max(at, Ordering::Relaxed);
     }
 
-    /// How long ago the last sign was.
+    /// Time since the last activity.
     pub(crate) fn age(&self, now: Instant) -> Duration {
         let at = Duration::from_millis(self.at_ms.load(Ordering::Relaxed));
         now.saturating_duration_since(self.epoch).saturating_sub(at)
--- a/crates/rookferry_relay/src/store.rs
+++ b/crates/rookferry_relay/src/store.rs
@@ -1,4 +1,4 @@
-//! What a relay needs of the platform's store.
+//! The interface that a relay needs of the platform's store.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use rookferry_wire::StoreEra;
 use snafu::Snafu;
 
-/// Why the store gave no usable answer.
+/// Why a call to the store has no usable answer.
 #[derive(Debug, Snafu)]
 pub enum StoreError {
     /// The call can't have taken effect.
@@ -28,20 +28,20 @@
         /// The cause.
         message: String,
     },
-    /// Changes after the named version are forgotten; list again.
+    /// The store no longer has the changes after the revision of a watch; list again.
     #[snafu(display("the store has forgotten its changes since then"))]
     Forgotten,
-    /// The answer, or what was to be written over, is of an era of the store that is
-    /// over; read again.
+    /// The answer, or the object to be replaced, belongs to a previous era of the store;
+    /// read again.
     #[snafu(display("the store has been restored from a copy since then"))]
     Outdated,
-    /// The object isn't what was expected.
+    /// The object's revision isn't the expected one.
     #[snafu(display("the object has changed"))]
     Conflict {
-        /// The object as it is, if the store told.
+        /// The current object, if the store returned it.
         current: Option<Object>,
     },
-    /// The answer doesn't read.
+    /// The answer can't be parsed.
     #[snafu(display("the store's answer doesn't read: {message}"))]
     Unreadable {
         /// The cause.
@@ -49,20 +49,21 @@
     },
 }
 
-/// A value, as an answer of the store shows it.
+/// A value from an answer of the store.
 #[derive(Clone, Debug)]
 pub struct AsOf<T> {
-    /// The store's era, if the answer tells it in a way that reads.
+    /// The store's era (how often it has been restored from a backup), if the answer
+    /// contains a valid one.
     pub era: Option<StoreEra>,
-    /// The revision that the value is of: the store's, from which watches go on,
-    /// or that of the one object that was read or written.
+    /// The revision of the value: the store's, from which watches resume, or that of the
+    /// single object that was read or written.
     pub revision: ObjectVersion,
     /// The value.
     pub value: T,
 }
 
 impl<T> AsOf<T> {
-    /// The same of another value.
+    /// Replaces the value, with the same era and revision.
     #[must_use]
     pub fn map<U>(self, change: impl FnOnce(T) -> U) -> AsOf<U> {
         AsOf {
@@ -73,63 +74,64 @@
     }
 }
 
-/// What the store answers to a call.
+/// A call to the store.
 pub type StoreAnswer<'a, T> = BoxFuture<'a, Result<AsOf<T>, StoreError>>;
 
-/// The platform's store, as a relay sees it.
+/// The platform's store. The relay calls it concurrently from several tasks.
 pub trait SiteStore: Send + Sync {
-    /// The configuration; `None` if there is none yet.
+    /// Reads the configuration; `None` if there is none yet.
     fn config(&self) -> StoreAnswer<'_, Option<ServingConfig>>;
 
-    /// Waits for a configuration after a revision; `None` if none came.
+    /// Waits for a configuration newer than a revision; `None` if none came within
+    /// `wait`.
     fn watch_config(
         &self,
         after: ObjectVersion,
         wait: Duration,
     ) -> StoreAnswer<'_, Option<ServingConfig>>;
 
-    /// The newest configuration after a revision, if there is one so far; over a
-    /// connection of its own, as one that was kept may be dead.
+    /// Reads the newest configuration after a revision without waiting; `None` if there
+    /// is none. Uses a connection of its own, as a kept one may be dead.
     fn config_since(&self, after: ObjectVersion) -> StoreAnswer<'_, Option<ServingConfig>>;
 
-    /// The backend servers.
+    /// Lists the backend servers.
     fn servers(&self) -> StoreAnswer<'_, Vec<BackendServer>>;
 
-    /// Waits for changes of the backend servers after a revision.
+    /// Waits up to `wait` for changes of the backend servers after a revision.
     fn watch_servers(
         &self,
         after: ObjectVersion,
         wait: Duration,
     ) -> StoreAnswer<'_, Vec<DirectoryChange>>;
 
-    /// The changes of the backend servers after a revision so far; over a connection
-    /// of its own, as one that was kept may be dead.
+    /// Reads the changes of the backend servers after a revision without waiting. Uses a
+    /// connection of its own, as a kept one may be dead.
     fn servers_since(&self, after: ObjectVersion) -> StoreAnswer<'_, Vec<DirectoryChange>>;
 
-    /// The held requests; `None` if none ever were.
+    /// Reads the quarantined requests; `None` if there never were any.
     fn quarantine(&self) -> StoreAnswer<'_, Option<Object>>;
 
-    /// Waits for a change of the held requests after a revision; `None` if none
-    /// came.
+    /// Waits for a change of the quarantined requests after a revision; `None` if none
+    /// came within `wait`.
     fn watch_quarantine(
         &self,
         after: ObjectVersion,
         wait: Duration,
     ) -> StoreAnswer<'_, Option<Object>>;
 
-    /// Writes the held requests if their revision is the expected one (0: there
-    /// are none); answers as of their new one.
+    /// Writes the quarantined requests if their revision is the expected one (0: there
+    /// are none); the answer has the new revision.
     fn write_quarantine<'a>(
         &'a self,
         expected: ObjectVersion,
         quarantine: &'a QuarantineObject,
     ) -> StoreAnswer<'a, ()>;
 
-    /// The lease of the placement controller.
+    /// Reads the lease of the placement controller.
     fn lease(&self) -> StoreAnswer<'_, Option<Object>>;
 
-    /// Writes the lease if its revision is the expected one (0: there is none);
-    /// answers as of its new one.
+    /// Writes the lease if its revision is the expected one (0: there is none); the
+    /// answer has the new revision.
     fn write_lease<'a>(
         &'a self,
         expected: ObjectVersion,
--- a/crates/rookferry_relay/src/sync/config.rs
+++ b/crates/rookferry_relay/src/sync/config.rs
@@ -1,9 +1,9 @@
-//! Keeps the configuration.
+//! Keeps the configuration in step with the store.
 //!
-//! A store that is restored from a copy may show an older configuration than the
-//! one in force, which stays: a key that was removed stays removed. But nothing
-//! confirms it until the operator has written it again, as what came after it may
-//! be lost too.
+//! A store restored from a backup may contain an older configuration than the active one.
+//! The active one stays, so a removed key stays removed. But nothing confirms it until
+//! the operator has written it again, because changes made after the backup may be lost
+//! as well.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,18 +20,18 @@
 use crate::store::StoreError;
 use crate::tracked_store::Versioned;
 
-/// How long a watch of the configuration waits. What it confirms is as old as
-/// its start, so the age goes from one wait to two; when the store goes away
-/// that much of the bound for removed keys is gone already.
+/// How long a watch of the configuration waits. A watch confirms the configuration as of
+/// the watch's start, so the known age varies between one wait and two; when the store
+/// becomes unavailable, that much of the bound for removed keys is already used.
 const CONFIG_WAIT: Duration = Duration::from_millis(600);
 
-/// Keeps the configuration.
+/// Keeps the configuration until the process exits.
 pub(crate) async fn keep_config(relay: Arc<Relay>) {
     let mut stored = StoredConfig::default();
     let mut outage = Outage::none("store: configuration");
     loop {
         if relay.leaves_store() {
-            // What a call showed before says nothing by the time of the next.
+            // The result of an earlier call is meaningless by the time of the next one.
             relay.is_store_away.store(false, Ordering::Relaxed);
             tokio::time::sleep(look_pause(&relay)).await;
             continue;
@@ -63,17 +63,17 @@
     }
 }
 
-/// What the store was last seen to have.
+/// What the store last returned.
 #[derive(Debug, Default)]
 struct StoredConfig {
-    /// The version of the store to watch from.
+    /// The store version to watch from.
     after: Option<StoreVersion>,
-    /// The version of the configuration that it had in an era.
+    /// The configuration's version, and the store version at which it was read.
     shown: Option<(StoreVersion, u64)>,
 }
 
 impl StoredConfig {
-    /// Takes an answer in, and confirms what it confirms.
+    /// Applies an answer, and confirms the configuration as far as the answer does.
     fn take(&mut self, relay: &Relay, read: Versioned<Option<ServingConfig>>) {
         let Versioned {
             version,
@@ -87,8 +87,8 @@
             relay.adopt_config(config, "store", asked_at);
             return;
         }
-        // One that doesn't read confirms the last good one, as no news does; what was
-        // shown in an era that is over confirms nothing.
+        // An invalid configuration confirms the last valid one, as an answer without a
+        // change does; a configuration read in a previous era confirms nothing.
         let shown = self.shown.filter(|(at, _)| at.era == version.era);
         if let Some((_, config_version)) = shown {
             relay.confirm_config(config_version, asked_at);
@@ -96,7 +96,7 @@
     }
 }
 
-/// Tells that the store has an older configuration than the one in force.
+/// Logs that the store has an older configuration than the active one.
 fn note_older(relay: &Relay, config: &ServingConfig) {
     let in_force = relay.config_version();
     if in_force <= Some(config.version) {
--- a/crates/rookferry_relay/src/sync/mod.rs
+++ b/crates/rookferry_relay/src/sync/mod.rs
@@ -1,7 +1,7 @@
-//! Keeps configuration and backend servers as the platform's store has them.
+//! Keeps configuration and server list in step with the platform's store.
 //!
-//! A watch that ends without news confirms what is known, as of when it was
-//! sent. So watches are short: they bound the age of what is known.
+//! A watch that ends without a change confirms what is known, as of the time it was sent.
+//! Watches are therefore short: their length bounds the age of what is known.
 
 mod config;
 mod outage;
@@ -15,11 +15,10 @@
 
 use crate::relay::Relay;
 
-/// How often an instance that has just started looks whether its peers have
-/// told it what they know.
+/// Poll interval of an instance that has just started and waits for its peers' state.
 const START_PAUSE: Duration = Duration::from_millis(25);
 
-/// How long to leave the store alone before the next look.
+/// Time until the next check whether this instance must read the store.
 fn look_pause(relay: &Relay) -> Duration {
     if relay.awaits_peers() {
         START_PAUSE
--- a/crates/rookferry_relay/src/sync/outage.rs
+++ b/crates/rookferry_relay/src/sync/outage.rs
@@ -1,4 +1,7 @@
-//! Calls to the store that fail.
+//! Tracks failing calls to the store and spaces the retries.
+//!
+//! The instances of a domain retry in rank order. A watch that the store refuses
+//! repeatedly is spaced like a failed call.
 
 use std::fmt::Display;
 use std::time::Instant;
@@ -9,16 +12,16 @@
 use crate::relay::Relay;
 use crate::store::StoreError;
 
-/// Calls that fail.
+/// State of one series of calls to the store.
 pub(super) struct Outage {
     name: &'static str,
     since: Option<Instant>,
     failed: Failures,
-    /// Watches that were refused in a row.
+    /// Consecutive refused watches.
     refused: Failures,
 }
 
-/// Failed calls in a row.
+/// Consecutive failed calls.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Failures {
     count: u32,
@@ -33,8 +36,8 @@
         }
     }
 
-    /// Waits until it is this instance's turn in line to try again. The line may have
-    /// become shorter meanwhile.
+    /// Waits until this instance may retry, by the number of failures and its rank. The
+    /// rank may improve while it waits.
     pub(super) async fn wait_in_line(self, relay: &Relay) {
         if self.count == 0 {
             return;
@@ -61,19 +64,19 @@
         }
     }
 
-    /// What is to be waited for before the next call.
+    /// The failures that delay the next call.
     pub(super) const fn failures(&self) -> Failures {
         if self.failed.count > 0 {
             return self.failed;
         }
-        // The first refusal says only that there is something to list.
+        // The first refused watch only means that a list is needed, so it isn't counted.
         Failures {
             count: self.refused.count.saturating_sub(1),
             last_at: self.refused.last_at,
         }
     }
 
-    /// A call went well; tells whether that ends an outage.
+    /// Records a successful call; returns whether it ends an outage.
     pub(super) fn ended(&mut self, relay: &Relay) -> bool {
         self.failed.count = 0;
         let Some(since) = self.since.take() else {
@@ -85,8 +88,8 @@
         true
     }
 
-    /// The store doesn't have what a watch goes on from; a list follows. Where that fails
-    /// the same way again and again, the calls are spaced as failed ones are.
+    /// Records that the store lacks the revision that a watch resumes from; a list
+    /// follows. If that keeps happening, the calls are spaced like failed ones.
     pub(super) fn watch_refused(&mut self) {
         self.refused = Failures {
             count: self.refused.count.saturating_add(1),
@@ -94,17 +97,17 @@
         };
     }
 
-    /// A watch went on.
+    /// Records a watch that succeeded.
     pub(super) const fn watch_went_on(&mut self) {
         self.refused.count = 0;
     }
 
-    /// Whether it counts as away.
+    /// Whether the store counts as unavailable.
     pub(super) const fn is_begun(&self) -> bool {
         self.since.is_some()
     }
 
-    /// Counts as away, for a reason.
+    /// Marks the store as unavailable and logs the cause.
     pub(super) fn begin(&mut self, relay: &Relay, cause: &dyn Display) {
         if self.since.is_none() {
             self.since = Some(clock::now());
@@ -112,7 +115,7 @@
         }
     }
 
-    /// A call failed.
+    /// Records a failed call.
     pub(super) fn failed(&mut self, relay: &Relay, error: &StoreError) {
         self.begin(relay, error);
         self.failed = Failures {
--- a/crates/rookferry_relay/src/sync/servers.rs
+++ b/crates/rookferry_relay/src/sync/servers.rs
@@ -1,4 +1,9 @@
-//! Keeps the list of backend servers.
+//! Keeps the list of backend servers in step with the store and the peers.
+//!
+//! Updates come from the store (lists and watches), from peers (whole lists), and from
+//! engines' reports of a restart. The result is a [`ServerTable`] that is activated in
+//! the relay. An entry whose removal may be an artefact of an outage or a restore is
+//! retained for a grace period.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -26,28 +31,29 @@
 use crate::tracked_store::Versioned;
 use crate::view::ServerTable;
 
-/// Pause after news of servers, in which more of a burst gathers; a
-/// twentieth of the time in which leaving servers must be heard of.
+/// Pause after a change, in which more changes of a burst accumulate; a twentieth of the
+/// time in which leaving servers must be known.
 const BURST: Duration = Duration::from_millis(100);
-/// How long after an outage removals may be lapses; they show in the first
-/// answers, and a later removal is a server that left.
+/// How long after an outage a removed entry may only have lapsed. Lapses show in the
+/// first answers; a later removal is a server that left.
 const LAPSES_AFTER: Duration = Duration::from_millis(300);
-/// Heartbeats of a server without which its entry goes, and one for the way.
+/// Missed heartbeats of a server after which its entry lapses, plus one for the delay of
+/// the message.
 const HEARTBEATS_TO_LAPSE: u32 = 4;
 
-/// A list that a peer gives.
+/// A server list received from a peer.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerList {
     pub(crate) version: ListVersion,
     pub(crate) servers: Vec<BackendServer>,
-    /// When it was known to be the newest, if ever.
+    /// When it was last known to be the newest, if ever.
     pub(crate) newest_at: Option<Instant>,
 }
 
-/// Keeps the backend servers.
+/// Keeps the list of backend servers until the process exits.
 ///
-/// The store is read beside everything else: while a call is awaited, and in the
-/// pauses between calls, peers' lists and all other news are taken in.
+/// The store is read concurrently with all other input: peers' lists and other updates
+/// are applied while a call is in flight and in the pauses between calls.
 pub(crate) async fn keep_servers(relay: Arc<Relay>) {
     let mut keeper = ServersKeeper::new(relay.clone());
     let mut from_peers = relay.peer_servers.subscribe();
@@ -55,7 +61,7 @@
     loop {
         let before = keeper.after;
         let has_read = tokio::select! {
-            // A store that refuses at once must not keep peers' lists out.
+            // A store that refuses at once must not starve the peers' lists.
             biased;
             read = next_list(&relay, &mut from_peers) => {
                 keeper.take(Ok(read));
@@ -84,7 +90,7 @@
     }
 }
 
-/// Waits for a moment, or for ever.
+/// Waits until a time; forever if there is none.
 async fn until(at: Option<Instant>) {
     match at {
         Some(at) => clock::sleep_until(at).await,
@@ -92,11 +98,11 @@
     }
 }
 
-/// What an instance knows of the backend servers.
+/// State of the server list on this instance.
 struct ServersKeeper {
     relay: Arc<Relay>,
     directory: Directory,
-    /// The version of the store to watch from; `None` if all is to be listed.
+    /// The store version to watch from; `None` if everything must be listed.
     after: Option<StoreVersion>,
     /// The version of the list.
     version: ListVersion,
@@ -104,7 +110,7 @@
     read_at: Instant,
     outage: Outage,
     doubtful: DoubtfulTimes,
-    /// The configuration that says which entries are the site's.
+    /// Version of the configuration that determined which entries are usable.
     judged_by: Option<u64>,
 }
 
@@ -122,7 +128,7 @@
         }
     }
 
-    /// The next call to the store.
+    /// The next call to the store, after its pause and backoff.
     fn next_read(&self) -> impl Future<Output = Result<Read, StoreError>> + use<> {
         let (relay, after, read_at) = (self.relay.clone(), self.after, self.read_at);
         let (counts_as_away, failures) = (self.outage.is_begun(), self.outage.failures());
@@ -133,13 +139,13 @@
         }
     }
 
-    /// When entries' time is over, if it is running for some.
+    /// When the first lapsed entry expires, if there is one.
     fn expires_at(&self) -> Option<Instant> {
         let grace = self.relay.settings.bounds.lapse_grace();
         self.directory.expires_at(grace)
     }
 
-    /// Takes news in, and puts a new list in force if anything changed.
+    /// Applies an update, and activates a new list if anything changed.
     fn take(&mut self, read: Result<Read, StoreError>) {
         let now = clock::now();
         let source = read.as_ref().map_or("store", Read::source);
@@ -181,7 +187,7 @@
         }
     }
 
-    /// Takes news in; tells whether anything changed.
+    /// Applies an update; returns whether anything changed.
     fn take_read(&mut self, read: Read, now: Instant) -> bool {
         let is_from_store = read.is_from_store();
         if is_from_store {
@@ -205,7 +211,7 @@
             self.version = version;
         }
         if is_changed && is_from_store {
-            // Entries change in bursts; one call brings those that follow.
+            // Entries change in bursts; one later call returns the rest of the burst.
             self.read_at = now + BURST;
         }
         is_changed
@@ -222,14 +228,14 @@
     }
 }
 
-/// Times in which what the store shows of servers is doubtful.
+/// Periods in which the store's view of the servers may be wrong.
 #[derive(Debug, Default)]
 struct DoubtfulTimes {
-    /// Until when removals may be lapses.
+    /// Until when a removed entry may only have lapsed.
     lapses_until: Option<Instant>,
-    /// The era that the list is of.
+    /// The era of the list.
     era: Option<StoreEra>,
-    /// Until when entries may be as they once were.
+    /// Until when entries may have outdated content.
     old_until: Option<Instant>,
 }
 
@@ -238,7 +244,7 @@
         self.lapses_until = Some(now + LAPSES_AFTER);
     }
 
-    /// A list or changes of an era came.
+    /// Records the era of a received list or change.
     fn listed(&mut self, relay: &Relay, era: StoreEra, now: Instant) {
         let before = self.era.replace(era);
         if before.is_some_and(|before| before != era) {
@@ -248,12 +254,12 @@
         }
     }
 
-    /// Whether a server whose entry goes now may only have lapsed.
+    /// Whether a server whose entry is removed now may only have lapsed.
     fn may_lapse(&self, now: Instant) -> bool {
         self.lapses_until.is_some_and(|until| now < until)
     }
 
-    /// What may be wrong with a list that the store gives.
+    /// What may be wrong with a list from the store.
     fn of_stores_list(&self, now: Instant) -> ListDoubts {
         let doubts = self.of_peers_list(now);
         ListDoubts {
@@ -263,8 +269,8 @@
         }
     }
 
-    /// What may be wrong with a list that a peer gives: what it lacks has been looked
-    /// into there.
+    /// What may be wrong with a list from a peer, which has already handled missing
+    /// entries.
     fn of_peers_list(&self, now: Instant) -> ListDoubts {
         let old_for = self
             .old_until
@@ -277,8 +283,7 @@
     }
 }
 
-/// The next newer list that a peer gives. Nothing is lost when this is
-/// dropped while it waits.
+/// The next newer list from a peer. Cancel safe.
 async fn next_list(relay: &Relay, from_peers: &mut watch::Receiver<Option<PeerList>>) -> Read {
     loop {
         if from_peers.changed().await.is_err() {
@@ -295,7 +300,7 @@
     }
 }
 
-/// Waits until another configuration is in force than that of a version.
+/// Waits until the active configuration is another than `version`.
 async fn other_config(relay: &Relay, version: Option<u64>) {
     let mut versions = relay.versions.subscribe();
     while relay.config_version() == version {
@@ -306,7 +311,7 @@
     }
 }
 
-/// Reads the store once it is this instance's to read.
+/// Reads the store once this instance has to.
 async fn read_servers(
     relay: &Relay,
     after: Option<StoreVersion>,
@@ -336,20 +341,20 @@
 enum Read {
     List(Versioned<Vec<BackendServer>>),
     Changes(Versioned<Vec<DirectoryChange>>),
-    /// A peer's list.
+    /// A list from a peer.
     Peer(PeerList),
-    /// Nothing new, but another configuration to judge entries by.
+    /// No new entries, but another configuration that determines which are usable.
     OtherConfig,
-    /// Servers whose new processes told of themselves.
+    /// Servers whose new processes have reported themselves.
     Restarted(Vec<BackendServer>),
-    /// The time of some entries is over.
+    /// The grace period of some entries is over.
     Expiring,
-    /// The store isn't read, as the configuration can't be read either.
+    /// The store isn't read, because the configuration can't be read either.
     StoreAway,
 }
 
 impl Read {
-    /// The version of the list that it makes.
+    /// The version of the resulting list.
     const fn version(&self) -> Option<ListVersion> {
         match self {
             Self::List(list) => Some(ListVersion::of(list.version)),
@@ -359,7 +364,7 @@
         }
     }
 
-    /// Where it is from, as logged.
+    /// The source, as logged.
     const fn source(&self) -> &'static str {
         match self {
             Self::List(_) | Self::Changes(_) | Self::StoreAway => "store",
@@ -370,7 +375,7 @@
         }
     }
 
-    /// When the list that it makes was known to be the newest.
+    /// When the resulting list was last known to be the newest.
     const fn newest_at(&self) -> Option<Instant> {
         match self {
             Self::List(list) => Some(list.asked_at),
@@ -385,7 +390,7 @@
     }
 }
 
-/// Takes news in; tells whether anything changed.
+/// Applies an update to the directory; returns whether anything changed.
 fn take_in(
     relay: &Relay,
     directory: &mut Directory,
--- a/crates/rookferry_relay/src/tracked_store.rs
+++ b/crates/rookferry_relay/src/tracked_store.rs
@@ -1,9 +1,9 @@
-//! The platform's store, with its calls counted and its restores noticed.
+//! Wraps the platform's store: counts its calls and detects restores.
 //!
-//! What a caller of this has read holds within one era of the store: a watch of an
-//! era that is over ends as one whose history is forgotten, and a write under a
-//! condition of such an era isn't sent, or isn't reported as a success, since the
-//! revision that it names may be another object's by then.
+//! Whatever a caller reads through this wrapper is valid within one era of the store. A
+//! watch of a previous era fails as if its history were gone. A conditional write of a
+//! previous era isn't sent, or isn't reported as successful, since its expected revision
+//! may belong to another object by then.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -36,24 +36,24 @@
 use crate::store::SiteStore;
 use crate::store::StoreError;
 
-/// A value, as of a version of the store.
+/// A value with the version of the store it was read at.
 #[derive(Clone, Debug)]
 pub(crate) struct Versioned<T> {
-    /// The version: the store's, or of the one object that was read or written.
+    /// The version: the store's, or that of the single object that was read or written.
     pub(crate) version: StoreVersion,
     pub(crate) value: T,
-    /// When the call that it answers was sent.
+    /// When the call was sent.
     pub(crate) asked_at: Instant,
 }
 
-/// A store whose calls are counted, and whose restores are noticed.
+/// A store whose calls are counted and whose restores are detected.
 pub(crate) struct TrackedStore {
     inner: Arc<dyn SiteStore>,
     events: Arc<EventLog>,
     budget: NewsBudget,
     eras: Mutex<EraTracker>,
     contact: Mutex<StoreContact>,
-    /// Raised with each change of the era.
+    /// Incremented with each change of the era.
     era_changes: watch::Sender<u64>,
 }
 
@@ -73,17 +73,17 @@
         }
     }
 
-    /// The store's era, as known.
+    /// The store's current era, as far as known.
     pub(crate) fn era(&self) -> StoreEra {
         lock(&self.eras).era()
     }
 
-    /// Whether the store has said that there is no such era.
+    /// Whether the store has answered that this era doesn't exist.
     pub(crate) fn is_denied(&self, era: StoreEra) -> bool {
         lock(&self.eras).is_denied(era)
     }
 
-    /// Another instance knows of an era.
+    /// Records an era that another instance reports.
     pub(crate) fn hear_era(&self, era: StoreEra) {
         let before = self.era();
         if lock(&self.eras).hear(era, clock::now()) {
@@ -91,12 +91,12 @@
         }
     }
 
-    /// As of when what the store has is known.
+    /// The time as of which the store's content is known.
     pub(crate) fn contact(&self) -> StoreContact {
         *lock(&self.contact)
     }
 
-    /// Another instance of the domain has its word as of a time.
+    /// Records that a peer of the own domain knows the store's content as of a time.
     pub(crate) fn hear_contact(&self, at: Instant) {
         lock(&self.contact).hear(at);
     }
@@ -120,7 +120,7 @@
         self.era_changes.send_modify(|changes| *changes += 1);
     }
 
-    /// Takes an answer's era in.
+    /// Checks an answer's era, and adds the version to its value.
     fn versioned<T>(
         &self,
         answer: AsOf<T>,
@@ -128,7 +128,7 @@
         asked_at: Instant,
     ) -> Result<Versioned<T>, StoreError> {
         let verdict = lock(&self.eras).observe(answer.era, asked_at, clock::now());
-        // An answer without an era is of the one that it was asked in.
+        // An answer without an era belongs to the era in which the call was sent.
         let era = answer.era.unwrap_or(asked_in);
         match verdict {
             EraVerdict::Late => return Err(StoreError::Outdated),
@@ -156,7 +156,7 @@
         self.versioned(answer?, asked_in, asked_at)
     }
 
-    /// A watch that goes on from a version.
+    /// Completes a watch that resumes from a version.
     async fn watch<T>(
         &self,
         after: StoreVersion,
@@ -169,15 +169,16 @@
             read = answer => read?,
             () = self.era_over(after.era) => return Err(StoreError::Forgotten),
         };
-        // One that went back without a word has other changes below.
+        // A store that was restored without a new era has other changes under the same
+        // revisions.
         if read.version < after || read.version.era != after.era {
             return Err(StoreError::Forgotten);
         }
         Ok(read)
     }
 
-    /// The answer of a watch that should end within a time, or of a call that is sent
-    /// beside it once it is overdue: its connection may have died without a word.
+    /// The answer of a watch that should end within `wait`, or of a fallback call that is
+    /// sent once the watch is overdue: its connection may have died silently.
     async fn first_answer<T>(
         &self,
         wait: Duration,
@@ -212,13 +213,14 @@
         }
     }
 
-    /// A watch that was sent at a time, and should have ended within another, was answered.
+    /// Records the delay of a watch that was sent at `sent_at` and should have ended
+    /// within `wait`.
     fn note_delay(&self, sent_at: Instant, wait: Duration) {
         let delay = clock::since(sent_at).saturating_sub(wait);
         lock(&self.contact).note_delay(delay);
     }
 
-    /// A write that is to replace a version.
+    /// Performs a write that replaces the expected version.
     async fn write(
         &self,
         call: &'static str,
@@ -235,7 +237,7 @@
         Ok(written)
     }
 
-    /// The store doesn't have the revision that a watch was to go on from.
+    /// Logs that the store lacks the revision that a watch resumes from.
     fn note_forgotten(&self, call: &'static str) {
         if let Some(log) = self.events.line(Weight::Notable) {
             warn!(log, "store: it doesn't have the watch's revision"; "event" => "store_forgot",
--- a/crates/rookferry_relay/src/view.rs
+++ b/crates/rookferry_relay/src/view.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of the site, as requests read it.
+//! A consistent snapshot of the site's configuration and servers, as requests read it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,37 +17,36 @@
 /// A snapshot of configuration and backend servers.
 #[derive(Debug, Default)]
 pub(crate) struct SiteView {
-    /// The configuration in force, once there is one.
+    /// The active configuration, once there is one.
     pub(crate) index: Option<Arc<ServingIndex>>,
     /// The backend servers, once they were listed.
     pub(crate) servers: Option<Arc<ServerTable>>,
 }
 
 impl SiteView {
-    /// The version of the configuration in force.
+    /// The version of the active configuration.
     pub(crate) fn config_version(&self) -> Option<u64> {
         self.index.as_ref().map(|index| index.config().version)
     }
 
-    /// The version of the list of servers; the lowest while there are none.
+    /// The version of the server list; the lowest while there is none.
     pub(crate) fn servers_version(&self) -> ListVersion {
         let servers = self.servers.as_ref();
         servers.map(|servers| servers.version()).unwrap_or_default()
     }
 
-    /// A server, if that start of it is in use.
+    /// A server, if this incarnation of it is in use.
     pub(crate) fn server(&self, server: ServerKey) -> Option<&BackendServer> {
         self.servers.as_ref()?.get(server)
     }
 
-    /// The start in use at an address.
+    /// The incarnation in use at an address.
     pub(crate) fn server_at(&self, addr: SocketAddr) -> Option<ServerKey> {
         Some(self.servers.as_ref()?.at(addr)?.key)
     }
 
-    /// Whether a server is one of the site's: of a service that is configured,
-    /// and with no layers but the model's. All are until there is a
-    /// configuration.
+    /// Whether a server belongs to the site: to a configured service, and without layers
+    /// beyond the model's. All servers do while there is no configuration.
     pub(crate) fn is_usable(&self, server: &BackendServer) -> bool {
         let Some(index) = &self.index else {
             return true;
@@ -66,23 +65,23 @@
     }
 }
 
-/// Servers that a newer table has no use for.
+/// Servers that a newer table takes out of use.
 #[derive(Debug)]
 pub(crate) struct Departed {
-    /// They say that they leave.
+    /// Their entries say that they are leaving.
     pub(crate) leaving: Vec<EngineId>,
     /// They aren't in use any more.
     pub(crate) gone: Vec<EngineId>,
 }
 
-/// The backend servers with their look-ups.
+/// The backend servers, indexed by service, address and name.
 #[derive(Debug, Default)]
 pub(crate) struct ServerTable {
-    /// Its version. One who asks gets both or neither: an old
-    /// list under a new version would never be asked for again.
+    /// The version of the list. Table and version are replaced together: an old list
+    /// under a new version would never be fetched again.
     version: ListVersion,
     servers: Vec<BackendServer>,
-    /// Entries that this instance has no use for, to tell others.
+    /// Entries that this instance can't use, kept to pass them on to peers.
     unusable: Vec<BackendServer>,
     by_service: HashMap<ServiceId, Vec<usize>>,
     by_addr: HashMap<SocketAddr, usize>,
@@ -90,7 +89,8 @@
 }
 
 impl ServerTable {
-    /// A version of the table: servers, one an address, and entries without use.
+    /// Builds a table from the servers in use, at most one per address, and the unusable
+    /// entries.
     pub(crate) fn new(
         version: ListVersion,
         servers: Vec<BackendServer>,
@@ -117,22 +117,22 @@
         }
     }
 
-    /// Its version.
+    /// The version of the list.
     pub(crate) const fn version(&self) -> ListVersion {
         self.version
     }
 
-    /// All servers.
+    /// All servers in use.
     pub(crate) fn all(&self) -> &[BackendServer] {
         &self.servers
     }
 
-    /// All servers, and the entries without use here.
+    /// All entries, usable here or not.
     pub(crate) fn listed(&self) -> impl Iterator<Item = &BackendServer> {
         self.servers.iter().chain(&self.unusable)
     }
 
-    /// The entry of a name, with use here or without.
+    /// The entry of a name, usable here or not.
     pub(crate) fn entry(&self, id: &EngineId) -> Option<&BackendServer> {
         let mut unusable = self.unusable.iter();
         self.named(id)
@@ -150,7 +150,7 @@
         Some(&self.servers[*self.by_id.get(id)?])
     }
 
-    /// How often a path goes from one failure domain to another.
+    /// How often a path crosses from one failure domain to another.
     pub(crate) fn crossings(&self, path: &PipelinePath) -> usize {
         let domain = |stage: &PathStage| self.get(stage.server).map(|server| &server.domain);
         let pairs = path.stages().windows(2);
@@ -159,8 +159,8 @@
             .count()
     }
 
-    /// The names of servers that a former table had in use, and that this one says
-    /// leave, or doesn't have; at most `most` of each.
+    /// The names of servers that the former table had in use and that are leaving in this
+    /// one or missing from it; at most `most` of each.
     pub(crate) fn departed_since(&self, before: Option<&Self>, most: usize) -> Departed {
         let before = before.map_or(&[][..], |before| before.all());
         let used = before.iter().filter(|server| !server.is_leaving);
@@ -178,18 +178,18 @@
         }
     }
 
-    /// Whether a start of a server is in the list, of use here or not.
+    /// Whether an incarnation of a server is in the list, usable here or not.
     pub(crate) fn lists(&self, server: ServerKey) -> bool {
         let mut unusable = self.unusable.iter();
         self.get(server).is_some() || unusable.any(|entry| entry.key == server)
     }
 
-    /// A server, if that start of it is in use.
+    /// A server, if this incarnation of it is in use.
     pub(crate) fn get(&self, server: ServerKey) -> Option<&BackendServer> {
         self.at(server.addr).filter(|entry| entry.key == server)
     }
 
-    /// The server at an address.
+    /// The server in use at an address.
     pub(crate) fn at(&self, addr: SocketAddr) -> Option<&BackendServer> {
         Some(&self.servers[*self.by_addr.get(&addr)?])
     }
