--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -79,7 +79,7 @@
         if !is_closed {
             self.beliefs.health().had_no_room(server, used_tokens, now);
         } else if !was_closed && let Some(log) = self.events.line(Weight::Notable) {
-            warn!(log, "health: a server takes no new work"; "event" => "server_closed",
+            warn!(log, "health: a server refuses new work"; "event" => "server_closed",
                 "server" => %server.addr, "source" => "own", "used_tokens" => used_tokens,
                 "room_tokens" => room_tokens);
         }
@@ -357,7 +357,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a cast of a float saturates, and the part isn't below 0"
+    reason = "a cast of a float saturates, and the share isn't below 0"
 )]
 const fn whole(part: f64) -> usize {
     part as usize
--- a/crates/rookferry_relay/src/event_log.rs
+++ b/crates/rookferry_relay/src/event_log.rs
@@ -145,7 +145,7 @@
     /// Logs that a dependency answers again.
     pub(crate) fn dependency_regained(&self, name: &str, away: Duration) {
         if let Some(log) = self.line(Weight::Notable) {
-            info!(log, "sync: a dependency is back"; "event" => "dependency_regained",
+            info!(log, "sync: a dependency answers again"; "event" => "dependency_regained",
                 "dependency" => name, "away_ms" => millis(away));
         }
     }
--- a/crates/rookferry_relay/src/node.rs
+++ b/crates/rookferry_relay/src/node.rs
@@ -71,7 +71,7 @@
 #[derive(Debug, Snafu)]
 pub enum StartError {
     /// A listener couldn't be bound.
-    #[snafu(display("can't listen at {addr} for {purpose}: {source}"))]
+    #[snafu(display("can't listen on {addr} for {purpose}: {source}"))]
     Listen {
         /// The address.
         addr: SocketAddr,
@@ -194,7 +194,7 @@
         let started = clock::now();
         self.relay.leave();
         if let Some(log) = self.relay.events.line(Weight::Notable) {
-            info!(log, "instance: it stops"; "event" => "stopping",
+            info!(log, "instance: stopping"; "event" => "stopping",
                 "requests" => self.callers.requests());
         }
         let bound = self
--- a/crates/rookferry_relay/src/peers/exchange.rs
+++ b/crates/rookferry_relay/src/peers/exchange.rs
@@ -301,7 +301,7 @@
     stream.read_exact(&mut length).await?;
     let length = u32::from_be_bytes(length);
     if length > MAX_MESSAGE_BYTES {
-        return Err(io::Error::other("the message is too long"));
+        return Err(io::Error::other("the message exceeds the size limit"));
     }
     let mut bytes = vec![0; usize::try_from(length).map_err(io::Error::other)?];
     stream.read_exact(&mut bytes).await?;
--- a/crates/rookferry_relay/src/peers/heartbeat.rs
+++ b/crates/rookferry_relay/src/peers/heartbeat.rs
@@ -204,7 +204,7 @@
         };
         for instance in silent {
             if let Some(log) = self.relay.events.line(Weight::Notable) {
-                warn!(log, "peers: an instance is silent"; "event" => "peer_lost",
+                warn!(log, "peers: an instance sends no heartbeats any more"; "event" => "peer_lost",
                     "peer" => &*instance);
             }
         }
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/intake.rs
@@ -62,7 +62,7 @@
             self.take_doubts(&newly_out, beat, now);
         }
         if is_new && let Some(log) = self.relay.events.line(Weight::Notable) {
-            info!(log, "peers: an instance is heard"; "event" => "peer_joined",
+            info!(log, "peers: first heartbeat from an instance"; "event" => "peer_joined",
                 "peer" => &*beat.instance, "incarnation" => beat.incarnation, "addr" => %from);
         }
         self.fetch.take_config(beat, from, epoch);
@@ -81,7 +81,7 @@
             // instance of a domain suspect all engines beyond it, thousands of lines.
             let is_news = doubted.since(server).is_none();
             if is_news && let Some(log) = self.relay.events.line(Weight::Routine) {
-                info!(log, "peers: a server doesn't answer another"; "event" => "server_doubted",
+                info!(log, "peers: a peer suspects a server"; "event" => "server_doubted",
                     "server" => %server.addr, "source" => &*beat.instance, "asking" => is_asking);
             }
             if is_asking {
@@ -150,7 +150,7 @@
             let view = self.relay.view.load();
             let entry = view.server(seen.server);
             if let Some(log) = self.relay.events.line(Weight::Notable) {
-                info!(log, "peers: a server leaves"; "event" => "server_leaving",
+                info!(log, "peers: a server is leaving"; "event" => "server_leaving",
                     "server" => entry.map(|entry| entry.id.to_string()),
                     "addr" => %seen.server.addr, "source" => &*beat.instance,
                     "age_ms" => seen.age_ms, "says_so" => seen.departure == Departure::Leaving);
@@ -172,7 +172,7 @@
         };
         for seen in news {
             if let Some(log) = self.relay.events.line(Weight::Notable) {
-                info!(log, "peers: a server takes no new work"; "event" => "server_closed",
+                info!(log, "peers: a server refuses new work"; "event" => "server_closed",
                     "server" => %seen.server.addr, "source" => &*beat.instance,
                     "age_ms" => seen.age_ms, "refusals" => seen.refusals);
             }
--- a/crates/rookferry_relay/src/placement/mod.rs
+++ b/crates/rookferry_relay/src/placement/mod.rs
@@ -129,7 +129,7 @@
             return false;
         }
         if let Some(log) = self.relay.events.line(Weight::Notable) {
-            info!(log, "placement: layers are needed"; "event" => "placement_planned",
+            info!(log, "placement: orders were planned"; "event" => "placement_planned",
                 "service" => &*service.name, "engines" => engines.len(),
                 "orders" => needed.len(),
                 "missing" => needed.iter().filter(|placement| placement.is_missing).count());
--- a/crates/rookferry_relay/src/placement/orders.rs
+++ b/crates/rookferry_relay/src/placement/orders.rs
@@ -188,7 +188,7 @@
             Err(error) => error.to_string(),
         };
         if let Some(log) = self.relay.events.line(Weight::Notable) {
-            info!(log, "placement: an engine is ordered"; "event" => "order_sent",
+            info!(log, "placement: sent an order to an engine"; "event" => "order_sent",
                 "engine" => &*placement.engine, "addr" => %server.addr(), "order" => "place",
                 "layers" => format!("{}-{}", placement.layers.start, placement.layers.end),
                 "missing" => placement.is_missing, "sequence" => report.sequence,
--- a/crates/rookferry_relay/src/probe.rs
+++ b/crates/rookferry_relay/src/probe.rs
@@ -183,7 +183,7 @@
     let look = LATE_LOOK + clock::since(due).saturating_mul(LATE_FACTOR);
     let answer = tokio::time::timeout(look.min(LONGEST_LATE_LOOK), asked).await;
     answer.unwrap_or_else(|_| {
-        let message = format!("nothing within {} ms", PROBE_TIMEOUT.as_millis());
+        let message = format!("timed out after {} ms", PROBE_TIMEOUT.as_millis());
         Err(UpstreamError::Lost { addr, message })
     })
 }
@@ -247,7 +247,7 @@
         Ok(report) => Some(report),
         Err(error) => {
             if let Some(log) = relay.events.line(Weight::Notable) {
-                warn!(log, "probe: a report doesn't read"; "event" => "report_unreadable",
+                warn!(log, "probe: an engine's report can't be parsed"; "event" => "report_unreadable",
                     "server" => %server.addr, "status" => answer.status.as_u16(), "cause" => %error);
             }
             None
--- a/crates/rookferry_relay/src/protocol.rs
+++ b/crates/rookferry_relay/src/protocol.rs
@@ -134,7 +134,7 @@
 
 /// A body or header that can't be parsed.
 #[derive(Debug, Snafu)]
-#[snafu(display("what the server says doesn't read: {message}"))]
+#[snafu(display("a header or body of the server can't be parsed: {message}"))]
 pub struct FormatError {
     /// The cause.
     pub message: String,
--- a/crates/rookferry_relay/src/quarantine_keeper.rs
+++ b/crates/rookferry_relay/src/quarantine_keeper.rs
@@ -142,7 +142,7 @@
 
     fn note_unreadable(&self, error: &serde_json::Error) {
         if let Some(log) = self.relay.events.line(Weight::Notable) {
-            warn!(log, "quarantine: what the store has doesn't read";
+            warn!(log, "quarantine: the store's object can't be parsed";
                 "event" => "object_unreadable", "kind" => "quarantine", "cause" => %error);
         }
     }
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -220,7 +220,7 @@
                 servers: view.servers.clone(),
             });
             if let Some(log) = self.events.line(Weight::Notable) {
-                info!(log, "config: a version is in force"; "event" => "config_adopted",
+                info!(log, "config: a version is active"; "event" => "config_adopted",
                     "version" => version, "before" => before, "source" => source,
                     "routes" => routes, "accounts" => accounts);
             }
@@ -242,7 +242,7 @@
             let kinds = model.kinds.iter();
             for kind in kinds.filter(|kind| !model.is_usable(kind)) {
                 if let Some(log) = self.events.line(Weight::Notable) {
-                    warn!(log, "config: an accelerator's figures can't be reckoned with";
+                    warn!(log, "config: an accelerator's figures can't be used for planning";
                         "event" => "figures_unusable", "service" => &*service.name,
                         "accelerator" => &kind.name, "memory_mb" => kind.memory_mb,
                         "step_factor" => kind.step_factor, "read_factor" => kind.read_factor,
@@ -286,7 +286,7 @@
         if let Some(log) = self.events.line(Weight::Notable) {
             let before = self.view.load();
             let departed = servers.departed_since(before.servers.as_deref(), MAX_DEPARTED_NAMED);
-            info!(log, "directory: a list of servers is in force"; "event" => "servers_adopted",
+            info!(log, "directory: a list of servers is active"; "event" => "servers_adopted",
                 "version" => %servers.version(), "source" => source, "servers" => servers.all().len(),
                 "leaving" => departed.leaving.join(","), "gone" => departed.gone.join(","));
         }
@@ -339,7 +339,7 @@
         if self.restarts.push(restarted)
             && let Some(log) = self.events.line(Weight::Notable)
         {
-            info!(log, "health: a server has started again"; "event" => "server_restarted",
+            info!(log, "health: a server has restarted"; "event" => "server_restarted",
                 "server" => &*entry.id, "addr" => %server.addr, "source" => "report",
                 "incarnation" => report.incarnation, "before" => entry.incarnation);
         }
--- a/crates/rookferry_relay/src/server_loss.rs
+++ b/crates/rookferry_relay/src/server_loss.rs
@@ -37,7 +37,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Refused => formatter.write_str("it refuses connections"),
-            Self::OtherStart => formatter.write_str("another start of it answers"),
+            Self::OtherStart => formatter.write_str("another incarnation of it answers"),
             Self::LayersGone => formatter.write_str("it doesn't hold its layers any more"),
             Self::Unreachable(cause) => formatter.write_str(cause),
         }
--- a/crates/rookferry_relay/src/settings.rs
+++ b/crates/rookferry_relay/src/settings.rs
@@ -136,10 +136,10 @@
     fn faults(&self) -> Vec<String> {
         let mut faults = Vec::new();
         if self.instance.is_empty() {
-            faults.push("instance: it is empty; give the instance a name".to_owned());
+            faults.push("instance: must not be empty; name the instance".to_owned());
         }
         if self.domain.is_empty() {
-            faults.push("domain: it is empty; name the instance's failure domain".to_owned());
+            faults.push("domain: must not be empty; name the instance's failure domain".to_owned());
         }
         let machine = [
             ("machine.cores", self.machine.cores),
@@ -148,16 +148,19 @@
         for (name, value) in machine {
             if value.is_some_and(|value| !(value.is_finite() && value > 0.0)) {
                 faults.push(format!(
-                    "{name}: it is not above 0; leave it out if it isn't known"
+                    "{name}: must be above 0; omit it if it isn't known"
                 ));
             }
         }
         let bounds = &self.bounds;
         if bounds.revoke_ms == 0 {
-            faults.push("bounds.revoke_ms: 0 refuses every request; give milliseconds".to_owned());
+            faults.push(
+                "bounds.revoke_ms: must be above 0 milliseconds; 0 refuses every request"
+                    .to_owned(),
+            );
         }
         if bounds.drain_ms == 0 {
-            faults.push("bounds.drain_ms: 0 can't be kept; give milliseconds".to_owned());
+            faults.push("bounds.drain_ms: must be above 0 milliseconds".to_owned());
         }
         let positive = [
             ("bounds.grace_s", bounds.grace_s),
@@ -165,7 +168,7 @@
         ];
         for (name, value) in positive {
             if !(value.is_finite() && value > 0.0) {
-                faults.push(format!("{name}: {value} is not above 0; give seconds"));
+                faults.push(format!("{name}: must be above 0 seconds, not {value}"));
             }
         }
         let shares = [
@@ -174,7 +177,7 @@
         ];
         for (name, value) in shares {
             if !(value.is_finite() && value >= 0.0) {
-                faults.push(format!("{name}: {value} is below 0; give 0 or more"));
+                faults.push(format!("{name}: must be 0 or more, not {value}"));
             }
         }
         faults
--- a/crates/rookferry_relay/src/store.rs
+++ b/crates/rookferry_relay/src/store.rs
@@ -17,23 +17,23 @@
 #[derive(Debug, Snafu)]
 pub enum StoreError {
     /// The call can't have taken effect.
-    #[snafu(display("the store did not take the call: {message}"))]
+    #[snafu(display("the store rejected the call: {message}"))]
     Rejected {
         /// The cause.
         message: String,
     },
     /// The call may have taken effect.
-    #[snafu(display("the store's answer is lost: {message}"))]
+    #[snafu(display("the store's answer was lost: {message}"))]
     Lost {
         /// The cause.
         message: String,
     },
     /// The store no longer has the changes after the revision of a watch; list again.
-    #[snafu(display("the store has forgotten its changes since then"))]
+    #[snafu(display("the store no longer has the changes since then"))]
     Forgotten,
     /// The answer, or the object to be replaced, belongs to a previous era of the store;
     /// read again.
-    #[snafu(display("the store has been restored from a copy since then"))]
+    #[snafu(display("the store has been restored from a backup since then"))]
     Outdated,
     /// The object's revision isn't the expected one.
     #[snafu(display("the object has changed"))]
@@ -42,7 +42,7 @@
         current: Option<Object>,
     },
     /// The answer can't be parsed.
-    #[snafu(display("the store's answer doesn't read: {message}"))]
+    #[snafu(display("the store's answer can't be parsed: {message}"))]
     Unreadable {
         /// The cause.
         message: String,
--- a/crates/rookferry_relay/src/sync/config.rs
+++ b/crates/rookferry_relay/src/sync/config.rs
@@ -103,7 +103,7 @@
         return;
     }
     if let Some(log) = relay.events.line(Weight::Notable) {
-        warn!(log, "config: the store has an older version, and the one in force stays";
+        warn!(log, "config: the store has an older version; keeping the active one";
             "event" => "config_older", "version" => config.version, "in_force" => in_force);
     }
 }
--- a/crates/rookferry_relay/src/sync/servers.rs
+++ b/crates/rookferry_relay/src/sync/servers.rs
@@ -171,7 +171,11 @@
         let grace = self.relay.settings.bounds.lapse_grace();
         let expired = self.directory.expire(now, grace);
         for id in &expired.gone {
-            note_removed(&self.relay, id, "it did not come back after the outage");
+            note_removed(
+                &self.relay,
+                id,
+                "its entry did not come back after the outage",
+            );
         }
         if !expired.is_empty() {
             self.version = self.version.changed();
@@ -435,11 +439,11 @@
     match change {
         DirectoryChange::Removed(id) if may_have_lapsed => directory.lapse(&id, now),
         DirectoryChange::Removed(id) => {
-            note_removed(relay, &id, "its entry is gone");
+            note_removed(relay, &id, "its entry was removed");
             directory.apply(DirectoryChange::Removed(id), now);
         }
         DirectoryChange::Unusable(id) => {
-            note_removed(relay, &id, "its entry doesn't describe a server any more");
+            note_removed(relay, &id, "its entry no longer describes a server");
             directory.apply(DirectoryChange::Unusable(id), now);
         }
         DirectoryChange::Updated(server) => {
@@ -460,7 +464,7 @@
 
 fn note_removed(relay: &Relay, id: &EngineId, cause: &str) {
     if let Some(log) = relay.events.line(Weight::Notable) {
-        warn!(log, "directory: a server is gone"; "event" => "server_removed",
+        warn!(log, "directory: a server was removed"; "event" => "server_removed",
             "server" => &**id, "cause" => cause);
     }
 }
--- a/crates/rookferry_relay/src/tracked_store.rs
+++ b/crates/rookferry_relay/src/tracked_store.rs
@@ -114,7 +114,7 @@
 
     fn note_era(&self, era: StoreEra, before: Option<StoreEra>, source: &'static str) {
         if let Some(log) = self.events.line(Weight::Notable) {
-            warn!(log, "store: it is in another era"; "event" => "store_era_changed",
+            warn!(log, "store: its era has changed"; "event" => "store_era_changed",
                 "era" => era, "before" => before, "source" => source);
         }
         self.era_changes.send_modify(|changes| *changes += 1);
@@ -240,7 +240,7 @@
     /// Logs that the store lacks the revision that a watch resumes from.
     fn note_forgotten(&self, call: &'static str) {
         if let Some(log) = self.events.line(Weight::Notable) {
-            warn!(log, "store: it doesn't have the watch's revision"; "event" => "store_forgot",
+            warn!(log, "store: it no longer has the watch's revision"; "event" => "store_forgot",
                 "call" => call);
         }
     }
