--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -69,7 +69,7 @@
         let entry = view.server(server);
         let room_tokens = entry.map_or(0.0, |entry| published_tokens(entry, model));
         let (was_closed, is_closed) = {
-            let mut closed = self.beliefs.closed();
+            let mut closed = self.states.closed();
             let was_closed = closed.is_closed(server, now);
             (
                 was_closed,
@@ -77,7 +77,7 @@
             )
         };
         if !is_closed {
-            self.beliefs.health().had_no_room(server, used_tokens, now);
+            self.states.health().had_no_room(server, used_tokens, now);
         } else if !was_closed && let Some(log) = self.events.line(Weight::Notable) {
             warn!(log, "health: a server refuses new work"; "event" => "server_closed",
                 "server" => %server.addr, "source" => "own", "used_tokens" => used_tokens,
@@ -98,7 +98,7 @@
 
     /// Records that engines accepted a request's work.
     pub(crate) fn engines_accepted(&self, stages: &[PathStage], now: Instant) {
-        let mut closed = self.beliefs.closed();
+        let mut closed = self.states.closed();
         for stage in stages {
             closed.accepted(stage.server, now);
         }
@@ -128,8 +128,8 @@
         let now = clock::now();
         let filter = self.server_filter(urgency);
         let health = &filter.health;
-        let closed = self.beliefs.closed();
-        let doubted = self.beliefs.doubted();
+        let closed = self.states.closed();
+        let doubted = self.states.doubted();
         let usable = table
             .of(&service.name)
             .filter(|server| filter.takes(server, at));
@@ -159,7 +159,7 @@
         urgency: Urgency,
         now: Instant,
     ) -> WaitEnds {
-        let backoffs = self.beliefs.backoffs();
+        let backoffs = self.states.backoffs();
         let book = self.permits.book();
         let mut wait = WaitEnds::default();
         for server in table.of(&service.name) {
@@ -178,9 +178,9 @@
     /// A filter for the servers that may get a request of some urgency.
     pub(crate) fn server_filter(&self, urgency: Urgency) -> ServerFilter<'_> {
         ServerFilter {
-            health: self.beliefs.health(),
-            backoffs: self.beliefs.backoffs(),
-            departed: self.beliefs.departed(),
+            health: self.states.health(),
+            backoffs: self.states.backoffs(),
+            departed: self.states.departed(),
             book: self.permits.book(),
             urgency,
         }
@@ -192,14 +192,14 @@
         if doubted.since(server).is_none() {
             return false;
         }
-        let sign_at = now.checked_sub(self.beliefs.signs.of(server).age(now));
+        let sign_at = now.checked_sub(self.states.signs.of(server).age(now));
         doubted.is_left_alone(server, sign_at)
     }
 
     /// What this instance, of the given rank, uses a suspected server for.
     pub(crate) fn doubted_use(&self, server: ServerKey, rank: usize) -> DoubtedUse {
         DoubtedUse {
-            has_work: self.beliefs.loads.of(server).requests > 0,
+            has_work: self.states.loads.of(server).requests > 0,
             plans_layers: self.holds_lease.load(Ordering::Relaxed),
             rank,
         }
@@ -222,7 +222,7 @@
             server: server.key,
             domain: server.domain.clone(),
             held,
-            layer_step_ms: model.layer_step_ms(kind) * self.beliefs.signs.slowdown(server.key, now),
+            layer_step_ms: model.layer_step_ms(kind) * self.states.signs.slowdown(server.key, now),
             cache_tokens: health.room_tokens(server.key, published_tokens(server, model), now),
             used_tokens: self.load_of(server.key).tokens,
             is_closed: false,
@@ -236,9 +236,9 @@
     /// loads are known, every sharing instance is assumed to have as much in flight as
     /// this one.
     pub(crate) fn load_of(&self, server: ServerKey) -> ServerLoad {
-        let own = self.beliefs.loads.of(server);
+        let own = self.states.loads.of(server);
         let mut load = own;
-        load += self.beliefs.peer_load(server);
+        load += self.states.peer_load(server);
         if self.age() >= HEARD_AFTER {
             return load;
         }
@@ -268,7 +268,7 @@
 
     /// State of a stage of a path in use.
     pub(crate) fn stage_state(&self, table: &ServerTable, stage: &PathStage) -> StageState {
-        if self.beliefs.health().is_out(stage.server) {
+        if self.states.health().is_out(stage.server) {
             return StageState::Lost;
         }
         // A restarted engine has no state of the request.
@@ -277,7 +277,7 @@
         };
         let holds_layers = server.held.is_some_and(|held| held.covers(stage.layers));
         // Layers that are being unloaded still serve running requests.
-        if self.beliefs.is_leaving(server) || !holds_layers {
+        if self.states.is_leaving(server) || !holds_layers {
             return StageState::Leaving;
         }
         StageState::Usable
--- a/crates/rookferry_relay/src/exchange.rs
+++ b/crates/rookferry_relay/src/exchange.rs
@@ -88,14 +88,14 @@
 
     /// Whether servers take something now, by what they said.
     fn check_wanted(&self, server: ServerKey, purpose: Purpose<'_>) -> Result<(), UpstreamError> {
-        if let Some(left) = self.beliefs.backoff_left(server) {
+        if let Some(left) = self.states.backoff_left(server) {
             let addr = server.addr;
             return Err(UpstreamError::BackedOff { addr, left });
         }
         let Purpose::CallerRequest(permits) = purpose else {
             return Ok(());
         };
-        let missing = permits.missing(&self.beliefs.limits(), clock::now());
+        let missing = permits.missing(&self.states.limits(), clock::now());
         match missing {
             Some(limited) => Err(UpstreamError::NotPermitted { addr: limited.addr }),
             None => Ok(()),
@@ -192,12 +192,12 @@
         let now = clock::now();
         let change = match (limit, purpose) {
             (LimitNotice::Named(rate), _) => self
-                .beliefs
+                .states
                 .update_limits(|limits| limits.named(server, rate, now)),
             (LimitNotice::None, Purpose::CallerRequest(_))
-                if self.beliefs.limits().of(server).is_some() =>
+                if self.states.limits().of(server).is_some() =>
             {
-                self.beliefs
+                self.states
                     .update_limits(|limits| limits.not_named(server, sent_at, now))
             }
             _ => None,
@@ -209,7 +209,7 @@
 
     /// A server asked this instance for a backoff.
     pub(crate) fn back_off(&self, server: ServerKey, asked: Duration) {
-        let kept = self.beliefs.back_off(server, asked);
+        let kept = self.states.back_off(server, asked);
         counter!("rookferry_server_backoffs_total").increment(1);
         if let Some(log) = self.events.line(Weight::Notable) {
             info!(log, "health: a server asked for a backoff";
@@ -220,7 +220,7 @@
 
     /// A server said that it leaves. Its entry tells so later, or not at all.
     fn server_leaves(&self, server: ServerKey) {
-        if !self.beliefs.note_leaving(server) {
+        if !self.states.note_leaving(server) {
             return;
         }
         let view = self.view.load();
--- a/crates/rookferry_relay/src/lib.rs
+++ b/crates/rookferry_relay/src/lib.rs
@@ -12,7 +12,6 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod beliefs;
 mod broken_runs;
 mod door;
 mod engines;
@@ -41,6 +40,7 @@
 mod restarts;
 mod retries;
 mod server_loss;
+mod server_states;
 mod settings;
 mod signs;
 mod store;
--- a/crates/rookferry_relay/src/node.rs
+++ b/crates/rookferry_relay/src/node.rs
@@ -275,7 +275,7 @@
     gauge!("rookferry_instances").set(instances as f64);
     let holds_lease = figures.relay.holds_lease.load(Ordering::Relaxed);
     gauge!("rookferry_holds_lease").set(f64::from(u8::from(holds_lease)));
-    gauge!("rookferry_servers_out").set(figures.relay.beliefs.health().out_count() as f64);
+    gauge!("rookferry_servers_out").set(figures.relay.states.health().out_count() as f64);
     text_response(StatusCode::OK, figures.handle.render())
 }
 
--- a/crates/rookferry_relay/src/opener/mod.rs
+++ b/crates/rookferry_relay/src/opener/mod.rs
@@ -144,7 +144,7 @@
                     self.note_failed(&keeper.describe(), answer.status.as_str());
                     self.target
                         .relay
-                        .beliefs
+                        .states
                         .health()
                         .failed(first, clock::now());
                     let is_final = !(answer.status.is_server_error() && may_repeat)
@@ -193,7 +193,7 @@
         self.avoided.push(first);
         let now = clock::now();
         if error.is_own_limit() {
-            relay.beliefs.health().turned_away(first, now);
+            relay.states.health().turned_away(first, now);
             return true;
         }
         if error.is_held_here() {
@@ -215,7 +215,7 @@
             };
             relay.run_broke(request, broken);
         }
-        relay.beliefs.health().failed(first, now);
+        relay.states.health().failed(first, now);
         request.route.repeatability.may_repeat() && self.runs < request.route.max_servers.max(1)
     }
 
--- a/crates/rookferry_relay/src/path_keeper/mod.rs
+++ b/crates/rookferry_relay/src/path_keeper/mod.rs
@@ -280,7 +280,7 @@
         let stalled = clock::since(self.stalled_since);
         let now = clock::now();
         let silent = self.path.stages().iter().zip(&self.signs);
-        let signs = &self.relay.beliefs.signs;
+        let signs = &self.relay.states.signs;
         let silent_after = match self.progress {
             Progress::Waiting => SILENT_BEFORE_FIRST,
             Progress::Running | Progress::Hung => SILENT_AFTER,
@@ -355,7 +355,7 @@
         .stages()
         .iter()
         .map(|stage| (stage.server, request.tokens() * part(stage)));
-    relay.beliefs.loads.enter(parts.collect())
+    relay.states.loads.enter(parts.collect())
 }
 
 fn joined(path: &PipelinePath, now: Instant) -> HashMap<ServerKey, Instant> {
@@ -366,6 +366,6 @@
 fn signs(relay: &Relay, path: &PipelinePath) -> Vec<Sign> {
     let stages = path.stages().iter();
     stages
-        .map(|stage| relay.beliefs.signs.of(stage.server))
+        .map(|stage| relay.states.signs.of(stage.server))
         .collect()
 }
--- a/crates/rookferry_relay/src/path_keeper/repair.rs
+++ b/crates/rookferry_relay/src/path_keeper/repair.rs
@@ -54,7 +54,7 @@
             if lost.contains(&first) {
                 // One that takes no new connections may still serve this one.
                 let stands_still = clock::since(self.stalled_since) >= STALL_AFTER;
-                let is_out = self.relay.beliefs.health().is_out(first.server);
+                let is_out = self.relay.states.health().is_out(first.server);
                 return if is_out && stands_still {
                     Watched::FirstLost
                 } else {
@@ -71,7 +71,7 @@
             let Some((replaced, path)) = self.replacement(&lost, &leaving) else {
                 return Watched::Fine;
             };
-            if let Some(left) = self.relay.beliefs.backoff_left(first.server) {
+            if let Some(left) = self.relay.states.backoff_left(first.server) {
                 return self.put_off(left, !lost.is_empty());
             }
             if !self.keeps_run && self.adds_crossings(&path) {
--- a/crates/rookferry_relay/src/peers/compose.rs
+++ b/crates/rookferry_relay/src/peers/compose.rs
@@ -96,10 +96,10 @@
             Some(ConfigState { version, age_ms })
         });
         let (out, out_count) = {
-            let health = self.relay.beliefs.health();
+            let health = self.relay.states.health();
             (health.told(MAX_OUT, turn), health.out_count())
         };
-        let closed = self.relay.beliefs.closed().told(MAX_OUT, turn, now);
+        let closed = self.relay.states.closed().told(MAX_OUT, turn, now);
         let (members, instances, is_joining) = {
             let table = lock(&self.relay.peers);
             let members = table.members(members_from, MEMBERS_TOLD, now);
@@ -120,14 +120,14 @@
             },
             store_age_ms: self.relay.store.contact().told_age(now).map(told_ms),
             holder: self.holder(now),
-            loads: self.load_entries(self.relay.beliefs.loads.snapshot(), now),
+            loads: self.load_entries(self.relay.states.loads.snapshot(), now),
             domain_loads: None,
             out,
             out_count: u32::try_from(out_count).unwrap_or(u32::MAX),
             closed,
             suspects: self.relay.quarantine.next_told(MAX_SUSPECTS, now),
-            limits: self.relay.beliefs.limits().told(MAX_LIMITS, turn, now),
-            departed: self.relay.beliefs.departed().told(MAX_DEPARTED, turn, now),
+            limits: self.relay.states.limits().told(MAX_LIMITS, turn, now),
+            departed: self.relay.states.departed().told(MAX_DEPARTED, turn, now),
             members,
             instances: u32::try_from(instances).unwrap_or(u32::MAX),
             is_joining,
@@ -154,7 +154,7 @@
     /// The load that the own domain has in flight, this instance included, as known here.
     pub(super) fn domain_sums(&self, now: Instant) -> DomainSums {
         let mut loads = lock(&self.relay.peers).near_loads(now);
-        for (server, own) in self.relay.beliefs.loads.snapshot() {
+        for (server, own) in self.relay.states.loads.snapshot() {
             *loads.entry(server).or_default() += own;
         }
         let entries = self.load_entries(loads, now);
@@ -178,7 +178,7 @@
     }
 
     fn load_entry(&self, server: ServerKey, load: ServerLoad, now: Instant) -> LoadEntry {
-        let signs = &self.relay.beliefs.signs;
+        let signs = &self.relay.states.signs;
         let report = signs.report(server, now);
         let seen = LoadEntry {
             server,
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/intake.rs
@@ -74,7 +74,7 @@
     /// check itself.
     fn take_doubts(&self, servers: &[ServerKey], beat: &Heartbeat, now: Instant) {
         let rank = self.relay.rank(now);
-        let doubted = self.relay.beliefs.doubted();
+        let doubted = self.relay.states.doubted();
         for server in servers.iter().copied() {
             let is_asking = self.relay.doubted_use(server, rank).is_asking();
             // Logged once while several peers suspect it: a network partition makes each
@@ -97,13 +97,13 @@
             let peers = lock(&self.relay.peers);
             (peers.loads(now), peers.doubted(now))
         };
-        self.relay.beliefs.hear(loads, doubted);
+        self.relay.states.hear(loads, doubted);
         self.relay.door.note_change();
     }
 
     /// Records the liveness evidence and reports that a peer has of the servers it uses.
     fn take_signs(&self, loads: &[LoadEntry], now: Instant) {
-        let signs = &self.relay.beliefs.signs;
+        let signs = &self.relay.states.signs;
         let before = |age_ms| now.checked_sub(Duration::from_millis(age_ms));
         let view = self.relay.view.load();
         // An incarnation that isn't known here yet is advertised again in the next round.
@@ -125,12 +125,12 @@
     /// Records the request limits that servers have given to peers.
     fn take_limits(&self, beat: &Heartbeat, now: Instant) {
         for seen in &beat.limits {
-            let beliefs = &self.relay.beliefs;
+            let states = &self.relay.states;
             // Every heartbeat repeats the limit.
-            if beliefs.limits().of(seen.server) == seen.rate {
+            if states.limits().of(seen.server) == seen.rate {
                 continue;
             }
-            if let Some(change) = beliefs.update_limits(|limits| limits.hear(*seen, now)) {
+            if let Some(change) = states.update_limits(|limits| limits.hear(*seen, now)) {
                 self.relay.note_limit(seen.server, change, &beat.instance);
                 self.relay.tell_sent(seen.server);
             }
@@ -141,7 +141,7 @@
     fn take_departed(&self, beat: &Heartbeat) {
         let mut has_news = false;
         for seen in &beat.departed {
-            if !self.relay.beliefs.hear_departure(*seen) {
+            if !self.relay.states.hear_departure(*seen) {
                 continue;
             }
             has_news = true;
@@ -164,7 +164,7 @@
     /// Records which servers refused work although they had free capacity.
     fn take_closed(&self, beat: &Heartbeat, now: Instant) {
         let news: Vec<&ClosedSeen> = {
-            let mut closed = self.relay.beliefs.closed();
+            let mut closed = self.relay.states.closed();
             let view = self.relay.view.load();
             let told = beat.closed.iter();
             let known = told.filter(|seen| view.server(seen.server).is_some());
--- a/crates/rookferry_relay/src/permits.rs
+++ b/crates/rookferry_relay/src/permits.rs
@@ -188,7 +188,7 @@
     ) -> Option<PathPermits> {
         let mut permits = Vec::new();
         for server in &servers {
-            if let Some(rate) = self.beliefs.limits().of(*server) {
+            if let Some(rate) = self.states.limits().of(*server) {
                 permits.push(self.permit(request, *server, rate).await?);
             }
         }
@@ -235,7 +235,7 @@
             .book()
             .note_refused(server, request.urgency, refusal, chance, now);
         if let Some(log) = self.events.line(Weight::Routine) {
-            let limits = self.beliefs.limits();
+            let limits = self.states.limits();
             info!(log, "request: a server with a limit takes no more now";
                 "event" => "permit_refused", "request" => &request.attempt,
                 "server" => %server.addr, "limit_per_s" => rate.per_s(),
@@ -247,7 +247,7 @@
 
     /// A question that only tells what was sent.
     fn question(&self, server: ServerKey, rate: RequestRate, now: Instant) -> PermitAsk {
-        let age = self.beliefs.limits().age(server, now);
+        let age = self.states.limits().age(server, now);
         let mut sent_ms_ago = self.permits.book().take_sent(server, now);
         sent_ms_ago.truncate(MAX_SENT_TOLD);
         PermitAsk {
@@ -299,7 +299,7 @@
         let server = ask.seen.server;
         let now = clock::now();
         let change = self
-            .beliefs
+            .states
             .update_limits(|limits| limits.hear(ask.seen, now));
         if let Some(change) = change {
             self.note_limit(server, change, "question");
@@ -316,7 +316,7 @@
         if self.age() < GRANTS_AFTER {
             return PermitAnswer::Elsewhere(None);
         }
-        let Some(rate) = self.beliefs.limits().of(server) else {
+        let Some(rate) = self.states.limits().of(server) else {
             return PermitAnswer::Granted;
         };
         self.grant(ask, rate, share, now)
@@ -372,7 +372,7 @@
             info!(log, "health: a server's limit for all instances has changed";
                 "event" => "server_limit", "server" => %server.addr,
                 "limit_per_s" => rate.map(RequestRate::per_s), "source" => source,
-                "age_ms" => self.beliefs.limits().age(server, clock::now()).map(millis));
+                "age_ms" => self.states.limits().age(server, clock::now()).map(millis));
         }
         // Others are to know soon, also those that were never told by the server.
         self.versions.send_modify(|changes| *changes += 1);
@@ -381,7 +381,7 @@
     /// Tells the granter of a server what this instance sent it lately, before the
     /// limit was known.
     pub(crate) fn tell_sent(self: &Arc<Self>, server: ServerKey) {
-        let Some(rate) = self.beliefs.limits().of(server) else {
+        let Some(rate) = self.states.limits().of(server) else {
             return;
         };
         let ask = self.question(server, rate, clock::now());
--- a/crates/rookferry_relay/src/placement/census.rs
+++ b/crates/rookferry_relay/src/placement/census.rs
@@ -63,9 +63,9 @@
         let now = clock::now();
         let staying: Vec<_> = table
             .of(&service.name)
-            .filter(|server| !self.relay.beliefs.is_leaving(server))
+            .filter(|server| !self.relay.states.is_leaving(server))
             .collect();
-        let health = self.relay.beliefs.health();
+        let health = self.relay.states.health();
         let is_lost = |server| {
             let since = health.out_since(server);
             since.is_some_and(|since| now.saturating_duration_since(since) >= LOST_AFTER)
--- a/crates/rookferry_relay/src/placement/orders.rs
+++ b/crates/rookferry_relay/src/placement/orders.rs
@@ -111,7 +111,7 @@
             if server.held == Some(ordered.layers) {
                 return false;
             }
-            let is_askable = self.relay.beliefs.backoff_left(*engine).is_none();
+            let is_askable = self.relay.states.backoff_left(*engine).is_none();
             if is_askable && clock::since(ordered.at) >= PLACED_AFTER {
                 overdue.push(*engine);
             }
--- a/crates/rookferry_relay/src/plain.rs
+++ b/crates/rookferry_relay/src/plain.rs
@@ -87,15 +87,15 @@
                     return answered(relay, &request, server, answer);
                 }
                 note_failed(relay, &request, server, answer.status.as_str());
-                relay.beliefs.health().failed(server.key, clock::now());
+                relay.states.health().failed(server.key, clock::now());
                 last_answer = Some((server.clone(), answer));
             }
             Tried::NotRun => {
                 arrived += 1;
                 note_failed(relay, &request, server, "not run");
                 // One that asked for a backoff is left alone for just that.
-                if relay.beliefs.backoff_left(server.key).is_none() {
-                    relay.beliefs.health().failed(server.key, clock::now());
+                if relay.states.backoff_left(server.key).is_none() {
+                    relay.states.health().failed(server.key, clock::now());
                 }
             }
             Tried::Failed(UpstreamError::Withdrawn) => {
@@ -125,7 +125,7 @@
                     };
                     relay.run_broke(&request, broken);
                 }
-                relay.beliefs.health().failed(server.key, clock::now());
+                relay.states.health().failed(server.key, clock::now());
             }
             Tried::TimeOver => return Served::Refused(Refusal::TimeOver),
         }
@@ -212,7 +212,7 @@
 ) -> Tried {
     let names = relay.protocol.names();
     let _load = relay
-        .beliefs
+        .states
         .loads
         .enter(vec![(server.key, request.tokens())]);
     let outbound = request.to_server(names, &server.id, None);
@@ -274,7 +274,7 @@
 fn stay(relay: &Relay, view: &SiteView, servers: &[ServerKey]) -> bool {
     servers.iter().all(|server| {
         let known = view.server(*server);
-        known.is_some_and(|known| !relay.beliefs.is_leaving(known))
+        known.is_some_and(|known| !relay.states.is_leaving(known))
     })
 }
 
--- a/crates/rookferry_relay/src/probe.rs
+++ b/crates/rookferry_relay/src/probe.rs
@@ -54,7 +54,7 @@
 /// Probes an engine; returns whether it answers in time and matches its entry. Marks it
 /// lost if not.
 pub(crate) async fn check(relay: &Relay, upstream: Upstream) -> bool {
-    if relay.beliefs.health().is_out(upstream.server) {
+    if relay.states.health().is_out(upstream.server) {
         return false;
     }
     let request = relay.protocol.report_call().request(upstream.server.addr);
@@ -68,17 +68,17 @@
     match answer {
         Ok(answer) => {
             let now = clock::now();
-            relay.beliefs.signs.of(upstream.server).note(now);
+            relay.states.signs.of(upstream.server).note(now);
             let Some(report) = read_report(relay, upstream.server, &answer) else {
                 return true;
             };
             relay
-                .beliefs
+                .states
                 .signs
                 .note_report(upstream.server, report.slowdown, now);
             let is_listed = is_as_listed(relay, upstream.server, &report);
             if is_listed {
-                relay.beliefs.broken_runs.server_answered(upstream.server);
+                relay.states.broken_runs.server_answered(upstream.server);
             }
             is_listed
         }
@@ -100,10 +100,10 @@
     else {
         return;
     };
-    if relay.beliefs.health().is_out(server)
-        || relay.beliefs.backoff_left(server).is_some()
+    if relay.states.health().is_out(server)
+        || relay.states.backoff_left(server).is_some()
         || !relay
-            .beliefs
+            .states
             .signs
             .begin_asking(server, ASK_AGAIN, clock::now())
     {
@@ -117,7 +117,7 @@
 /// Checks whether a server at which a run broke has exited, even if it was probed just
 /// before. An unresponsive server is already being probed.
 pub(crate) async fn check_ended(relay: &Relay, server: ServerKey) {
-    if relay.beliefs.health().is_out(server) {
+    if relay.states.health().is_out(server) {
         return;
     }
     let view = relay.view.load_full();
@@ -142,7 +142,7 @@
             return;
         };
         match relay.call(upstream, request, PROBE_TIMEOUT).await {
-            Ok(_) => return relay.beliefs.broken_runs.server_answered(server),
+            Ok(_) => return relay.states.broken_runs.server_answered(server),
             Err(error) if error.shows_end() => {
                 return relay.server_lost(server, &ServerLoss::Refused);
             }
@@ -193,7 +193,7 @@
     let mut due: HashMap<ServerKey, (Instant, Duration)> = HashMap::new();
     loop {
         tokio::time::sleep(ROUND).await;
-        let out = relay.beliefs.health().out();
+        let out = relay.states.health().out();
         due.retain(|server, _| out.contains(server));
         let now = clock::now();
         for server in out {
--- a/crates/rookferry_relay/src/quarantine.rs
+++ b/crates/rookferry_relay/src/quarantine.rs
@@ -132,7 +132,7 @@
     /// so that it isn't sent on in the moment in which it is found out.
     pub(crate) async fn may_run_again(&self, request: &CallerRequest) -> bool {
         if let Suspicion::Suspected { .. } = self.suspicion(request) {
-            let decided = self.beliefs.broken_runs.decided(request.signature());
+            let decided = self.states.broken_runs.decided(request.signature());
             // Without word of it the run counts as one that broke for itself.
             let _ = tokio::time::timeout(VERDICT_WAIT, decided).await;
         }
@@ -153,7 +153,7 @@
             request: request.attempt.clone(),
             end: self.run_end(broken),
         };
-        let noted = self.beliefs.broken_runs.lock().note(run, clock::now());
+        let noted = self.states.broken_runs.lock().note(run, clock::now());
         match noted {
             BrokenRunNoted::Ended(run) => self.note_runs_crashed(&[run]),
             BrokenRunNoted::Unasked => {
@@ -166,7 +166,7 @@
 
     fn run_end(&self, broken: BrokenAt) -> RunEnd {
         let at = clock::now();
-        let sign_age = self.beliefs.signs.of(broken.server).age(at);
+        let sign_age = self.states.signs.of(broken.server).age(at);
         let sign_at = at.checked_sub(sign_age);
         let sign_at = sign_at.and_then(|sign| sign.checked_sub(EVENT_ON_ITS_WAY));
         let alive_at = match broken.reach {
@@ -186,7 +186,7 @@
 
     /// A server's process has ended, and its runs with it.
     pub(crate) fn server_ended(&self, server: ServerKey) {
-        let broken = &self.beliefs.broken_runs;
+        let broken = &self.states.broken_runs;
         let crashed = broken.lock().server_ended(server, clock::now());
         self.note_runs_crashed(&crashed);
         broken.tell_decided();
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -32,7 +32,6 @@
 use slog::warn;
 use tokio::sync::watch;
 
-use crate::beliefs::ServerBeliefs;
 use crate::door::Door;
 use crate::event_log::EventLog;
 use crate::event_log::Weight;
@@ -45,6 +44,7 @@
 use crate::quarantine::RequestQuarantine;
 use crate::restarts::Restarts;
 use crate::server_loss::ServerLoss;
+use crate::server_states::ServerStates;
 use crate::settings::RelaySettings;
 use crate::store::SiteStore;
 use crate::sync::PeerList;
@@ -63,7 +63,7 @@
     pub(crate) pool: UpstreamPool,
     pub(crate) view: ArcSwap<SiteView>,
     /// What this instance currently assumes about each server.
-    pub(crate) beliefs: ServerBeliefs,
+    pub(crate) states: ServerStates,
     /// Requests under which servers crashed.
     pub(crate) quarantine: RequestQuarantine,
     /// Permits for servers that have given a limit.
@@ -123,7 +123,7 @@
             store: TrackedStore::new(store, events.clone(), budget),
             pool: UpstreamPool::new(),
             view: ArcSwap::default(),
-            beliefs: ServerBeliefs::new(rand::random()),
+            states: ServerStates::new(rand::random()),
             quarantine: RequestQuarantine::default(),
             permits: Permits::new(rand::random()),
             door: Arc::new(Door::new()),
@@ -267,7 +267,7 @@
         let servers = Arc::new(servers);
         self.note_servers(&servers, source);
         lock(&self.list_history).put(servers.version(), servers.listed());
-        self.beliefs
+        self.states
             .adopt(self.view.load().servers.as_deref(), &servers);
         self.update_view(|view| SiteView {
             index: view.index.clone(),
@@ -307,7 +307,7 @@
         if loss.is_end() {
             self.server_ended(server);
         }
-        if !self.beliefs.health().lost(server, clock::now()) {
+        if !self.states.health().lost(server, clock::now()) {
             return;
         }
         if let Some(log) = self.events.line(Weight::Notable) {
@@ -347,8 +347,8 @@
 
     /// Records that a server answered.
     pub(crate) fn server_answered(&self, server: ServerKey) {
-        self.beliefs.broken_runs.server_answered(server);
-        let mut health = self.beliefs.health();
+        self.states.broken_runs.server_answered(server);
+        let mut health = self.states.health();
         let out_since = health.out_since(server);
         health.succeeded(server, clock::now());
         drop(health);
--- a/crates/rookferry_relay/src/beliefs.rs
+++ b/crates/rookferry_relay/src/server_states.rs
@@ -35,7 +35,7 @@
 
 /// What this instance currently assumes about the servers.
 #[derive(Debug)]
-pub(crate) struct ServerBeliefs {
+pub(crate) struct ServerStates {
     /// Results of requests, by server.
     health: Mutex<ServerHealth>,
     /// Servers that accept no new work although their load was low.
@@ -58,7 +58,7 @@
     peer_loads: ArcSwap<BTreeMap<ServerKey, ServerLoad>>,
 }
 
-impl ServerBeliefs {
+impl ServerStates {
     /// Starts without any state. `chance`, from 0 to 1, is random per instance.
     pub(crate) fn new(chance: f64) -> Self {
         Self {
--- a/crates/rookferry_relay/src/stream.rs
+++ b/crates/rookferry_relay/src/stream.rs
@@ -192,7 +192,7 @@
                     let first = self.keeper.path().first().server;
                     self.target
                         .relay
-                        .beliefs
+                        .states
                         .health()
                         .failed(first, clock::now());
                     self.avoided.push(first);
