--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -192,8 +192,8 @@
         if doubted.since(server).is_none() {
             return false;
         }
-        let sign_at = now.checked_sub(self.states.signs.of(server).age(now));
-        doubted.is_left_alone(server, sign_at)
+        let seen_at = now.checked_sub(self.states.liveness.last_seen(server).age(now));
+        doubted.is_left_alone(server, seen_at)
     }
 
     /// What this instance, of the given rank, uses a suspected server for.
@@ -222,7 +222,8 @@
             server: server.key,
             domain: server.domain.clone(),
             held,
-            layer_step_ms: model.layer_step_ms(kind) * self.states.signs.slowdown(server.key, now),
+            layer_step_ms: model.layer_step_ms(kind)
+                * self.states.liveness.slowdown(server.key, now),
             cache_tokens: health.room_tokens(server.key, published_tokens(server, model), now),
             used_tokens: self.load_of(server.key).tokens,
             is_closed: false,
--- a/crates/rookferry_relay/src/signs.rs
+++ b/crates/rookferry_relay/src/liveness.rs
@@ -19,38 +19,38 @@
 
 /// When a server was last seen active; clones share the value.
 #[derive(Clone, Debug)]
-pub(crate) struct Sign {
+pub(crate) struct LastSeen {
     epoch: Instant,
     /// Milliseconds since the epoch; 0 before the first evidence.
     at_ms: Arc<AtomicU64>,
 }
 
 /// How long a reported slowdown is valid.
-const REPORT_KEPT: Duration = Duration::from_secs(3);
+const REPORT_TTL: Duration = Duration::from_secs(3);
 
 /// A server's report of its slowdown.
 #[derive(Clone, Copy, Debug)]
-struct Report {
+struct SlowdownReport {
     slowdown: f64,
     at: Instant,
 }
 
 /// The evidence about one server.
 #[derive(Debug)]
-struct Seen {
-    sign: Sign,
-    report: Option<Report>,
-    asked_at: Option<Instant>,
+struct Evidence {
+    last_seen: LastSeen,
+    report: Option<SlowdownReport>,
+    probed_at: Option<Instant>,
 }
 
 /// The liveness evidence of all servers.
 #[derive(Debug)]
-pub(crate) struct Signs {
+pub(crate) struct LivenessTable {
     epoch: Instant,
-    by_server: Mutex<HashMap<ServerKey, Seen>>,
+    by_server: Mutex<HashMap<ServerKey, Evidence>>,
 }
 
-impl Signs {
+impl LivenessTable {
     pub(crate) fn new() -> Self {
         Self {
             epoch: clock::now(),
@@ -59,15 +59,15 @@
     }
 
     /// The shared last-seen time of a server.
-    pub(crate) fn of(&self, server: ServerKey) -> Sign {
-        self.with(server, |seen| seen.sign.clone())
+    pub(crate) fn last_seen(&self, server: ServerKey) -> LastSeen {
+        self.with_entry(server, |evidence| evidence.last_seen.clone())
     }
 
     /// Records a slowdown that an engine reported to this instance or a peer.
-    pub(crate) fn note_report(&self, server: ServerKey, slowdown: f64, at: Instant) {
-        self.with(server, |seen| {
-            if seen.report.is_none_or(|known| known.at < at) {
-                seen.report = Some(Report { slowdown, at });
+    pub(crate) fn record_report(&self, server: ServerKey, slowdown: f64, at: Instant) {
+        self.with_entry(server, |evidence| {
+            if evidence.report.is_none_or(|known| known.at < at) {
+                evidence.report = Some(SlowdownReport { slowdown, at });
             }
         });
     }
@@ -76,7 +76,7 @@
     pub(crate) fn report(&self, server: ServerKey, now: Instant) -> Option<(f64, Duration)> {
         let known = lock(&self.by_server).get(&server)?.report?;
         let age = now.saturating_duration_since(known.at);
-        (age < REPORT_KEPT).then_some((known.slowdown, age))
+        (age < REPORT_TTL).then_some((known.slowdown, age))
     }
 
     /// The factor by which an engine's steps take longer than published; at least 1.
@@ -93,15 +93,15 @@
 
     /// Whether a server should be probed now: not while the answer to a probe for another
     /// stream, sent at most `pause` ago, may still come.
-    pub(crate) fn begin_asking(&self, server: ServerKey, pause: Duration, now: Instant) -> bool {
-        self.with(server, |seen| {
-            let is_asked = seen
-                .asked_at
+    pub(crate) fn begin_probe(&self, server: ServerKey, pause: Duration, now: Instant) -> bool {
+        self.with_entry(server, |evidence| {
+            let is_in_flight = evidence
+                .probed_at
                 .is_some_and(|at| now.saturating_duration_since(at) < pause);
-            if !is_asked {
-                seen.asked_at = Some(now);
+            if !is_in_flight {
+                evidence.probed_at = Some(now);
             }
-            !is_asked
+            !is_in_flight
         })
     }
 
@@ -110,23 +110,23 @@
         lock(&self.by_server).retain(|server, _| is_known(*server));
     }
 
-    fn with<T>(&self, server: ServerKey, run: impl FnOnce(&mut Seen) -> T) -> T {
+    fn with_entry<T>(&self, server: ServerKey, run: impl FnOnce(&mut Evidence) -> T) -> T {
         let mut by_server = lock(&self.by_server);
-        let seen = by_server.entry(server).or_insert_with(|| Seen {
-            sign: Sign {
+        let evidence = by_server.entry(server).or_insert_with(|| Evidence {
+            last_seen: LastSeen {
                 epoch: self.epoch,
                 at_ms: Arc::default(),
             },
             report: None,
-            asked_at: None,
+            probed_at: None,
         });
-        run(seen)
+        run(evidence)
     }
 }
 
-impl Sign {
+impl LastSeen {
     /// Records activity at a time.
-    pub(crate) fn note(&self, now: Instant) {
+    pub(crate) fn record(&self, now: Instant) {
         let at = now.saturating_duration_since(self.epoch).as_millis();
         let at = u64::try_from(at).unwrap_or(u64::MAX);
         self.at_ms.fetch_max(at, Ordering::Relaxed);
--- a/crates/rookferry_relay/src/path_keeper/mod.rs
+++ b/crates/rookferry_relay/src/path_keeper/mod.rs
@@ -27,6 +27,7 @@
 use crate::engines::StageState;
 use crate::event_log::Weight;
 use crate::event_log::millis;
+use crate::liveness::LastSeen;
 use crate::load::LoadGuard;
 use crate::opener::StreamTarget;
 use crate::probe;
@@ -34,7 +35,6 @@
 use crate::quarantine::Reach;
 use crate::relay::Relay;
 use crate::request::CallerRequest;
-use crate::signs::Sign;
 
 /// How long a stream may stand still before its path is probed. Events come
 /// every 20 to 50 ms at the published step times; a pause of 200 ms makes an
@@ -97,7 +97,7 @@
     run: RunId,
     /// When it came to the engines of its path.
     joined: HashMap<ServerKey, Instant>,
-    signs: Vec<Sign>,
+    signs: Vec<LastSeen>,
     load: LoadGuard,
 }
 
@@ -243,7 +243,7 @@
         self.progress = Progress::Running;
         self.is_proven = true;
         for sign in &self.signs {
-            sign.note(now);
+            sign.record(now);
         }
     }
 
@@ -280,15 +280,15 @@
         let stalled = clock::since(self.stalled_since);
         let now = clock::now();
         let silent = self.path.stages().iter().zip(&self.signs);
-        let signs = &self.relay.states.signs;
+        let signs = &self.relay.states.liveness;
         let silent_after = match self.progress {
             Progress::Waiting => SILENT_BEFORE_FIRST,
             Progress::Running | Progress::Hung => SILENT_AFTER,
         };
-        let is_asked = |server: ServerKey, sign: &Sign| {
+        let is_asked = |server: ServerKey, sign: &LastSeen| {
             let is_slow = stalled >= SLOW_AFTER && signs.report_age(server, now) >= REPORT_AGAIN;
             (is_slow || sign.age(now) >= silent_after)
-                && signs.begin_asking(server, probe::ASK_AGAIN, now)
+                && signs.begin_probe(server, probe::ASK_AGAIN, now)
         };
         let probes = silent
             .filter(|(stage, sign)| is_asked(stage.server, sign))
@@ -363,9 +363,9 @@
     stages.map(|stage| (stage.server, now)).collect()
 }
 
-fn signs(relay: &Relay, path: &PipelinePath) -> Vec<Sign> {
+fn signs(relay: &Relay, path: &PipelinePath) -> Vec<LastSeen> {
     let stages = path.stages().iter();
     stages
-        .map(|stage| relay.states.signs.of(stage.server))
+        .map(|stage| relay.states.liveness.last_seen(stage.server))
         .collect()
 }
--- a/crates/rookferry_relay/src/peers/compose.rs
+++ b/crates/rookferry_relay/src/peers/compose.rs
@@ -178,13 +178,13 @@
     }
 
     fn load_entry(&self, server: ServerKey, load: ServerLoad, now: Instant) -> LoadEntry {
-        let signs = &self.relay.states.signs;
-        let report = signs.report(server, now);
+        let liveness = &self.relay.states.liveness;
+        let report = liveness.report(server, now);
         let seen = LoadEntry {
             server,
             requests: 0,
             tokens: 0,
-            silent_ms: millis(signs.of(server).age(now)),
+            silent_ms: millis(liveness.last_seen(server).age(now)),
             report: report.map(|(slowdown, age)| ReportSeen {
                 slowdown,
                 age_ms: millis(age),
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/intake.rs
@@ -103,7 +103,7 @@
 
     /// Records the liveness evidence and reports that a peer has of the servers it uses.
     fn take_signs(&self, loads: &[LoadEntry], now: Instant) {
-        let signs = &self.relay.states.signs;
+        let liveness = &self.relay.states.liveness;
         let before = |age_ms| now.checked_sub(Duration::from_millis(age_ms));
         let view = self.relay.view.load();
         // An incarnation that isn't known here yet is advertised again in the next round.
@@ -112,12 +112,12 @@
             .filter(|entry| view.server(entry.server).is_some());
         for entry in known {
             if let Some(at) = before(entry.silent_ms) {
-                signs.of(entry.server).note(at);
+                liveness.last_seen(entry.server).record(at);
             }
             if let Some(report) = entry.report
                 && let Some(at) = before(report.age_ms)
             {
-                signs.note_report(entry.server, report.slowdown, at);
+                liveness.record_report(entry.server, report.slowdown, at);
             }
         }
     }
--- a/crates/rookferry_relay/src/probe.rs
+++ b/crates/rookferry_relay/src/probe.rs
@@ -68,14 +68,14 @@
     match answer {
         Ok(answer) => {
             let now = clock::now();
-            relay.states.signs.of(upstream.server).note(now);
+            relay.states.liveness.last_seen(upstream.server).record(now);
             let Some(report) = read_report(relay, upstream.server, &answer) else {
                 return true;
             };
             relay
                 .states
-                .signs
-                .note_report(upstream.server, report.slowdown, now);
+                .liveness
+                .record_report(upstream.server, report.slowdown, now);
             let is_listed = is_as_listed(relay, upstream.server, &report);
             if is_listed {
                 relay.states.broken_runs.server_answered(upstream.server);
@@ -104,8 +104,8 @@
         || relay.states.backoff_left(server).is_some()
         || !relay
             .states
-            .signs
-            .begin_asking(server, ASK_AGAIN, clock::now())
+            .liveness
+            .begin_probe(server, ASK_AGAIN, clock::now())
     {
         return;
     }
--- a/crates/rookferry_relay/src/quarantine.rs
+++ b/crates/rookferry_relay/src/quarantine.rs
@@ -166,7 +166,7 @@
 
     fn run_end(&self, broken: BrokenAt) -> RunEnd {
         let at = clock::now();
-        let sign_age = self.states.signs.of(broken.server).age(at);
+        let sign_age = self.states.liveness.last_seen(broken.server).age(at);
         let sign_at = at.checked_sub(sign_age);
         let sign_at = sign_at.and_then(|sign| sign.checked_sub(EVENT_ON_ITS_WAY));
         let alive_at = match broken.reach {
--- a/crates/rookferry_relay/src/server_states.rs
+++ b/crates/rookferry_relay/src/server_states.rs
@@ -28,9 +28,9 @@
 use rookferry_net::clock;
 
 use crate::broken_runs::BrokenRunTable;
+use crate::liveness::LivenessTable;
 use crate::load::LoadTable;
 use crate::mutex::lock;
-use crate::signs::Signs;
 use crate::view::ServerTable;
 
 /// What this instance currently assumes about the servers.
@@ -49,7 +49,7 @@
     /// Requests per second that servers accept from all instances together.
     limits: ArcSwap<ServerLimits>,
     /// When each last gave liveness evidence, and its last report.
-    pub(crate) signs: Signs,
+    pub(crate) liveness: LivenessTable,
     /// Broken runs, until it is known whether their servers have exited.
     pub(crate) broken_runs: BrokenRunTable,
     /// Load that this instance has in flight, by server.
@@ -68,7 +68,7 @@
             backoffs: ArcSwap::default(),
             departed: ArcSwap::default(),
             limits: ArcSwap::default(),
-            signs: Signs::new(),
+            liveness: LivenessTable::new(),
             broken_runs: BrokenRunTable::default(),
             loads: LoadTable::default(),
             peer_loads: ArcSwap::default(),
@@ -166,7 +166,7 @@
         closed.retain(is_known);
         drop(closed);
         self.health().retain(is_known);
-        self.signs.retain(is_known);
+        self.liveness.retain(is_known);
         if !self.backoffs.load().is_empty() {
             update(&self.backoffs, |backoffs| backoffs.expire(clock::now()));
         }
