--- a/crates/rookferry_relay/src/exchange.rs
+++ b/crates/rookferry_relay/src/exchange.rs
@@ -231,7 +231,7 @@
                 "addr" => %server.addr, "source" => "own");
         }
         self.note_fleet_change();
-        self.versions.send_modify(|changes| *changes += 1);
+        self.urgent_changes.send_modify(|changes| *changes += 1);
     }
 
     fn note_unreadable(&self, server: ServerKey, error: &dyn std::error::Error) {
--- a/crates/rookferry_relay/src/front.rs
+++ b/crates/rookferry_relay/src/front.rs
@@ -84,7 +84,7 @@
 
 /// Waits until an instance that has just started knows the site.
 async fn await_start(relay: &Relay, longest: Duration) {
-    let mut news = relay.versions.subscribe();
+    let mut news = relay.urgent_changes.subscribe();
     let known = async { while relay.is_starting() && news.changed().await.is_ok() {} };
     // What it comes to is looked at when the request is let in.
     let _ = tokio::time::timeout(longest, known).await;
--- a/crates/rookferry_relay/src/peers/heartbeat.rs
+++ b/crates/rookferry_relay/src/peers/heartbeat.rs
@@ -102,7 +102,7 @@
         let mut next_sum: Option<tokio::time::Instant> = None;
         let mut summed_at = tokio::time::Instant::now();
         let mut has_news = false;
-        let mut news = self.relay.versions.subscribe();
+        let mut news = self.relay.urgent_changes.subscribe();
         loop {
             let sum_due = next_sum.unwrap_or(next_round);
             tokio::select! {
--- a/crates/rookferry_relay/src/permits.rs
+++ b/crates/rookferry_relay/src/permits.rs
@@ -375,7 +375,7 @@
                 "age_ms" => self.states.limits().age(server, clock::now()).map(millis));
         }
         // Others are to know soon, also those that were never told by the server.
-        self.versions.send_modify(|changes| *changes += 1);
+        self.urgent_changes.send_modify(|changes| *changes += 1);
     }
 
     /// Tells the granter of a server what this instance sent it lately, before the
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -74,7 +74,7 @@
     pub(crate) fleet_changes: watch::Sender<u64>,
     /// Incremented whenever peers must be notified early: of a newer configuration or
     /// server list, or of a leaving server.
-    pub(crate) versions: watch::Sender<u64>,
+    pub(crate) urgent_changes: watch::Sender<u64>,
     /// Instances that share the site's budgets, this one included.
     pub(crate) instances: AtomicUsize,
     /// Those of them in the same failure domain.
@@ -129,7 +129,7 @@
             door: Arc::new(Door::new()),
             events,
             fleet_changes: watch::Sender::new(0),
-            versions: watch::Sender::new(0),
+            urgent_changes: watch::Sender::new(0),
             instances: AtomicUsize::new(1),
             near_instances: AtomicUsize::new(1),
             peers: Mutex::new(peers),
@@ -229,7 +229,7 @@
         }
         self.confirm_config(version, at);
         if is_newer {
-            self.versions.send_modify(|changes| *changes += 1);
+            self.urgent_changes.send_modify(|changes| *changes += 1);
         }
     }
 
@@ -277,7 +277,7 @@
         self.pool.tidy(clock::now(), is_known);
         self.permits.retain(is_known);
         self.note_fleet_change();
-        self.versions.send_modify(|changes| *changes += 1);
+        self.urgent_changes.send_modify(|changes| *changes += 1);
     }
 
     /// Logs the newly active server list, and the servers that leave or are removed with
--- a/crates/rookferry_relay/src/sync/servers.rs
+++ b/crates/rookferry_relay/src/sync/servers.rs
@@ -306,7 +306,7 @@
 
 /// Waits until the active configuration is another than `version`.
 async fn other_config(relay: &Relay, version: Option<u64>) {
-    let mut versions = relay.versions.subscribe();
+    let mut versions = relay.urgent_changes.subscribe();
     while relay.config_version() == version {
         if versions.changed().await.is_err() {
             // The sender lives as long as the process.
