--- a/crates/rookferry_relay/src/opener/room.rs
+++ b/crates/rookferry_relay/src/opener/room.rs
@@ -40,7 +40,7 @@
     /// long as the site is over its capacity.
     pub(super) async fn choose_with_room(&self) -> Result<Option<PipelinePath>, Refusal> {
         let request = &self.target.request;
-        let door = &self.target.relay.door;
+        let door = &self.target.relay.admission_gate;
         let service = &self.target.service.name;
         let objective = request.route.latency_objective;
         let mut full = None;
@@ -139,7 +139,7 @@
     }
 
     fn turn_away(&self, full: Option<&PipelineEngine>, place: &Place) -> Refusal {
-        let overload = self.target.relay.door.turn_away();
+        let overload = self.target.relay.admission_gate.turn_away();
         let request = &self.target.request;
         if let Some(log) = self.target.relay.events.line(Weight::Notable) {
             warn!(log, "stream: the engines have no room"; "event" => "no_room",
--- a/crates/rookferry_relay/src/path_keeper/mod.rs
+++ b/crates/rookferry_relay/src/path_keeper/mod.rs
@@ -339,7 +339,7 @@
 impl Drop for PathKeeper {
     fn drop(&mut self) {
         // The load's own drop comes after this; a waiter looks a moment later.
-        self.relay.door.note_freed(&self.service.name);
+        self.relay.admission_gate.note_freed(&self.service.name);
     }
 }
 
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/intake.rs
@@ -98,7 +98,7 @@
             (peers.loads(now), peers.doubted(now))
         };
         self.relay.states.hear(loads, doubted);
-        self.relay.door.note_change();
+        self.relay.admission_gate.note_change();
     }
 
     /// Records the liveness evidence and reports that a peer has of the servers it uses.
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -68,7 +68,7 @@
     pub(crate) quarantine: RequestQuarantine,
     /// Permits for servers that have given a limit.
     pub(crate) permits: Permits,
-    pub(crate) door: Arc<Door>,
+    pub(crate) admission_gate: Arc<Door>,
     pub(crate) events: Arc<EventLog>,
     /// Incremented whenever paths may have to be checked again.
     pub(crate) fleet_changes: watch::Sender<u64>,
@@ -126,7 +126,7 @@
             states: ServerStates::new(rand::random()),
             quarantine: RequestQuarantine::default(),
             permits: Permits::new(rand::random()),
-            door: Arc::new(Door::new()),
+            admission_gate: Arc::new(Door::new()),
             events,
             fleet_changes: watch::Sender::new(0),
             urgent_changes: watch::Sender::new(0),
--- a/crates/rookferry_relay/src/stream.rs
+++ b/crates/rookferry_relay/src/stream.rs
@@ -241,7 +241,10 @@
         if self.first_event_at.is_none() {
             self.first_event_at = Some(now);
             let service = &self.target.service.name;
-            self.target.relay.door.note_first_event(service, stood);
+            self.target
+                .relay
+                .admission_gate
+                .note_first_event(service, stood);
             let wait = now.saturating_duration_since(self.target.request.received_at);
             let route = self.target.request.route.name.to_string();
             histogram!("rookferry_first_event_seconds", "route" => route)
