--- a/crates/rookferry_relay/src/exchange.rs
+++ b/crates/rookferry_relay/src/exchange.rs
@@ -230,7 +230,7 @@
                 "server" => entry.map(|entry| entry.id.to_string()),
                 "addr" => %server.addr, "source" => "own");
         }
-        self.note_fleet_change();
+        self.signal_fleet_change();
         self.urgent_changes.send_modify(|changes| *changes += 1);
     }
 
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/intake.rs
@@ -157,7 +157,7 @@
             }
         }
         if has_news {
-            self.relay.note_fleet_change();
+            self.relay.signal_fleet_change();
         }
     }
 
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -225,7 +225,7 @@
                     "routes" => routes, "accounts" => accounts);
             }
             self.note_unusable_figures(&index);
-            self.note_fleet_change();
+            self.signal_fleet_change();
         }
         self.confirm_config(version, at);
         if is_newer {
@@ -276,7 +276,7 @@
         let is_known = |server| servers.get(server).is_some();
         self.pool.tidy(clock::now(), is_known);
         self.permits.retain(is_known);
-        self.note_fleet_change();
+        self.signal_fleet_change();
         self.urgent_changes.send_modify(|changes| *changes += 1);
     }
 
@@ -297,7 +297,7 @@
     }
 
     /// Wakes the streams, so that they check their paths again.
-    pub(crate) fn note_fleet_change(&self) {
+    pub(crate) fn signal_fleet_change(&self) {
         self.fleet_changes.send_modify(|changes| *changes += 1);
     }
 
@@ -314,7 +314,7 @@
             warn!(log, "health: a server doesn't answer"; "event" => "server_lost",
                 "server" => %server.addr, "cause" => %loss, "ended" => loss.is_end());
         }
-        self.note_fleet_change();
+        self.signal_fleet_change();
     }
 
     /// Records that another process answers than the listed one: what was sent to the
@@ -359,6 +359,6 @@
             info!(log, "health: a server answers again"; "event" => "server_regained",
                 "server" => %server.addr, "away_ms" => millis(clock::since(since)));
         }
-        self.note_fleet_change();
+        self.signal_fleet_change();
     }
 }
