--- a/crates/rookferry_relay/src/lib.rs
+++ b/crates/rookferry_relay/src/lib.rs
@@ -65,7 +65,7 @@
 pub use settings::MachineSettings;
 pub use settings::RelaySettings;
 pub use settings::SettingsError;
-pub use store::AsOf;
 pub use store::SiteStore;
 pub use store::StoreAnswer;
 pub use store::StoreError;
+pub use store::StoreResponse;
--- a/crates/rookferry_relay/src/store.rs
+++ b/crates/rookferry_relay/src/store.rs
@@ -51,7 +51,7 @@
 
 /// A value from an answer of the store.
 #[derive(Clone, Debug)]
-pub struct AsOf<T> {
+pub struct StoreResponse<T> {
     /// The store's era (how often it has been restored from a backup), if the answer
     /// contains a valid one.
     pub era: Option<StoreEra>,
@@ -62,11 +62,11 @@
     pub value: T,
 }
 
-impl<T> AsOf<T> {
+impl<T> StoreResponse<T> {
     /// Replaces the value, with the same era and revision.
     #[must_use]
-    pub fn map<U>(self, change: impl FnOnce(T) -> U) -> AsOf<U> {
-        AsOf {
+    pub fn map<U>(self, change: impl FnOnce(T) -> U) -> StoreResponse<U> {
+        StoreResponse {
             era: self.era,
             revision: self.revision,
             value: change(self.value),
@@ -75,7 +75,7 @@
 }
 
 /// A call to the store.
-pub type StoreAnswer<'a, T> = BoxFuture<'a, Result<AsOf<T>, StoreError>>;
+pub type StoreAnswer<'a, T> = BoxFuture<'a, Result<StoreResponse<T>, StoreError>>;
 
 /// The platform's store. The relay calls it concurrently from several tasks.
 pub trait SiteStore: Send + Sync {
--- a/crates/rookferry_relay/src/tracked_store.rs
+++ b/crates/rookferry_relay/src/tracked_store.rs
@@ -32,9 +32,9 @@
 use crate::event_log::Weight;
 use crate::event_log::millis;
 use crate::mutex::lock;
-use crate::store::AsOf;
 use crate::store::SiteStore;
 use crate::store::StoreError;
+use crate::store::StoreResponse;
 
 /// A value with the version of the store it was read at.
 #[derive(Clone, Debug)]
@@ -123,7 +123,7 @@
     /// Checks an answer's era, and adds the version to its value.
     fn versioned<T>(
         &self,
-        answer: AsOf<T>,
+        answer: StoreResponse<T>,
         asked_in: StoreEra,
         asked_at: Instant,
     ) -> Result<Versioned<T>, StoreError> {
@@ -146,7 +146,7 @@
     async fn read<T>(
         &self,
         call: &'static str,
-        answer: impl Future<Output = Result<AsOf<T>, StoreError>>,
+        answer: impl Future<Output = Result<StoreResponse<T>, StoreError>>,
     ) -> Result<Versioned<T>, StoreError> {
         let (asked_in, asked_at) = (self.era(), clock::now());
         let answer = counted(call, answer).await;
@@ -225,7 +225,7 @@
         &self,
         call: &'static str,
         expected: StoreVersion,
-        answer: impl Future<Output = Result<AsOf<()>, StoreError>>,
+        answer: impl Future<Output = Result<StoreResponse<()>, StoreError>>,
     ) -> Result<StoreVersion, StoreError> {
         if expected.era != self.era() {
             return Err(StoreError::Outdated);
