--- a/crates/rookferry_relay/src/lib.rs
+++ b/crates/rookferry_relay/src/lib.rs
@@ -66,6 +66,6 @@
 pub use settings::RelaySettings;
 pub use settings::SettingsError;
 pub use store::SiteStore;
-pub use store::StoreAnswer;
 pub use store::StoreError;
+pub use store::StoreFuture;
 pub use store::StoreResponse;
--- a/crates/rookferry_relay/src/store.rs
+++ b/crates/rookferry_relay/src/store.rs
@@ -75,12 +75,12 @@
 }
 
 /// A call to the store.
-pub type StoreAnswer<'a, T> = BoxFuture<'a, Result<StoreResponse<T>, StoreError>>;
+pub type StoreFuture<'a, T> = BoxFuture<'a, Result<StoreResponse<T>, StoreError>>;
 
 /// The platform's store. The relay calls it concurrently from several tasks.
 pub trait SiteStore: Send + Sync {
     /// Reads the configuration; `None` if there is none yet.
-    fn config(&self) -> StoreAnswer<'_, Option<ServingConfig>>;
+    fn config(&self) -> StoreFuture<'_, Option<ServingConfig>>;
 
     /// Waits for a configuration newer than a revision; `None` if none came within
     /// `wait`.
@@ -88,28 +88,28 @@
         &self,
         after: ObjectVersion,
         wait: Duration,
-    ) -> StoreAnswer<'_, Option<ServingConfig>>;
+    ) -> StoreFuture<'_, Option<ServingConfig>>;
 
     /// Reads the newest configuration after a revision without waiting; `None` if there
     /// is none. Uses a connection of its own, as a kept one may be dead.
-    fn config_since(&self, after: ObjectVersion) -> StoreAnswer<'_, Option<ServingConfig>>;
+    fn config_since(&self, after: ObjectVersion) -> StoreFuture<'_, Option<ServingConfig>>;
 
     /// Lists the backend servers.
-    fn servers(&self) -> StoreAnswer<'_, Vec<BackendServer>>;
+    fn servers(&self) -> StoreFuture<'_, Vec<BackendServer>>;
 
     /// Waits up to `wait` for changes of the backend servers after a revision.
     fn watch_servers(
         &self,
         after: ObjectVersion,
         wait: Duration,
-    ) -> StoreAnswer<'_, Vec<DirectoryChange>>;
+    ) -> StoreFuture<'_, Vec<DirectoryChange>>;
 
     /// Reads the changes of the backend servers after a revision without waiting. Uses a
     /// connection of its own, as a kept one may be dead.
-    fn servers_since(&self, after: ObjectVersion) -> StoreAnswer<'_, Vec<DirectoryChange>>;
+    fn servers_since(&self, after: ObjectVersion) -> StoreFuture<'_, Vec<DirectoryChange>>;
 
     /// Reads the quarantined requests; `None` if there never were any.
-    fn quarantine(&self) -> StoreAnswer<'_, Option<Object>>;
+    fn quarantine(&self) -> StoreFuture<'_, Option<Object>>;
 
     /// Waits for a change of the quarantined requests after a revision; `None` if none
     /// came within `wait`.
@@ -117,7 +117,7 @@
         &self,
         after: ObjectVersion,
         wait: Duration,
-    ) -> StoreAnswer<'_, Option<Object>>;
+    ) -> StoreFuture<'_, Option<Object>>;
 
     /// Writes the quarantined requests if their revision is the expected one (0: there
     /// are none); the answer has the new revision.
@@ -125,10 +125,10 @@
         &'a self,
         expected: ObjectVersion,
         quarantine: &'a QuarantineObject,
-    ) -> StoreAnswer<'a, ()>;
+    ) -> StoreFuture<'a, ()>;
 
     /// Reads the lease of the placement controller.
-    fn lease(&self) -> StoreAnswer<'_, Option<Object>>;
+    fn lease(&self) -> StoreFuture<'_, Option<Object>>;
 
     /// Writes the lease if its revision is the expected one (0: there is none); the
     /// answer has the new revision.
@@ -136,5 +136,5 @@
         &'a self,
         expected: ObjectVersion,
         lease: &'a LeaseObject,
-    ) -> StoreAnswer<'a, ()>;
+    ) -> StoreFuture<'a, ()>;
 }
