--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -152,26 +152,26 @@
     /// These are points in time, because a duration that is counted from another time
     /// than the one it was computed at ends microseconds early, when the server is still
     /// backed off from.
-    pub(crate) fn wait_ends(
+    pub(crate) fn retry_times(
         &self,
         table: &ServerTable,
         service: &ServingService,
         urgency: Urgency,
         now: Instant,
-    ) -> WaitEnds {
+    ) -> RetryTimes {
         let backoffs = self.states.backoffs();
         let book = self.permits.book();
-        let mut wait = WaitEnds::default();
+        let mut wait = RetryTimes::default();
         for server in table.of(&service.name) {
-            wait.ends.extend(backoffs.until(server.key, now));
+            wait.times.extend(backoffs.until(server.key, now));
             let Some(until) = book.refused_until(server.key, urgency, now) else {
                 continue;
             };
-            wait.ends.push(until);
+            wait.times.push(until);
             let spread = book.spread(server.key);
             wait.spread = Some(wait.spread.map_or(spread, |known| known.min(spread)));
         }
-        wait.ends.sort_unstable();
+        wait.times.sort_unstable();
         wait
     }
 
@@ -326,14 +326,14 @@
 
 /// When a server may be available again where none is.
 #[derive(Debug, Default)]
-pub(crate) struct WaitEnds {
+pub(crate) struct RetryTimes {
     /// The times at which to check again, the earliest first.
-    pub(crate) ends: Vec<Instant>,
+    pub(crate) times: Vec<Instant>,
     /// If permits were refused, the time over which callers' retries are spread.
     spread: Option<Duration>,
 }
 
-impl WaitEnds {
+impl RetryTimes {
     /// The refusal for a caller where a server accepts requests from `end` on.
     pub(crate) fn refusal(&self, end: Instant, now: Instant) -> Refusal {
         let left = end.saturating_duration_since(now);
--- a/crates/rookferry_relay/src/opener/refused.rs
+++ b/crates/rookferry_relay/src/opener/refused.rs
@@ -57,12 +57,12 @@
                 .find(home, tokens)
                 .is_ok()
         };
-        let wait = relay.wait_ends(table, service, urgency, now);
-        if wait.ends.is_empty() || has_path(now) {
+        let wait = relay.retry_times(table, service, urgency, now);
+        if wait.times.is_empty() || has_path(now) {
             return None;
         }
         // Of hundreds of engines that wait, a few are looked at.
-        let first = wait.ends.partition_point(|end| !has_path(*end));
-        Some(wait.refusal(*wait.ends.get(first)?, now))
+        let first = wait.times.partition_point(|end| !has_path(*end));
+        Some(wait.refusal(*wait.times.get(first)?, now))
     }
 }
--- a/crates/rookferry_relay/src/plain.rs
+++ b/crates/rookferry_relay/src/plain.rs
@@ -150,7 +150,7 @@
     service: &ServingService,
 ) -> Option<Refusal> {
     let now = clock::now();
-    let wait = relay.wait_ends(table, service, request.urgency, now);
+    let wait = relay.retry_times(table, service, request.urgency, now);
     let filter = relay.server_filter(request.urgency);
     let is_there_at = |at| {
         let mut servers = table.of(&service.name);
@@ -159,7 +159,7 @@
     if is_there_at(now) {
         return None;
     }
-    let first = wait.ends.iter().find(|end| is_there_at(**end))?;
+    let first = wait.times.iter().find(|end| is_there_at(**end))?;
     Some(wait.refusal(*first, now))
 }
 
