--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -132,7 +132,7 @@
         let doubted = self.states.doubted();
         let usable = table
             .of(&service.name)
-            .filter(|server| filter.takes(server, at));
+            .filter(|server| filter.accepts(server, at));
         let engines = usable.filter_map(|server| {
             let mut engine = self.pipeline_engine(server, model, health, now)?;
             engine.is_closed =
@@ -314,7 +314,7 @@
 
 impl ServerFilter<'_> {
     /// Whether a server may get a request at a time.
-    pub(crate) fn takes(&self, server: &BackendServer, at: Instant) -> bool {
+    pub(crate) fn accepts(&self, server: &BackendServer, at: Instant) -> bool {
         let refused = self.book.refused_until(server.key, self.urgency, at);
         !server.is_leaving
             && !self.health.is_out(server.key)
--- a/crates/rookferry_relay/src/plain.rs
+++ b/crates/rookferry_relay/src/plain.rs
@@ -154,7 +154,7 @@
     let filter = relay.server_filter(request.urgency);
     let is_there_at = |at| {
         let mut servers = table.of(&service.name);
-        servers.any(|server| filter.takes(server, at))
+        servers.any(|server| filter.accepts(server, at))
     };
     if is_there_at(now) {
         return None;
@@ -193,7 +193,7 @@
     let filter = relay.server_filter(request.urgency);
     let usable = table
         .of(&service.name)
-        .filter(|server| filter.takes(server, now) && !avoided.contains(&server.key));
+        .filter(|server| filter.accepts(server, now) && !avoided.contains(&server.key));
     let cost = |server: &BackendServer| {
         let is_far = server.domain != relay.settings.domain;
         f64::from(relay.load_of(server.key).requests)
