--- a/crates/rookferry_relay/src/exchange.rs
+++ b/crates/rookferry_relay/src/exchange.rs
@@ -220,7 +220,7 @@
 
     /// A server said that it leaves. Its entry tells so later, or not at all.
     fn server_leaves(&self, server: ServerKey) {
-        if !self.states.note_leaving(server) {
+        if !self.states.record_leaving(server) {
             return;
         }
         let view = self.view.load();
--- a/crates/rookferry_relay/src/server_states.rs
+++ b/crates/rookferry_relay/src/server_states.rs
@@ -110,7 +110,7 @@
     }
 
     /// Records that a server says that it is leaving. Returns whether that is new.
-    pub(crate) fn note_leaving(&self, server: ServerKey) -> bool {
+    pub(crate) fn record_leaving(&self, server: ServerKey) -> bool {
         // Every answer of the server repeats it.
         !self.departed.load().contains(server)
             && update(&self.departed, |departed| {
