--- a/crates/rookferry_relay/src/front.rs
+++ b/crates/rookferry_relay/src/front.rs
@@ -79,7 +79,7 @@
             Served::Withdrawn => {}
         }
     }
-    refuse(&relay, relay.unknown_site(), &head, received_at)
+    refuse(&relay, relay.unknown_site_refusal(), &head, received_at)
 }
 
 /// Waits until an instance that has just started knows the site.
@@ -104,7 +104,7 @@
 async fn read_body(relay: &Relay, inbound: &mut Inbound) -> Result<bytes::Bytes, Refusal> {
     let view = relay.view.load_full();
     let Some(index) = &view.index else {
-        return Err(relay.unknown_site());
+        return Err(relay.unknown_site_refusal());
     };
     let limits = index.config().limits;
     let read = inbound.read_body(limits.max_body_bytes, limits.head_timeout);
@@ -132,7 +132,7 @@
     let view = relay.view.load_full();
     // What isn't known to be the newest may neither let in nor turn away.
     let known = view.index.as_ref().filter(|_| relay.knows_site());
-    let index = known.ok_or_else(|| relay.unknown_site())?;
+    let index = known.ok_or_else(|| relay.unknown_site_refusal())?;
     let host = host_of(&inbound.headers).ok_or(Refusal::BadRequest("the request names no host"))?;
     let route = index
         .route(&host, inbound.uri.path())
--- a/crates/rookferry_relay/src/readiness.rs
+++ b/crates/rookferry_relay/src/readiness.rs
@@ -33,7 +33,7 @@
     }
 
     /// The refusal for requests that can't be served while the site isn't known.
-    pub(crate) fn unknown_site(&self) -> Refusal {
+    pub(crate) fn unknown_site_refusal(&self) -> Refusal {
         if self.is_starting() {
             let line = self.start_line();
             return Refusal::Starting(line.come_back_after(self.age(), rand::random()));
