--- a/crates/rookferry_relay/src/opener/refused.rs
+++ b/crates/rookferry_relay/src/opener/refused.rs
@@ -32,7 +32,7 @@
         // It may be gone, or have started again without its layers: its entry
         // tells of that seconds later, or, with the store away, not at all.
         if has_room || refusing != first {
-            probe::check_soon(relay, refusing);
+            probe::spawn_check(relay, refusing);
         }
     }
 
--- a/crates/rookferry_relay/src/path_keeper/repair.rs
+++ b/crates/rookferry_relay/src/path_keeper/repair.rs
@@ -97,7 +97,7 @@
                 }
                 Moved::Refused(Some(engine)) => {
                     self.relay.engine_refused(engine, &self.model);
-                    probe::check_soon(&self.relay, engine);
+                    probe::spawn_check(&self.relay, engine);
                     self.refused.push(engine);
                 }
                 Moved::Refused(None) => {
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/intake.rs
@@ -85,7 +85,7 @@
                     "server" => %server.addr, "source" => &*beat.instance, "asking" => is_asking);
             }
             if is_asking {
-                probe::check_soon(&self.relay, server);
+                probe::spawn_check(&self.relay, server);
             }
         }
     }
--- a/crates/rookferry_relay/src/probe.rs
+++ b/crates/rookferry_relay/src/probe.rs
@@ -92,7 +92,7 @@
 
 /// Spawns a probe of an engine that another engine or instance reported trouble with,
 /// unless one is in flight.
-pub(crate) fn check_soon(relay: &Arc<Relay>, server: ServerKey) {
+pub(crate) fn spawn_check(relay: &Arc<Relay>, server: ServerKey) {
     let view = relay.view.load();
     let Some(service) = view
         .service_of(server)
