--- a/crates/rookferry_relay/src/probe.rs
+++ b/crates/rookferry_relay/src/probe.rs
@@ -116,7 +116,7 @@
 
 /// Checks whether a server at which a run broke has exited, even if it was probed just
 /// before. An unresponsive server is already being probed.
-pub(crate) async fn check_ended(relay: &Relay, server: ServerKey) {
+pub(crate) async fn check_exited(relay: &Relay, server: ServerKey) {
     if relay.states.health().is_out(server) {
         return;
     }
--- a/crates/rookferry_relay/src/quarantine.rs
+++ b/crates/rookferry_relay/src/quarantine.rs
@@ -158,7 +158,7 @@
             BrokenRunNoted::Ended(run) => self.note_runs_crashed(&[run]),
             BrokenRunNoted::Unasked => {
                 let relay = self.clone();
-                tokio::spawn(async move { probe::check_ended(&relay, server).await });
+                tokio::spawn(async move { probe::check_exited(&relay, server).await });
             }
             BrokenRunNoted::Asked => {}
         }
