--- a/crates/rookferry_relay/src/path_keeper/mod.rs
+++ b/crates/rookferry_relay/src/path_keeper/mod.rs
@@ -288,7 +288,7 @@
         let is_asked = |server: ServerKey, sign: &LastSeen| {
             let is_slow = stalled >= SLOW_AFTER && signs.report_age(server, now) >= REPORT_AGAIN;
             (is_slow || sign.age(now) >= silent_after)
-                && signs.begin_probe(server, probe::ASK_AGAIN, now)
+                && signs.begin_probe(server, probe::PROBE_REUSE, now)
         };
         let probes = silent
             .filter(|(stage, sign)| is_asked(stage.server, sign))
--- a/crates/rookferry_relay/src/probe.rs
+++ b/crates/rookferry_relay/src/probe.rs
@@ -32,7 +32,7 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(80);
 /// How long a probe of an engine serves other streams too; they are notified if it finds
 /// the engine lost.
-pub(crate) const ASK_AGAIN: Duration = Duration::from_millis(110);
+pub(crate) const PROBE_REUSE: Duration = Duration::from_millis(110);
 /// Least time to wait for an answer that has already arrived.
 const LATE_LOOK: Duration = Duration::from_millis(20);
 /// Factor of the additional wait, relative to how late this process itself noticed that
@@ -105,7 +105,7 @@
         || !relay
             .states
             .liveness
-            .begin_probe(server, ASK_AGAIN, clock::now())
+            .begin_probe(server, PROBE_REUSE, clock::now())
     {
         return;
     }
