--- a/crates/rookferry_relay/src/peers/compose.rs
+++ b/crates/rookferry_relay/src/peers/builder.rs
@@ -28,13 +28,13 @@
 
 /// Age from which an instance may represent its domain. Until it has received heartbeats
 /// of the others, which takes up to two rounds, it ranks itself first.
-const SPEAK_AFTER: Duration = Duration::from_millis(400);
+const REPRESENT_AFTER: Duration = Duration::from_millis(400);
 /// Most loads in one heartbeat, at up to 29 bytes each; the busiest servers go first. The
 /// rest of the datagram is left for the other fields.
 const MAX_LOADS: usize = 420;
 /// Most servers advertised as unresponsive, and as refusing, in one heartbeat, at 12 and
 /// 15 bytes each. Longer lists are advertised in rotation.
-const MAX_OUT: usize = 128;
+const MAX_UNUSABLE: usize = 128;
 /// Most suspect requests (those under which servers crashed) in one heartbeat, at up to
 /// 170 bytes each; the rest follow in the next rounds.
 const MAX_SUSPECTS: usize = 14;
@@ -46,30 +46,30 @@
 const MAX_DEPARTED: usize = 24;
 /// Members in one heartbeat, at 10 bytes each; all are advertised in rotation, 300 within
 /// 1.4 s.
-pub(super) const MEMBERS_TOLD: usize = 32;
+pub(super) const MEMBERS_PER_HEARTBEAT: usize = 32;
 /// Most members of its own domain, and most members of other domains, that are sent to a
 /// joining instance; a response of up to 14 KB, once or twice per start.
-const MEMBERS_TOLD_JOINING: usize = 1_024;
-const OTHERS_TOLD_JOINING: usize = 448;
+const JOINING_LOCAL_MEMBERS: usize = 1_024;
+const JOINING_REMOTE_MEMBERS: usize = 448;
 /// How long an instance without a live peer in its domain looks for others; it may be the
 /// only one.
-const JOINING: Duration = Duration::from_secs(3);
+const JOINING_PERIOD: Duration = Duration::from_secs(3);
 
 /// An age as advertised to peers, in milliseconds, rounded up. Rounded down, a statement
 /// that is relayed within a millisecond would never age.
-pub(crate) fn told_ms(age: Duration) -> u64 {
+pub(crate) fn advertised_ms(age: Duration) -> u64 {
     millis(age).saturating_add(1)
 }
 
 /// Builds heartbeats from the state of this instance.
-pub(super) struct Composer {
+pub(super) struct HeartbeatBuilder {
     relay: Arc<Relay>,
     incarnation: Incarnation,
     /// The zero of this instance's own clock in heartbeats.
     pub(super) epoch: Instant,
 }
 
-impl Composer {
+impl HeartbeatBuilder {
     pub(super) fn new(relay: Arc<Relay>, incarnation: Incarnation) -> Self {
         Self {
             relay,
@@ -79,30 +79,35 @@
     }
 
     /// Whether the instance is old enough to represent its domain.
-    pub(super) fn may_speak(&self) -> bool {
-        clock::since(self.epoch) >= SPEAK_AFTER
+    pub(super) fn may_represent(&self) -> bool {
+        clock::since(self.epoch) >= REPRESENT_AFTER
     }
 
     /// Whether it has just started and looks for the other instances of its domain.
     pub(super) fn is_joining(&self, table: &PeerTable, now: Instant) -> bool {
-        clock::since(self.epoch) < JOINING && !table.hears_near(now)
+        clock::since(self.epoch) < JOINING_PERIOD && !table.hears_near(now)
     }
 
     /// A heartbeat with the members from an offset on, and the given part (`rotation`) of
     /// each list that is too long.
-    pub(super) fn heartbeat(&self, members_from: usize, turn: usize, now: Instant) -> Heartbeat {
+    pub(super) fn heartbeat(
+        &self,
+        members_offset: usize,
+        rotation: usize,
+        now: Instant,
+    ) -> Heartbeat {
         let config = self.relay.config_version().and_then(|version| {
             let age_ms = self.relay.config_age_ms(version, now)?;
             Some(ConfigState { version, age_ms })
         });
         let (out, out_count) = {
             let health = self.relay.states.health();
-            (health.told(MAX_OUT, turn), health.out_count())
+            (health.told(MAX_UNUSABLE, rotation), health.out_count())
         };
-        let closed = self.relay.states.closed().told(MAX_OUT, turn, now);
+        let closed = self.relay.states.closed().told(MAX_UNUSABLE, rotation, now);
         let (members, instances, is_joining) = {
             let table = lock(&self.relay.peers);
-            let members = table.members(members_from, MEMBERS_TOLD, now);
+            let members = table.members(members_offset, MEMBERS_PER_HEARTBEAT, now);
             (members, table.instances(), self.is_joining(&table, now))
         };
         Heartbeat {
@@ -116,9 +121,9 @@
             config,
             servers: ListState {
                 version: self.relay.servers_version(),
-                age_ms: self.relay.servers_age(now).map(told_ms),
+                age_ms: self.relay.servers_age(now).map(advertised_ms),
             },
-            store_age_ms: self.relay.store.contact().told_age(now).map(told_ms),
+            store_age_ms: self.relay.store.contact().told_age(now).map(advertised_ms),
             holder: self.holder(now),
             loads: self.load_entries(self.relay.states.loads.snapshot(), now),
             domain_loads: None,
@@ -126,8 +131,12 @@
             out_count: u32::try_from(out_count).unwrap_or(u32::MAX),
             closed,
             suspects: self.relay.quarantine.next_told(MAX_SUSPECTS, now),
-            limits: self.relay.states.limits().told(MAX_LIMITS, turn, now),
-            departed: self.relay.states.departed().told(MAX_DEPARTED, turn, now),
+            limits: self.relay.states.limits().told(MAX_LIMITS, rotation, now),
+            departed: self
+                .relay
+                .states
+                .departed()
+                .told(MAX_DEPARTED, rotation, now),
             members,
             instances: u32::try_from(instances).unwrap_or(u32::MAX),
             is_joining,
@@ -135,20 +144,20 @@
     }
 
     /// The response to an instance that looks for the other members of `domain`.
-    pub(super) fn joining_answer(&self, domain: &DomainId, now: Instant) -> Heartbeat {
-        let mut answer = self.heartbeat(0, 0, now);
-        answer.loads.clear();
-        answer.suspects = self
+    pub(super) fn joining_response(&self, domain: &DomainId, now: Instant) -> Heartbeat {
+        let mut response = self.heartbeat(0, 0, now);
+        response.loads.clear();
+        response.suspects = self
             .relay
             .quarantine
             .lock()
             .told_at_start(MAX_SUSPECTS, now);
         let table = lock(&self.relay.peers);
         let from = rand::random_range(0..usize::MAX);
-        answer.members = table.members(from, OTHERS_TOLD_JOINING, now);
-        let near = table.members_in(domain, MEMBERS_TOLD_JOINING, now);
-        answer.members.push(near);
-        answer
+        response.members = table.members(from, JOINING_REMOTE_MEMBERS, now);
+        let local = table.members_in(domain, JOINING_LOCAL_MEMBERS, now);
+        response.members.push(local);
+        response
     }
 
     /// The load that the own domain has in flight, this instance included, as known here.
--- a/crates/rookferry_relay/src/peers/fetch.rs
+++ b/crates/rookferry_relay/src/peers/fetch.rs
@@ -14,18 +14,18 @@
 use rookferry_core::ListVersion;
 use rookferry_net::clock;
 
-use super::exchange;
+use super::transfer;
 use crate::mutex::lock;
 use crate::relay::Relay;
 
 /// How long this instance's own watch may take to deliver a version before it is fetched
 /// from a peer.
-const OWN_WATCH_FIRST: Duration = Duration::from_millis(120);
+const OWN_WATCH_GRACE: Duration = Duration::from_millis(120);
 /// How long a fetch of a version blocks another one, if it doesn't end before.
-const FETCH_AGAIN: Duration = Duration::from_millis(1_500);
+const FETCH_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
 /// Fetches the configuration and the server list from peers.
-pub(super) struct ListFetch {
+pub(super) struct BodyFetcher {
     relay: Arc<Relay>,
     config: Arc<FetchGate<u64>>,
     servers: Arc<FetchGate<ListVersion>>,
@@ -40,8 +40,8 @@
 impl<V: Copy + Ord> FetchGate<V> {
     fn begin(&self, version: V) -> bool {
         let mut begun = lock(&self.begun);
-        let is_begun =
-            begun.is_some_and(|(begun, at)| begun >= version && clock::since(at) < FETCH_AGAIN);
+        let is_begun = begun
+            .is_some_and(|(begun, at)| begun >= version && clock::since(at) < FETCH_RETRY_AFTER);
         if !is_begun {
             *begun = Some((version, clock::now()));
         }
@@ -57,12 +57,12 @@
 }
 
 /// A fetch in progress, until it is dropped.
-struct Fetching<V: Copy + Ord> {
+struct FetchGuard<V: Copy + Ord> {
     gate: Arc<FetchGate<V>>,
     version: V,
 }
 
-impl<V: Copy + Ord> Fetching<V> {
+impl<V: Copy + Ord> FetchGuard<V> {
     fn new(gate: &Arc<FetchGate<V>>, version: V) -> Self {
         Self {
             gate: gate.clone(),
@@ -71,13 +71,13 @@
     }
 }
 
-impl<V: Copy + Ord> Drop for Fetching<V> {
+impl<V: Copy + Ord> Drop for FetchGuard<V> {
     fn drop(&mut self) {
         self.gate.end(self.version);
     }
 }
 
-impl ListFetch {
+impl BodyFetcher {
     pub(super) fn new(relay: Arc<Relay>) -> Self {
         Self {
             relay,
@@ -87,30 +87,30 @@
     }
 
     /// Records that a peer has a version that this instance lacks.
-    fn note_offer(&self) {
+    fn record_offer(&self) {
         *lock(&self.relay.offered_at) = Some(clock::now());
     }
 
     /// Fetches a newer server list, unless this instance's own watch delivers it first.
-    pub(super) fn take_servers(&self, beat: &Heartbeat, from: SocketAddr) {
+    pub(super) fn handle_servers(&self, beat: &Heartbeat, from: SocketAddr) {
         let version = beat.servers.version;
         let is_newer = self.relay.servers_version() < version;
         if !is_newer || self.relay.store.is_denied(version.store.era) {
             return;
         }
-        self.note_offer();
+        self.record_offer();
         if !self.servers.begin(version) {
             return;
         }
         let relay = self.relay.clone();
-        let fetching = Fetching::new(&self.servers, version);
+        let fetching = FetchGuard::new(&self.servers, version);
         tokio::spawn(async move {
             let _fetching = fetching;
             if !relay.leaves_store() {
-                tokio::time::sleep(OWN_WATCH_FIRST).await;
+                tokio::time::sleep(OWN_WATCH_GRACE).await;
             }
             if relay.servers_version() < version {
-                exchange::fetch_servers(&relay, from).await;
+                transfer::fetch_servers(&relay, from).await;
             }
         });
     }
@@ -120,24 +120,24 @@
     ///
     /// The peer's age counts from when it received this instance's own clock, which
     /// counts from `epoch`, so a delayed message only makes the confirmation look older.
-    pub(super) fn take_config(&self, beat: &Heartbeat, from: SocketAddr, epoch: Instant) {
+    pub(super) fn handle_config(&self, beat: &Heartbeat, from: SocketAddr, epoch: Instant) {
         let Some(config) = beat.config else {
             return;
         };
         let own = self.relay.config_version();
         if own.is_none_or(|own| own < config.version) {
-            self.note_offer();
+            self.record_offer();
             if !self.config.begin(config.version) {
                 return;
             }
             let relay = self.relay.clone();
-            let fetching = Fetching::new(&self.config, config.version);
+            let fetching = FetchGuard::new(&self.config, config.version);
             tokio::spawn(async move {
                 let _fetching = fetching;
                 if !relay.leaves_store() {
-                    tokio::time::sleep(OWN_WATCH_FIRST).await;
+                    tokio::time::sleep(OWN_WATCH_GRACE).await;
                 }
-                exchange::fetch_config(&relay, from).await;
+                transfer::fetch_config(&relay, from).await;
             });
             return;
         }
@@ -152,7 +152,7 @@
     /// Handles the ages in a peer's heartbeat: when its server list was last the newest,
     /// and when it last knew the store's content. The latter counts only within the own
     /// domain, each of which reads the store for itself.
-    pub(super) fn take_ages(&self, beat: &Heartbeat, epoch: Instant) {
+    pub(super) fn handle_ages(&self, beat: &Heartbeat, epoch: Instant) {
         let servers = beat.servers;
         let list_at = servers
             .age_ms
@@ -160,8 +160,8 @@
         if let Some(at) = list_at {
             self.relay.confirm_servers(servers.version, at);
         }
-        let is_near = beat.domain == self.relay.settings.domain;
-        let store_age_ms = beat.store_age_ms.filter(|_| is_near);
+        let is_local = beat.domain == self.relay.settings.domain;
+        let store_age_ms = beat.store_age_ms.filter(|_| is_local);
         let store_at = store_age_ms.and_then(|age_ms| known_at(beat, age_ms, epoch));
         if let Some(at) = store_at {
             self.relay.store.hear_contact(at);
--- a/crates/rookferry_relay/src/peers/intake.rs
+++ b/crates/rookferry_relay/src/peers/handler.rs
@@ -14,7 +14,7 @@
 use rookferry_core::ServerKey;
 use slog::info;
 
-use super::fetch::ListFetch;
+use super::fetch::BodyFetcher;
 use crate::event_log::Weight;
 use crate::mutex::lock;
 use crate::probe;
@@ -22,25 +22,25 @@
 
 /// Upper limit on an instance count that a peer reports: several times the largest site,
 /// so that a corrupted count cannot use up all budgets.
-const MAX_TOLD_INSTANCES: usize = 4_096;
+const MAX_REPORTED_INSTANCES: usize = 4_096;
 
 /// Applies received heartbeats.
-pub(super) struct Intake {
+pub(super) struct HeartbeatHandler {
     relay: Arc<Relay>,
-    fetch: ListFetch,
+    fetch: BodyFetcher,
 }
 
-impl Intake {
+impl HeartbeatHandler {
     pub(super) fn new(relay: Arc<Relay>) -> Self {
         Self {
-            fetch: ListFetch::new(relay.clone()),
+            fetch: BodyFetcher::new(relay.clone()),
             relay,
         }
     }
 
     /// Applies another instance's heartbeat; `epoch` is the zero of this instance's own
     /// clock in heartbeats.
-    pub(super) fn take(&self, beat: &Heartbeat, from: SocketAddr, epoch: Instant, now: Instant) {
+    pub(super) fn handle(&self, beat: &Heartbeat, from: SocketAddr, epoch: Instant, now: Instant) {
         let (is_new, newly_out) = {
             let mut table = lock(&self.relay.peers);
             let is_new = table.heard(from, beat, now);
@@ -48,39 +48,39 @@
             (is_new, newly_out)
         };
         self.relay.store.hear_era(beat.servers.version.store.era);
-        self.take_count(beat.instances);
-        self.take_signs(&beat.loads, now);
-        if let Some(told) = &beat.domain_loads {
-            self.take_signs(&told.loads, now);
+        self.apply_instance_count(beat.instances);
+        self.record_liveness(&beat.loads, now);
+        if let Some(sums) = &beat.domain_loads {
+            self.record_liveness(&sums.loads, now);
         }
-        self.take_closed(beat, now);
-        self.take_limits(beat, now);
-        self.take_departed(beat);
+        self.record_refusals(beat, now);
+        self.record_limits(beat, now);
+        self.record_departures(beat);
         self.relay
             .learn_suspects(&beat.suspects, &beat.instance, now);
         if !newly_out.is_empty() {
-            self.take_doubts(&newly_out, beat, now);
+            self.record_suspicions(&newly_out, beat, now);
         }
         if is_new && let Some(log) = self.relay.events.line(Weight::Notable) {
             info!(log, "peers: first heartbeat from an instance"; "event" => "peer_joined",
                 "peer" => &*beat.instance, "incarnation" => beat.incarnation, "addr" => %from);
         }
-        self.fetch.take_config(beat, from, epoch);
-        self.fetch.take_servers(beat, from);
-        self.fetch.take_ages(beat, epoch);
+        self.fetch.handle_config(beat, from, epoch);
+        self.fetch.handle_servers(beat, from);
+        self.fetch.handle_ages(beat, epoch);
     }
 
     /// Records that a peer suspects servers, and probes those that this instance must
     /// check itself.
-    fn take_doubts(&self, servers: &[ServerKey], beat: &Heartbeat, now: Instant) {
+    fn record_suspicions(&self, servers: &[ServerKey], beat: &Heartbeat, now: Instant) {
         let rank = self.relay.rank(now);
         let doubted = self.relay.states.doubted();
         for server in servers.iter().copied() {
             let is_asking = self.relay.doubted_use(server, rank).is_asking();
             // Logged once while several peers suspect it: a network partition makes each
             // instance of a domain suspect all engines beyond it, thousands of lines.
-            let is_news = doubted.since(server).is_none();
-            if is_news && let Some(log) = self.relay.events.line(Weight::Routine) {
+            let is_new = doubted.since(server).is_none();
+            if is_new && let Some(log) = self.relay.events.line(Weight::Routine) {
                 info!(log, "peers: a peer suspects a server"; "event" => "server_doubted",
                     "server" => %server.addr, "source" => &*beat.instance, "asking" => is_asking);
             }
@@ -102,7 +102,7 @@
     }
 
     /// Records the liveness evidence and reports that a peer has of the servers it uses.
-    fn take_signs(&self, loads: &[LoadEntry], now: Instant) {
+    fn record_liveness(&self, loads: &[LoadEntry], now: Instant) {
         let liveness = &self.relay.states.liveness;
         let before = |age_ms| now.checked_sub(Duration::from_millis(age_ms));
         let view = self.relay.view.load();
@@ -123,7 +123,7 @@
     }
 
     /// Records the request limits that servers have given to peers.
-    fn take_limits(&self, beat: &Heartbeat, now: Instant) {
+    fn record_limits(&self, beat: &Heartbeat, now: Instant) {
         for seen in &beat.limits {
             let states = &self.relay.states;
             // Every heartbeat repeats the limit.
@@ -138,13 +138,13 @@
     }
 
     /// Records which servers are leaving.
-    fn take_departed(&self, beat: &Heartbeat) {
-        let mut has_news = false;
+    fn record_departures(&self, beat: &Heartbeat) {
+        let mut has_changes = false;
         for seen in &beat.departed {
             if !self.relay.states.hear_departure(*seen) {
                 continue;
             }
-            has_news = true;
+            has_changes = true;
             let age = Duration::from_millis(seen.age_ms);
             histogram!("rookferry_departure_news_seconds").record(age.as_secs_f64());
             let view = self.relay.view.load();
@@ -156,21 +156,21 @@
                     "age_ms" => seen.age_ms, "says_so" => seen.departure == Departure::Leaving);
             }
         }
-        if has_news {
+        if has_changes {
             self.relay.signal_fleet_change();
         }
     }
 
     /// Records which servers refused work although they had free capacity.
-    fn take_closed(&self, beat: &Heartbeat, now: Instant) {
-        let news: Vec<&ClosedSeen> = {
+    fn record_refusals(&self, beat: &Heartbeat, now: Instant) {
+        let new: Vec<&ClosedSeen> = {
             let mut closed = self.relay.states.closed();
             let view = self.relay.view.load();
-            let told = beat.closed.iter();
-            let known = told.filter(|seen| view.server(seen.server).is_some());
+            let refusing = beat.closed.iter();
+            let known = refusing.filter(|seen| view.server(seen.server).is_some());
             known.filter(|seen| closed.learn(**seen, now)).collect()
         };
-        for seen in news {
+        for seen in new {
             if let Some(log) = self.relay.events.line(Weight::Notable) {
                 info!(log, "peers: a server refuses new work"; "event" => "server_closed",
                     "server" => %seen.server.addr, "source" => &*beat.instance,
@@ -193,9 +193,9 @@
     }
 
     /// Applies a peer's instance count, which a starting instance has before its own.
-    fn take_count(&self, told: u32) {
-        let told = usize::try_from(told).unwrap_or(MAX_TOLD_INSTANCES);
-        let told = told.min(MAX_TOLD_INSTANCES);
-        self.relay.instances.fetch_max(told, Ordering::Relaxed);
+    fn apply_instance_count(&self, reported: u32) {
+        let reported = usize::try_from(reported).unwrap_or(MAX_REPORTED_INSTANCES);
+        let reported = reported.min(MAX_REPORTED_INSTANCES);
+        self.relay.instances.fetch_max(reported, Ordering::Relaxed);
     }
 }
--- a/crates/rookferry_relay/src/peers/heartbeat.rs
+++ b/crates/rookferry_relay/src/peers/heartbeat.rs
@@ -19,79 +19,81 @@
 use slog::warn;
 use tokio::net::UdpSocket;
 
-use super::compose::Composer;
-use super::compose::MEMBERS_TOLD;
-use super::intake::Intake;
+use super::builder::HeartbeatBuilder;
+use super::builder::MEMBERS_PER_HEARTBEAT;
+use super::handler::HeartbeatHandler;
 use super::message::PeerDatagram;
 use crate::event_log::Weight;
 use crate::mutex::lock;
 use crate::relay::Relay;
 
 /// Time between heartbeats; instances share engines, so loads must be recent.
-const ROUND_EVERY: Duration = Duration::from_millis(150);
+const ROUND_INTERVAL: Duration = Duration::from_millis(150);
 /// Size of the receive buffer, in bytes: the largest accepted datagram.
 const MAX_DATAGRAM_BYTES: usize = 20 * 1024;
 /// Rounds for which the same part of a list too long for one heartbeat is advertised: an
 /// aggregator sends to its domain in every second round.
-const ROUNDS_A_TURN: u32 = 2;
+const ROUNDS_PER_ROTATION: u32 = 2;
 /// Delay before a round that is sent early because of a change.
-const NEWS_PAUSE: Duration = Duration::from_millis(30);
+const EARLY_ROUND_DELAY: Duration = Duration::from_millis(30);
 /// Least time between two sums of the peers' loads: summing after each of hundreds of
 /// heartbeats a second takes most of a core.
-const SUM_PAUSE: Duration = Duration::from_millis(20);
+const MIN_SUM_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The heartbeat task of an instance.
-pub(crate) struct Heartbeats {
+pub(crate) struct HeartbeatTask {
     relay: Arc<Relay>,
     socket: Arc<UdpSocket>,
     incarnation: Incarnation,
-    composer: Composer,
-    intake: Intake,
-    rounds: Rounds,
+    builder: HeartbeatBuilder,
+    handler: HeartbeatHandler,
+    rounds: RoundState,
 }
 
 /// State that is carried from round to round.
 #[derive(Debug, Default)]
-struct Rounds {
+struct RoundState {
     number: u32,
     fanout: Fanout,
     /// Where the next part of the member list begins: for most targets, and, in fewer
     /// rounds, for the whole domain, which must receive every member.
-    members_from: usize,
-    domain_members_from: usize,
+    members_offset: usize,
+    domain_members_offset: usize,
 }
 
-impl Rounds {
+impl RoundState {
     /// Index of the part that is advertised of a list too long for one heartbeat.
-    fn turn(&self) -> usize {
-        usize::try_from(self.number / ROUNDS_A_TURN).unwrap_or_default()
+    fn rotation(&self) -> usize {
+        usize::try_from(self.number / ROUNDS_PER_ROTATION).unwrap_or_default()
     }
 
     /// Advances to the next part of the members for most targets, and returns its offset.
-    const fn next_members(&mut self) -> usize {
-        self.members_from = self.members_from.wrapping_add(MEMBERS_TOLD);
-        self.members_from
+    const fn advance_members(&mut self) -> usize {
+        self.members_offset = self.members_offset.wrapping_add(MEMBERS_PER_HEARTBEAT);
+        self.members_offset
     }
 
     /// Advances to the next part of the members for the whole domain, and returns its
     /// offset.
-    const fn next_domain_members(&mut self) -> usize {
-        self.domain_members_from = self.domain_members_from.wrapping_add(MEMBERS_TOLD);
-        self.domain_members_from
+    const fn advance_domain_members(&mut self) -> usize {
+        self.domain_members_offset = self
+            .domain_members_offset
+            .wrapping_add(MEMBERS_PER_HEARTBEAT);
+        self.domain_members_offset
     }
 }
 
-impl Heartbeats {
+impl HeartbeatTask {
     pub(crate) fn new(relay: Arc<Relay>, socket: UdpSocket, incarnation: Incarnation) -> Self {
         let socket = Arc::new(socket);
         relay.permits.attach(socket.clone());
         Self {
-            composer: Composer::new(relay.clone(), incarnation),
-            intake: Intake::new(relay.clone()),
+            builder: HeartbeatBuilder::new(relay.clone(), incarnation),
+            handler: HeartbeatHandler::new(relay.clone()),
             relay,
             socket,
             incarnation,
-            rounds: Rounds::default(),
+            rounds: RoundState::default(),
         }
     }
 
@@ -102,7 +104,7 @@
         let mut next_sum: Option<tokio::time::Instant> = None;
         let mut summed_at = tokio::time::Instant::now();
         let mut has_news = false;
-        let mut news = self.relay.urgent_changes.subscribe();
+        let mut changes = self.relay.urgent_changes.subscribe();
         loop {
             let sum_due = next_sum.unwrap_or(next_round);
             tokio::select! {
@@ -110,23 +112,23 @@
                     // An error here belongs to an earlier send to an address where
                     // nothing listens.
                     if let Ok((length, from)) = received {
-                        self.take(&buffer[..length], from);
-                        next_sum.get_or_insert(summed_at + SUM_PAUSE);
+                        self.handle_datagram(&buffer[..length], from);
+                        next_sum.get_or_insert(summed_at + MIN_SUM_INTERVAL);
                     }
                 }
                 () = tokio::time::sleep_until(sum_due), if next_sum.is_some() => {
-                    self.intake.sum_loads(clock::now());
+                    self.handler.sum_loads(clock::now());
                     summed_at = tokio::time::Instant::now();
                     next_sum = None;
                 }
                 () = tokio::time::sleep_until(next_round) => {
-                    next_round = tokio::time::Instant::now() + ROUND_EVERY;
+                    next_round = tokio::time::Instant::now() + ROUND_INTERVAL;
                     self.send_round(std::mem::take(&mut has_news));
                 }
-                _ = news.changed() => {
+                _ = changes.changed() => {
                     has_news = true;
-                    let soon = tokio::time::Instant::now() + NEWS_PAUSE;
-                    next_round = next_round.min(soon);
+                    let early = tokio::time::Instant::now() + EARLY_ROUND_DELAY;
+                    next_round = next_round.min(early);
                 }
             }
         }
@@ -135,10 +137,10 @@
     fn send_round(&mut self, has_news: bool) {
         let now = clock::now();
         self.expire(now);
-        let (targets, members_from) = self.next_targets(has_news, now);
+        let (targets, members_offset) = self.next_targets(has_news, now);
         let mut beat = self
-            .composer
-            .heartbeat(members_from, self.rounds.turn(), now);
+            .builder
+            .heartbeat(members_offset, self.rounds.rotation(), now);
         lock(&self.relay.peers).tell_own(&beat.loads);
         for target in targets.near {
             self.send(&mut beat, target, now);
@@ -153,7 +155,7 @@
             self.send(&mut beat, target, now);
         }
         if !targets.far_with_loads.is_empty() {
-            beat.domain_loads = Some(self.composer.domain_sums(now).into_loads());
+            beat.domain_loads = Some(self.builder.domain_sums(now).into_loads());
             for target in targets.far_with_loads {
                 self.send(&mut beat, target, now);
             }
@@ -168,11 +170,11 @@
         let round = Round {
             number: rounds.number,
             has_news,
-            may_speak: self.composer.may_speak(),
-            is_joining: self.composer.is_joining(&table, now),
+            may_speak: self.builder.may_represent(),
+            is_joining: self.builder.is_joining(&table, now),
         };
         let targets = rounds.fanout.round(&table, round, now, &mut rand::rng());
-        (targets, rounds.next_members())
+        (targets, rounds.advance_members())
     }
 
     /// Sends a heartbeat to the members of the own domain, each with the summed load of
@@ -181,9 +183,9 @@
         if targets.is_empty() {
             return;
         }
-        let from = self.rounds.next_domain_members();
-        beat.members = lock(&self.relay.peers).members(from, MEMBERS_TOLD, now);
-        let all = self.composer.domain_sums(now);
+        let from = self.rounds.advance_domain_members();
+        beat.members = lock(&self.relay.peers).members(from, MEMBERS_PER_HEARTBEAT, now);
+        let all = self.builder.domain_sums(now);
         for target in targets {
             let sums = lock(&self.relay.peers).sums_for(target, &all);
             beat.domain_loads = Some(sums);
@@ -194,15 +196,15 @@
     /// Removes expired peers, and adds the seed addresses again: an instance that was
     /// down may be back, or another one may use the address.
     fn expire(&self, now: Instant) {
-        let silent = {
+        let expired = {
             let mut table = lock(&self.relay.peers);
-            let silent = table.expire(now);
+            let expired = table.expire(now);
             for seed in &self.relay.settings.seeds {
                 table.learn(*seed, now);
             }
-            silent
+            expired
         };
-        for instance in silent {
+        for instance in expired {
             if let Some(log) = self.relay.events.line(Weight::Notable) {
                 warn!(log, "peers: an instance sends no heartbeats any more"; "event" => "peer_lost",
                     "peer" => &*instance);
@@ -220,9 +222,9 @@
         }
     }
 
-    fn take(&self, bytes: &[u8], from: SocketAddr) {
+    fn handle_datagram(&self, bytes: &[u8], from: SocketAddr) {
         match postcard::from_bytes::<PeerDatagram<Heartbeat>>(bytes) {
-            Ok(PeerDatagram::Heartbeat(beat)) => self.take_heartbeat(beat, from),
+            Ok(PeerDatagram::Heartbeat(beat)) => self.handle_heartbeat(beat, from),
             Ok(PeerDatagram::Ask(ask)) => {
                 let answer = self.relay.answer_ask(&ask);
                 let answer = PeerDatagram::Answer(ask.number, answer);
@@ -236,7 +238,7 @@
         }
     }
 
-    fn take_heartbeat(&self, mut beat: Heartbeat, from: SocketAddr) {
+    fn handle_heartbeat(&self, mut beat: Heartbeat, from: SocketAddr) {
         if beat.site != self.relay.settings.site {
             counter!("rookferry_heartbeats_of_others_total").increment(1);
             return;
@@ -250,10 +252,10 @@
         // Peers relay this instance's own claim to the lease.
         beat.holder = beat.holder.filter(|holder| holder.instance != *own);
         let now = clock::now();
-        self.intake.take(&beat, from, self.composer.epoch, now);
+        self.handler.handle(&beat, from, self.builder.epoch, now);
         if beat.is_joining {
-            let mut answer = self.composer.joining_answer(&beat.domain, now);
-            self.send(&mut answer, from, now);
+            let mut response = self.builder.joining_response(&beat.domain, now);
+            self.send(&mut response, from, now);
         }
     }
 }
--- a/crates/rookferry_relay/src/peers/message.rs
+++ b/crates/rookferry_relay/src/peers/message.rs
@@ -25,7 +25,7 @@
 
 /// A request over TCP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct PeerQuestion {
+pub(crate) struct PeerQuery {
     /// Where the requesting instance serves its peers.
     pub(crate) from: SocketAddr,
     pub(crate) request: PeerRequest,
@@ -42,7 +42,7 @@
 
 /// The response to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum PeerAnswer {
+pub(crate) enum PeerResponse {
     /// A newer configuration.
     Config {
         config: Box<ServingConfig>,
--- a/crates/rookferry_relay/src/peers/mod.rs
+++ b/crates/rookferry_relay/src/peers/mod.rs
@@ -6,14 +6,14 @@
 //! Failure suspicion only decides which peers are contacted and how budgets are shared;
 //! no safety property depends on it.
 
-mod compose;
-mod exchange;
+mod builder;
 mod fetch;
+mod handler;
 mod heartbeat;
-mod intake;
 mod message;
+mod transfer;
 
-pub(crate) use compose::told_ms;
-pub(crate) use exchange::answer_peers;
-pub(crate) use heartbeat::Heartbeats;
+pub(crate) use builder::advertised_ms;
+pub(crate) use heartbeat::HeartbeatTask;
 pub(crate) use message::PeerDatagram;
+pub(crate) use transfer::serve_peers;
--- a/crates/rookferry_relay/src/peers/exchange.rs
+++ b/crates/rookferry_relay/src/peers/transfer.rs
@@ -27,78 +27,78 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-use super::compose::told_ms;
-use super::message::PeerAnswer;
-use super::message::PeerQuestion;
+use super::builder::advertised_ms;
+use super::message::PeerQuery;
 use super::message::PeerRequest;
+use super::message::PeerResponse;
 use crate::mutex::lock;
 use crate::relay::Relay;
 use crate::sync::PeerList;
 
 /// Time limit of a request, including the connect.
-const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(600);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 /// Largest message, in bytes; a configuration with thousands of routes fits.
 const MAX_MESSAGE_BYTES: u32 = 16 * 1024 * 1024;
 /// Peers tried for one body; each that has it names some others that have it too.
-const MAX_ASKED: usize = 8;
+const MAX_PEERS_TRIED: usize = 8;
 /// Pause before the same peer is asked again while no other has the body: about the time
 /// it takes to send the body to one peer.
-const ASK_PAUSE: Duration = Duration::from_millis(80);
+const SAME_PEER_PAUSE: Duration = Duration::from_millis(80);
 /// Pause after a failed accept, whose cause is a lack of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Serves the requests of peers until the process exits.
-pub(crate) async fn answer_peers(relay: Arc<Relay>, listener: TcpListener) {
+pub(crate) async fn serve_peers(relay: Arc<Relay>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
         let relay = relay.clone();
         tokio::spawn(async move {
             // The peer sees a failure as a missing response.
-            let _ = tokio::time::timeout(EXCHANGE_TIMEOUT, answer(&relay, stream)).await;
+            let _ = tokio::time::timeout(REQUEST_TIMEOUT, serve(&relay, stream)).await;
         });
     }
 }
 
-async fn answer(relay: &Relay, mut stream: TcpStream) -> io::Result<()> {
-    let question: PeerQuestion = receive(&mut stream).await?;
-    let from = question.from;
-    match question.request {
+async fn serve(relay: &Relay, mut stream: TcpStream) -> io::Result<()> {
+    let query: PeerQuery = receive(&mut stream).await?;
+    let from = query.from;
+    match query.request {
         PeerRequest::Config { newer_than } => {
             let version = relay.config_version();
             let newer = version.filter(|own| *own > newer_than);
-            let body = || config_answer(relay);
-            give(&mut stream, &relay.config_source, newer, from, body).await
+            let body = || config_response(relay);
+            send_body(&mut stream, &relay.config_source, newer, from, body).await
         }
         PeerRequest::Servers { had } => {
-            if let Some(changes) = changes_answer(relay, had) {
+            if let Some(changes) = changes_response(relay, had) {
                 return send(&mut stream, &changes).await;
             }
             let newer = Some(relay.servers_version()).filter(|own| *own > had.version);
-            let body = || servers_answer(relay);
-            give(&mut stream, &relay.servers_source, newer, from, body).await
+            let body = || servers_response(relay);
+            send_body(&mut stream, &relay.servers_source, newer, from, body).await
         }
     }
 }
 
 /// Sends a body, or redirects the requester to peers that have it.
-async fn give<V: Copy + Default + PartialEq>(
+async fn send_body<V: Copy + Default + PartialEq>(
     stream: &mut TcpStream,
     source: &Mutex<BodySource<V>>,
     version: Option<V>,
     to: SocketAddr,
-    body: impl FnOnce() -> PeerAnswer,
+    body: impl FnOnce() -> PeerResponse,
 ) -> io::Result<()> {
     let Some(version) = version else {
-        return send(stream, &PeerAnswer::NothingNewer).await;
+        return send(stream, &PeerResponse::NothingNewer).await;
     };
     let offer = lock(source).offer(version);
     match offer {
-        Offer::Elsewhere(others) => send(stream, &PeerAnswer::Elsewhere(others)).await,
+        Offer::Elsewhere(others) => send(stream, &PeerResponse::Elsewhere(others)).await,
         Offer::Body => {
-            let mut sending = Sending {
+            let mut body_transfer = BodyTransfer {
                 source,
                 version,
                 received_by: None,
@@ -106,7 +106,7 @@
             send(stream, &body()).await?;
             // The requester closes the connection once it has read the whole body.
             let _ = stream.read(&mut [0]).await?;
-            sending.received_by = Some(to);
+            body_transfer.received_by = Some(to);
             Ok(())
         }
     }
@@ -114,45 +114,45 @@
 
 /// A body transfer in progress; its end is recorded when it is dropped, also by a
 /// timeout.
-struct Sending<'a, V: Copy + Default + PartialEq> {
+struct BodyTransfer<'a, V: Copy + Default + PartialEq> {
     source: &'a Mutex<BodySource<V>>,
     version: V,
     received_by: Option<SocketAddr>,
 }
 
-impl<V: Copy + Default + PartialEq> Drop for Sending<'_, V> {
+impl<V: Copy + Default + PartialEq> Drop for BodyTransfer<'_, V> {
     fn drop(&mut self) {
         lock(self.source).ended(self.version, self.received_by);
     }
 }
 
-fn config_answer(relay: &Relay) -> PeerAnswer {
+fn config_response(relay: &Relay) -> PeerResponse {
     let view = relay.view.load_full();
     let Some(index) = &view.index else {
-        return PeerAnswer::NothingNewer;
+        return PeerResponse::NothingNewer;
     };
     let config = index.config();
-    PeerAnswer::Config {
+    PeerResponse::Config {
         config: Box::new(config.clone()),
         age_ms: relay.config_age_ms(config.version, clock::now()),
     }
 }
 
-fn servers_answer(relay: &Relay) -> PeerAnswer {
+fn servers_response(relay: &Relay) -> PeerResponse {
     let view = relay.view.load_full();
     let Some(table) = &view.servers else {
-        return PeerAnswer::NothingNewer;
+        return PeerResponse::NothingNewer;
     };
-    PeerAnswer::Servers {
+    PeerResponse::Servers {
         version: table.version(),
         servers: table.listed().cloned().collect(),
-        age_ms: relay.servers_age(clock::now()).map(told_ms),
+        age_ms: relay.servers_age(clock::now()).map(advertised_ms),
     }
 }
 
 /// The difference from an earlier list that is still in the history. It is small, so it
 /// is sent to every requester instead of a redirect.
-fn changes_answer(relay: &Relay, had: ListMark) -> Option<PeerAnswer> {
+fn changes_response(relay: &Relay, had: ListMark) -> Option<PeerResponse> {
     let view = relay.view.load_full();
     let table = view.servers.as_ref()?;
     let history = lock(&relay.list_history);
@@ -162,10 +162,10 @@
     }
     let delta = history.since(had, |id| table.entry(id).cloned())?;
     drop(history);
-    Some(PeerAnswer::ServerChanges {
+    Some(PeerResponse::ServerChanges {
         list,
         delta,
-        age_ms: relay.servers_age(clock::now()).map(told_ms),
+        age_ms: relay.servers_age(clock::now()).map(advertised_ms),
     })
 }
 
@@ -173,17 +173,19 @@
 pub(super) async fn fetch_config(relay: &Relay, from: SocketAddr) {
     let newer_than = relay.config_version().unwrap_or(0);
     let request = PeerRequest::Config { newer_than };
-    let is_had = || relay.config_version() > Some(newer_than);
-    let Some((asked_at, answer)) = ask_round(relay, from, request, is_had).await else {
+    let is_present = || relay.config_version() > Some(newer_than);
+    let Some((requested_at, answer)) =
+        request_following_redirects(relay, from, request, is_present).await
+    else {
         return;
     };
-    if let PeerAnswer::Config { config, age_ms } = answer {
+    if let PeerResponse::Config { config, age_ms } = answer {
         // The peer computed the age after the request was sent, so it is subtracted from
         // the time of the request. A configuration without an age counts as too old to
         // serve by.
         let bound = relay.settings.bounds.max_config_age();
         let age = age_ms.map_or(bound, Duration::from_millis);
-        let confirmed_at = asked_at.checked_sub(age).unwrap_or(asked_at);
+        let confirmed_at = requested_at.checked_sub(age).unwrap_or(requested_at);
         relay.adopt_config(*config, "peer", confirmed_at);
         relay.note_contact_by_bodies();
     }
@@ -192,31 +194,32 @@
 /// Fetches a peer's list of backend servers and passes it on if it is newer.
 pub(super) async fn fetch_servers(relay: &Relay, from: SocketAddr) {
     let had = lock(&relay.list_history).mark();
-    if !take_servers(relay, from, had).await {
+    if !request_servers(relay, from, had).await {
         // The own list differs from the one that the peer remembers under this version.
-        take_servers(relay, from, ListMark::default()).await;
+        request_servers(relay, from, ListMark::default()).await;
     }
 }
 
 /// Requests the list of servers, given the list that this instance has. Returns whether
 /// the response could be used.
-async fn take_servers(relay: &Relay, from: SocketAddr, had: ListMark) -> bool {
+async fn request_servers(relay: &Relay, from: SocketAddr, had: ListMark) -> bool {
     let newer_than = relay.servers_version();
-    let is_had = || relay.servers_version() > newer_than;
-    let asked = ask_round(relay, from, PeerRequest::Servers { had }, is_had).await;
-    let Some((asked_at, answer)) = asked else {
+    let is_present = || relay.servers_version() > newer_than;
+    let outcome =
+        request_following_redirects(relay, from, PeerRequest::Servers { had }, is_present).await;
+    let Some((requested_at, answer)) = outcome else {
         return true;
     };
     let (version, servers, age_ms) = match answer {
-        PeerAnswer::Servers {
+        PeerResponse::Servers {
             version,
             servers,
             age_ms,
         } => {
-            note_list("whole");
+            count_list("whole");
             (version, servers, age_ms)
         }
-        PeerAnswer::ServerChanges {
+        PeerResponse::ServerChanges {
             list,
             delta,
             age_ms,
@@ -224,16 +227,17 @@
             let view = relay.view.load_full();
             let earlier = view.servers.as_ref().map(|table| table.listed());
             let Some(servers) = delta.applied(earlier.into_iter().flatten(), list.digest) else {
-                note_list("changes_unusable");
+                count_list("changes_unusable");
                 return false;
             };
-            note_list("changes");
+            count_list("changes");
             (list.version, servers, age_ms)
         }
         _ => return true,
     };
     // The peer computed the age after the request was sent.
-    let newest_at = age_ms.and_then(|age_ms| asked_at.checked_sub(Duration::from_millis(age_ms)));
+    let newest_at =
+        age_ms.and_then(|age_ms| requested_at.checked_sub(Duration::from_millis(age_ms)));
     let list = PeerList {
         version,
         servers,
@@ -244,49 +248,49 @@
 }
 
 /// Counts the server lists received from peers, by their form.
-fn note_list(form: &'static str) {
+fn count_list(form: &'static str) {
     counter!("rookferry_lists_from_peers_total", "form" => form).increment(1);
 }
 
 /// Requests a body from a peer, and from those it redirects to, until one sends it.
 /// Returns the response with the time at which that peer was asked.
-async fn ask_round(
+async fn request_following_redirects(
     relay: &Relay,
     from: SocketAddr,
     request: PeerRequest,
-    is_had: impl Fn() -> bool,
-) -> Option<(Instant, PeerAnswer)> {
-    let question = PeerQuestion {
+    is_present: impl Fn() -> bool,
+) -> Option<(Instant, PeerResponse)> {
+    let query = PeerQuery {
         from: relay.settings.listen.peers,
         request,
     };
     let mut to = from;
-    for _ in 0..MAX_ASKED {
-        let asked_at = clock::now();
-        let others = match ask(to, question).await? {
-            PeerAnswer::Elsewhere(others) => others,
-            answer => return Some((asked_at, answer)),
+    for _ in 0..MAX_PEERS_TRIED {
+        let requested_at = clock::now();
+        let others = match send_request(to, query).await? {
+            PeerResponse::Elsewhere(others) => others,
+            answer => return Some((requested_at, answer)),
         };
         if let Some(other) = others.choose(&mut rand::rng()) {
             to = *other;
             continue;
         }
-        tokio::time::sleep(ASK_PAUSE.mul_f64(rand::random_range(0.5..1.5))).await;
-        if is_had() {
+        tokio::time::sleep(SAME_PEER_PAUSE.mul_f64(rand::random_range(0.5..1.5))).await;
+        if is_present() {
             return None;
         }
     }
     None
 }
 
-async fn ask(to: SocketAddr, question: PeerQuestion) -> Option<PeerAnswer> {
-    let exchange = async {
+async fn send_request(to: SocketAddr, query: PeerQuery) -> Option<PeerResponse> {
+    let call = async {
         let mut stream = TcpStream::connect(to).await?;
-        send(&mut stream, &question).await?;
+        send(&mut stream, &query).await?;
         receive(&mut stream).await
     };
-    let answer = tokio::time::timeout(EXCHANGE_TIMEOUT, exchange).await;
-    answer.ok()?.ok()
+    let response = tokio::time::timeout(REQUEST_TIMEOUT, call).await;
+    response.ok()?.ok()
 }
 
 async fn send<T: Serialize>(stream: &mut TcpStream, message: &T) -> io::Result<()> {
--- a/crates/rookferry_relay/src/readiness.rs
+++ b/crates/rookferry_relay/src/readiness.rs
@@ -11,7 +11,7 @@
 use rookferry_net::clock;
 
 use crate::mutex::lock;
-use crate::peers::told_ms;
+use crate::peers::advertised_ms;
 use crate::refusal::Refusal;
 use crate::relay::Relay;
 
@@ -56,7 +56,7 @@
     pub(crate) fn config_age_ms(&self, version: u64, now: Instant) -> Option<u64> {
         let known = self.config_age();
         let age = known.age(now).filter(|_| known.version() == version)?;
-        Some(told_ms(age))
+        Some(advertised_ms(age))
     }
 
     /// Time since the active server list was known to be the newest.
