--- a/crates/rookferry_relay/src/node.rs
+++ b/crates/rookferry_relay/src/node.rs
@@ -163,8 +163,8 @@
         let incarnation = incarnation();
         tokio::spawn(HeartbeatTask::new(relay.clone(), socket, incarnation).run());
         tokio::spawn(serve_peers(relay.clone(), listener));
-        tokio::spawn(sync::keep_config(relay.clone()));
-        tokio::spawn(sync::keep_servers(relay.clone()));
+        tokio::spawn(sync::sync_config(relay.clone()));
+        tokio::spawn(sync::sync_servers(relay.clone()));
         tokio::spawn(quarantine_keeper::keep_quarantine(relay.clone()));
         tokio::spawn(probe::watch_lost(relay.clone()));
         tokio::spawn(Placement::new(relay.clone(), incarnation).run());
--- a/crates/rookferry_relay/src/sync/config.rs
+++ b/crates/rookferry_relay/src/sync/config.rs
@@ -13,8 +13,8 @@
 use rookferry_core::StoreVersion;
 use slog::warn;
 
-use super::look_pause;
 use super::outage::Outage;
+use super::poll_interval;
 use crate::event_log::Weight;
 use crate::relay::Relay;
 use crate::store::StoreError;
@@ -23,41 +23,41 @@
 /// How long a watch of the configuration waits. A watch confirms the configuration as of
 /// the watch's start, so the known age varies between one wait and two; when the store
 /// becomes unavailable, that much of the bound for removed keys is already used.
-const CONFIG_WAIT: Duration = Duration::from_millis(600);
+const CONFIG_WATCH_WAIT: Duration = Duration::from_millis(600);
 
 /// Keeps the configuration until the process exits.
-pub(crate) async fn keep_config(relay: Arc<Relay>) {
+pub(crate) async fn sync_config(relay: Arc<Relay>) {
     let mut stored = StoredConfig::default();
     let mut outage = Outage::none("store: configuration");
     loop {
         if relay.leaves_store() {
             // The result of an earlier call is meaningless by the time of the next one.
             relay.is_store_away.store(false, Ordering::Relaxed);
-            tokio::time::sleep(look_pause(&relay)).await;
+            tokio::time::sleep(poll_interval(&relay)).await;
             continue;
         }
         let read = match stored.after {
             None => relay.store.config().await,
-            Some(after) => relay.store.watch_config(after, CONFIG_WAIT).await,
+            Some(after) => relay.store.watch_config(after, CONFIG_WATCH_WAIT).await,
         };
         match read {
             Ok(read) => {
-                outage.ended(&relay);
+                outage.record_success(&relay);
                 if stored.after.is_some() {
-                    outage.watch_went_on();
+                    outage.record_watch();
                 }
                 relay.is_store_away.store(false, Ordering::Relaxed);
-                stored.take(&relay, read);
+                stored.apply(&relay, read);
             }
             Err(StoreError::Forgotten | StoreError::Outdated) => {
                 stored.after = None;
-                outage.watch_refused();
-                outage.failures().wait_in_line(&relay).await;
+                outage.record_refused_watch();
+                outage.failures().wait_backoff(&relay).await;
             }
             Err(error) => {
                 relay.is_store_away.store(true, Ordering::Relaxed);
-                outage.failed(&relay, &error);
-                outage.failures().wait_in_line(&relay).await;
+                outage.record_failure(&relay, &error);
+                outage.failures().wait_backoff(&relay).await;
             }
         }
     }
@@ -74,7 +74,7 @@
 
 impl StoredConfig {
     /// Applies an answer, and confirms the configuration as far as the answer does.
-    fn take(&mut self, relay: &Relay, read: Versioned<Option<ServingConfig>>) {
+    fn apply(&mut self, relay: &Relay, read: Versioned<Option<ServingConfig>>) {
         let Versioned {
             version,
             value,
@@ -83,7 +83,7 @@
         self.after = Some(version);
         if let Some(config) = value {
             self.shown = Some((version, config.version));
-            note_older(relay, &config);
+            log_older(relay, &config);
             relay.adopt_config(config, "store", asked_at);
             return;
         }
@@ -97,7 +97,7 @@
 }
 
 /// Logs that the store has an older configuration than the active one.
-fn note_older(relay: &Relay, config: &ServingConfig) {
+fn log_older(relay: &Relay, config: &ServingConfig) {
     let in_force = relay.config_version();
     if in_force <= Some(config.version) {
         return;
--- a/crates/rookferry_relay/src/sync/mod.rs
+++ b/crates/rookferry_relay/src/sync/mod.rs
@@ -9,19 +9,19 @@
 
 use std::time::Duration;
 
-pub(crate) use config::keep_config;
+pub(crate) use config::sync_config;
 pub(crate) use servers::PeerList;
-pub(crate) use servers::keep_servers;
+pub(crate) use servers::sync_servers;
 
 use crate::relay::Relay;
 
 /// Poll interval of an instance that has just started and waits for its peers' state.
-const START_PAUSE: Duration = Duration::from_millis(25);
+const START_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Time until the next check whether this instance must read the store.
-fn look_pause(relay: &Relay) -> Duration {
+fn poll_interval(relay: &Relay) -> Duration {
     if relay.awaits_peers() {
-        START_PAUSE
+        START_POLL_INTERVAL
     } else {
         relay.settings.bounds.news_budget().look()
     }
--- a/crates/rookferry_relay/src/sync/outage.rs
+++ b/crates/rookferry_relay/src/sync/outage.rs
@@ -16,9 +16,9 @@
 pub(super) struct Outage {
     name: &'static str,
     since: Option<Instant>,
-    failed: Failures,
+    failed_calls: Failures,
     /// Consecutive refused watches.
-    refused: Failures,
+    refused_watches: Failures,
 }
 
 /// Consecutive failed calls.
@@ -38,7 +38,7 @@
 
     /// Waits until this instance may retry, by the number of failures and its rank. The
     /// rank may improve while it waits.
-    pub(super) async fn wait_in_line(self, relay: &Relay) {
+    pub(super) async fn wait_backoff(self, relay: &Relay) {
         if self.count == 0 {
             return;
         }
@@ -48,8 +48,8 @@
             if left.is_zero() {
                 return;
             }
-            let look = relay.settings.bounds.news_budget().look();
-            tokio::time::sleep(left.min(look)).await;
+            let poll = relay.settings.bounds.news_budget().look();
+            tokio::time::sleep(left.min(poll)).await;
         }
     }
 }
@@ -59,26 +59,26 @@
         Self {
             name,
             since: None,
-            failed: Failures::none(),
-            refused: Failures::none(),
+            failed_calls: Failures::none(),
+            refused_watches: Failures::none(),
         }
     }
 
     /// The failures that delay the next call.
     pub(super) const fn failures(&self) -> Failures {
-        if self.failed.count > 0 {
-            return self.failed;
+        if self.failed_calls.count > 0 {
+            return self.failed_calls;
         }
         // The first refused watch only means that a list is needed, so it isn't counted.
         Failures {
-            count: self.refused.count.saturating_sub(1),
-            last_at: self.refused.last_at,
+            count: self.refused_watches.count.saturating_sub(1),
+            last_at: self.refused_watches.last_at,
         }
     }
 
     /// Records a successful call; returns whether it ends an outage.
-    pub(super) fn ended(&mut self, relay: &Relay) -> bool {
-        self.failed.count = 0;
+    pub(super) fn record_success(&mut self, relay: &Relay) -> bool {
+        self.failed_calls.count = 0;
         let Some(since) = self.since.take() else {
             return false;
         };
@@ -90,20 +90,20 @@
 
     /// Records that the store lacks the revision that a watch resumes from; a list
     /// follows. If that keeps happening, the calls are spaced like failed ones.
-    pub(super) fn watch_refused(&mut self) {
-        self.refused = Failures {
-            count: self.refused.count.saturating_add(1),
+    pub(super) fn record_refused_watch(&mut self) {
+        self.refused_watches = Failures {
+            count: self.refused_watches.count.saturating_add(1),
             last_at: clock::now(),
         };
     }
 
     /// Records a watch that succeeded.
-    pub(super) const fn watch_went_on(&mut self) {
-        self.refused.count = 0;
+    pub(super) const fn record_watch(&mut self) {
+        self.refused_watches.count = 0;
     }
 
     /// Whether the store counts as unavailable.
-    pub(super) const fn is_begun(&self) -> bool {
+    pub(super) const fn is_active(&self) -> bool {
         self.since.is_some()
     }
 
@@ -116,10 +116,10 @@
     }
 
     /// Records a failed call.
-    pub(super) fn failed(&mut self, relay: &Relay, error: &StoreError) {
+    pub(super) fn record_failure(&mut self, relay: &Relay, error: &StoreError) {
         self.begin(relay, error);
-        self.failed = Failures {
-            count: self.failed.count.saturating_add(1),
+        self.failed_calls = Failures {
+            count: self.failed_calls.count.saturating_add(1),
             last_at: clock::now(),
         };
     }
--- a/crates/rookferry_relay/src/sync/servers.rs
+++ b/crates/rookferry_relay/src/sync/servers.rs
@@ -23,8 +23,8 @@
 use slog::warn;
 use tokio::sync::watch;
 
-use super::look_pause;
 use super::outage::Outage;
+use super::poll_interval;
 use crate::event_log::Weight;
 use crate::relay::Relay;
 use crate::store::StoreError;
@@ -33,10 +33,10 @@
 
 /// Pause after a change, in which more changes of a burst accumulate; a twentieth of the
 /// time in which leaving servers must be known.
-const BURST: Duration = Duration::from_millis(100);
+const BURST_WINDOW: Duration = Duration::from_millis(100);
 /// How long after an outage a removed entry may only have lapsed. Lapses show in the
 /// first answers; a later removal is a server that left.
-const LAPSES_AFTER: Duration = Duration::from_millis(300);
+const LAPSE_WINDOW: Duration = Duration::from_millis(300);
 /// Missed heartbeats of a server after which its entry lapses, plus one for the delay of
 /// the message.
 const HEARTBEATS_TO_LAPSE: u32 = 4;
@@ -54,44 +54,44 @@
 ///
 /// The store is read concurrently with all other input: peers' lists and other updates
 /// are applied while a call is in flight and in the pauses between calls.
-pub(crate) async fn keep_servers(relay: Arc<Relay>) {
-    let mut keeper = ServersKeeper::new(relay.clone());
+pub(crate) async fn sync_servers(relay: Arc<Relay>) {
+    let mut syncer = ServerListSyncer::new(relay.clone());
     let mut from_peers = relay.peer_servers.subscribe();
-    let mut reading = Box::pin(keeper.next_read());
+    let mut reading = Box::pin(syncer.next_read());
     loop {
-        let before = keeper.after;
+        let before = syncer.after;
         let has_read = tokio::select! {
             // A store that refuses at once must not starve the peers' lists.
             biased;
-            read = next_list(&relay, &mut from_peers) => {
-                keeper.take(Ok(read));
+            read = next_peer_list(&relay, &mut from_peers) => {
+                syncer.apply(Ok(read));
                 false
             }
             servers = relay.restarts.next() => {
-                keeper.take(Ok(Read::Restarted(servers)));
+                syncer.apply(Ok(ListUpdate::Restarted(servers)));
                 false
             }
-            () = other_config(&relay, keeper.judged_by), if keeper.after.is_some() => {
-                keeper.take(Ok(Read::OtherConfig));
+            () = config_changed(&relay, syncer.filtered_by), if syncer.after.is_some() => {
+                syncer.apply(Ok(ListUpdate::ConfigChanged));
                 false
             }
-            () = until(keeper.expires_at()) => {
-                keeper.take(Ok(Read::Expiring));
+            () = sleep_until(syncer.expires_at()) => {
+                syncer.apply(Ok(ListUpdate::EntriesExpired));
                 false
             }
             read = &mut reading => {
-                keeper.take(read);
+                syncer.apply(read);
                 true
             }
         };
-        if has_read || keeper.after != before {
-            reading = Box::pin(keeper.next_read());
+        if has_read || syncer.after != before {
+            reading = Box::pin(syncer.next_read());
         }
     }
 }
 
 /// Waits until a time; forever if there is none.
-async fn until(at: Option<Instant>) {
+async fn sleep_until(at: Option<Instant>) {
     match at {
         Some(at) => clock::sleep_until(at).await,
         None => std::future::pending().await,
@@ -99,7 +99,7 @@
 }
 
 /// State of the server list on this instance.
-struct ServersKeeper {
+struct ServerListSyncer {
     relay: Arc<Relay>,
     directory: Directory,
     /// The store version to watch from; `None` if everything must be listed.
@@ -109,12 +109,12 @@
     /// When the store may be read next.
     read_at: Instant,
     outage: Outage,
-    doubtful: DoubtfulTimes,
+    uncertain: UncertainPeriods,
     /// Version of the configuration that determined which entries are usable.
-    judged_by: Option<u64>,
+    filtered_by: Option<u64>,
 }
 
-impl ServersKeeper {
+impl ServerListSyncer {
     fn new(relay: Arc<Relay>) -> Self {
         Self {
             relay,
@@ -123,19 +123,19 @@
             version: ListVersion::default(),
             read_at: clock::now(),
             outage: Outage::none("store: servers"),
-            doubtful: DoubtfulTimes::default(),
-            judged_by: None,
+            uncertain: UncertainPeriods::default(),
+            filtered_by: None,
         }
     }
 
     /// The next call to the store, after its pause and backoff.
-    fn next_read(&self) -> impl Future<Output = Result<Read, StoreError>> + use<> {
+    fn next_read(&self) -> impl Future<Output = Result<ListUpdate, StoreError>> + use<> {
         let (relay, after, read_at) = (self.relay.clone(), self.after, self.read_at);
-        let (counts_as_away, failures) = (self.outage.is_begun(), self.outage.failures());
+        let (is_outage, failures) = (self.outage.is_active(), self.outage.failures());
         async move {
             clock::sleep_until(read_at).await;
-            failures.wait_in_line(&relay).await;
-            read_servers(&relay, after, counts_as_away).await
+            failures.wait_backoff(&relay).await;
+            read_servers(&relay, after, is_outage).await
         }
     }
 
@@ -146,32 +146,32 @@
     }
 
     /// Applies an update, and activates a new list if anything changed.
-    fn take(&mut self, read: Result<Read, StoreError>) {
+    fn apply(&mut self, read: Result<ListUpdate, StoreError>) {
         let now = clock::now();
-        let source = read.as_ref().map_or("store", Read::source);
-        let is_from_peer = matches!(read, Ok(Read::Peer(_)));
-        let newest_at = read.as_ref().ok().and_then(Read::newest_at);
+        let source = read.as_ref().map_or("store", ListUpdate::source);
+        let is_from_peer = matches!(read, Ok(ListUpdate::Peer(_)));
+        let newest_at = read.as_ref().ok().and_then(ListUpdate::newest_at);
         let is_changed = match read {
-            Ok(Read::StoreAway) => {
+            Ok(ListUpdate::StoreUnavailable) => {
                 let cause = "the configuration can't be read either";
                 self.outage.begin(&self.relay, &cause);
                 false
             }
-            Ok(read) => self.take_read(read, now),
+            Ok(read) => self.apply_update(read, now),
             Err(StoreError::Forgotten | StoreError::Outdated) => {
                 self.after = None;
-                self.outage.watch_refused();
+                self.outage.record_refused_watch();
                 false
             }
             Err(error) => {
-                self.outage.failed(&self.relay, &error);
+                self.outage.record_failure(&self.relay, &error);
                 false
             }
         };
         let grace = self.relay.settings.bounds.lapse_grace();
         let expired = self.directory.expire(now, grace);
         for id in &expired.gone {
-            note_removed(
+            log_removed(
                 &self.relay,
                 id,
                 "its entry did not come back after the outage",
@@ -181,7 +181,7 @@
             self.version = self.version.changed();
         }
         if is_changed || !expired.is_empty() {
-            self.put_in_force(source);
+            self.activate(source);
         }
         if let Some(newest_at) = newest_at {
             self.relay.confirm_servers(self.version, newest_at);
@@ -192,69 +192,70 @@
     }
 
     /// Applies an update; returns whether anything changed.
-    fn take_read(&mut self, read: Read, now: Instant) -> bool {
+    fn apply_update(&mut self, read: ListUpdate, now: Instant) -> bool {
         let is_from_store = read.is_from_store();
         if is_from_store {
             self.read_at = now;
-            if self.outage.ended(&self.relay) {
-                self.doubtful.outage_ended(now);
+            if self.outage.record_success(&self.relay) {
+                self.uncertain.record_outage_end(now);
             }
-            if matches!(read, Read::Changes(_)) {
-                self.outage.watch_went_on();
+            if matches!(read, ListUpdate::Changes(_)) {
+                self.outage.record_watch();
             }
         }
         let version = read.version();
         if let Some(version) = version {
             let store = version.store;
             self.relay.store.hear_era(store.era);
-            self.doubtful.listed(&self.relay, store.era, now);
+            self.uncertain.record_era(&self.relay, store.era, now);
             self.after = Some(store);
         }
-        let is_changed = take_in(&self.relay, &mut self.directory, read, &self.doubtful, now);
+        let is_changed =
+            update_directory(&self.relay, &mut self.directory, read, &self.uncertain, now);
         if let Some(version) = version.filter(|_| is_changed) {
             self.version = version;
         }
         if is_changed && is_from_store {
             // Entries change in bursts; one later call returns the rest of the burst.
-            self.read_at = now + BURST;
+            self.read_at = now + BURST_WINDOW;
         }
         is_changed
     }
 
-    fn put_in_force(&mut self, source: &'static str) {
+    fn activate(&mut self, source: &'static str) {
         let view = self.relay.view.load_full();
         let is_usable = |server: &BackendServer| view.is_usable(server);
         let unusable = self.directory.unusable(is_usable).cloned().collect();
         let servers = self.directory.in_use(is_usable);
         let table = ServerTable::new(self.version, servers, unusable);
-        self.judged_by = view.config_version();
+        self.filtered_by = view.config_version();
         self.relay.adopt_servers(table, source);
     }
 }
 
 /// Periods in which the store's view of the servers may be wrong.
 #[derive(Debug, Default)]
-struct DoubtfulTimes {
+struct UncertainPeriods {
     /// Until when a removed entry may only have lapsed.
     lapses_until: Option<Instant>,
     /// The era of the list.
     era: Option<StoreEra>,
     /// Until when entries may have outdated content.
-    old_until: Option<Instant>,
+    stale_until: Option<Instant>,
 }
 
-impl DoubtfulTimes {
-    fn outage_ended(&mut self, now: Instant) {
-        self.lapses_until = Some(now + LAPSES_AFTER);
+impl UncertainPeriods {
+    fn record_outage_end(&mut self, now: Instant) {
+        self.lapses_until = Some(now + LAPSE_WINDOW);
     }
 
     /// Records the era of a received list or change.
-    fn listed(&mut self, relay: &Relay, era: StoreEra, now: Instant) {
+    fn record_era(&mut self, relay: &Relay, era: StoreEra, now: Instant) {
         let before = self.era.replace(era);
         if before.is_some_and(|before| before != era) {
             let heartbeat = Duration::from_millis(relay.settings.bounds.heartbeat_ms);
-            self.lapses_until = Some(now + LAPSES_AFTER);
-            self.old_until = Some(now + heartbeat * HEARTBEATS_TO_LAPSE);
+            self.lapses_until = Some(now + LAPSE_WINDOW);
+            self.stale_until = Some(now + heartbeat * HEARTBEATS_TO_LAPSE);
         }
     }
 
@@ -264,8 +265,8 @@
     }
 
     /// What may be wrong with a list from the store.
-    fn of_stores_list(&self, now: Instant) -> ListDoubts {
-        let doubts = self.of_peers_list(now);
+    fn for_store_list(&self, now: Instant) -> ListDoubts {
+        let doubts = self.for_peer_list(now);
         ListDoubts {
             may_lack: self.may_lapse(now),
             may_have_gone_unseen: doubts.may_be_old.is_some(),
@@ -275,20 +276,23 @@
 
     /// What may be wrong with a list from a peer, which has already handled missing
     /// entries.
-    fn of_peers_list(&self, now: Instant) -> ListDoubts {
-        let old_for = self
-            .old_until
+    fn for_peer_list(&self, now: Instant) -> ListDoubts {
+        let stale_for = self
+            .stale_until
             .map(|until| until.saturating_duration_since(now));
         ListDoubts {
             may_lack: false,
-            may_be_old: old_for.filter(|old_for| !old_for.is_zero()),
+            may_be_old: stale_for.filter(|stale_for| !stale_for.is_zero()),
             may_have_gone_unseen: false,
         }
     }
 }
 
 /// The next newer list from a peer. Cancel safe.
-async fn next_list(relay: &Relay, from_peers: &mut watch::Receiver<Option<PeerList>>) -> Read {
+async fn next_peer_list(
+    relay: &Relay,
+    from_peers: &mut watch::Receiver<Option<PeerList>>,
+) -> ListUpdate {
     loop {
         if from_peers.changed().await.is_err() {
             // The sender lives as long as the process.
@@ -299,13 +303,13 @@
         if let Some(list) =
             list.filter(|list| list.version > own && !relay.store.is_denied(list.version.store.era))
         {
-            return Read::Peer(list);
+            return ListUpdate::Peer(list);
         }
     }
 }
 
 /// Waits until the active configuration is another than `version`.
-async fn other_config(relay: &Relay, version: Option<u64>) {
+async fn config_changed(relay: &Relay, version: Option<u64>) {
     let mut versions = relay.urgent_changes.subscribe();
     while relay.config_version() == version {
         if versions.changed().await.is_err() {
@@ -319,63 +323,66 @@
 async fn read_servers(
     relay: &Relay,
     after: Option<StoreVersion>,
-    counts_as_away: bool,
-) -> Result<Read, StoreError> {
+    is_outage: bool,
+) -> Result<ListUpdate, StoreError> {
     loop {
         if !relay.leaves_store() {
             if !relay.is_store_away.load(Ordering::Relaxed) {
                 break;
             }
-            if !counts_as_away {
-                return Ok(Read::StoreAway);
+            if !is_outage {
+                return Ok(ListUpdate::StoreUnavailable);
             }
         }
-        tokio::time::sleep(look_pause(relay)).await;
+        tokio::time::sleep(poll_interval(relay)).await;
     }
     let wait = relay.settings.bounds.news_budget().watch_wait();
     match after {
-        None => relay.store.servers().await.map(Read::List),
+        None => relay.store.servers().await.map(ListUpdate::List),
         Some(after) => {
             let changes = relay.store.watch_servers(after, wait).await;
-            changes.map(Read::Changes)
+            changes.map(ListUpdate::Changes)
         }
     }
 }
 
-enum Read {
+enum ListUpdate {
     List(Versioned<Vec<BackendServer>>),
     Changes(Versioned<Vec<DirectoryChange>>),
     /// A list from a peer.
     Peer(PeerList),
     /// No new entries, but another configuration that determines which are usable.
-    OtherConfig,
+    ConfigChanged,
     /// Servers whose new processes have reported themselves.
     Restarted(Vec<BackendServer>),
     /// The grace period of some entries is over.
-    Expiring,
+    EntriesExpired,
     /// The store isn't read, because the configuration can't be read either.
-    StoreAway,
+    StoreUnavailable,
 }
 
-impl Read {
+impl ListUpdate {
     /// The version of the resulting list.
     const fn version(&self) -> Option<ListVersion> {
         match self {
             Self::List(list) => Some(ListVersion::of(list.version)),
             Self::Changes(changes) => Some(ListVersion::of(changes.version)),
             Self::Peer(list) => Some(list.version),
-            Self::Restarted(_) | Self::OtherConfig | Self::Expiring | Self::StoreAway => None,
+            Self::Restarted(_)
+            | Self::ConfigChanged
+            | Self::EntriesExpired
+            | Self::StoreUnavailable => None,
         }
     }
 
     /// The source, as logged.
     const fn source(&self) -> &'static str {
         match self {
-            Self::List(_) | Self::Changes(_) | Self::StoreAway => "store",
+            Self::List(_) | Self::Changes(_) | Self::StoreUnavailable => "store",
             Self::Peer(_) => "peer",
-            Self::OtherConfig => "configuration",
+            Self::ConfigChanged => "configuration",
             Self::Restarted(_) => "report",
-            Self::Expiring => "time",
+            Self::EntriesExpired => "time",
         }
     }
 
@@ -395,41 +402,41 @@
 }
 
 /// Applies an update to the directory; returns whether anything changed.
-fn take_in(
+fn update_directory(
     relay: &Relay,
     directory: &mut Directory,
-    read: Read,
-    doubtful: &DoubtfulTimes,
+    read: ListUpdate,
+    uncertain: &UncertainPeriods,
     now: Instant,
 ) -> bool {
     match read {
-        Read::List(list) => {
-            directory.replace(list.value, doubtful.of_stores_list(now), now);
+        ListUpdate::List(list) => {
+            directory.replace(list.value, uncertain.for_store_list(now), now);
             true
         }
-        Read::Peer(list) => {
-            directory.replace(list.servers, doubtful.of_peers_list(now), now);
+        ListUpdate::Peer(list) => {
+            directory.replace(list.servers, uncertain.for_peer_list(now), now);
             true
         }
-        Read::OtherConfig => true,
-        Read::Expiring | Read::StoreAway => false,
-        Read::Restarted(servers) => {
+        ListUpdate::ConfigChanged => true,
+        ListUpdate::EntriesExpired | ListUpdate::StoreUnavailable => false,
+        ListUpdate::Restarted(servers) => {
             for server in servers {
                 directory.apply(DirectoryChange::Updated(server), now);
             }
             true
         }
-        Read::Changes(changes) => {
+        ListUpdate::Changes(changes) => {
             let is_changed = !changes.value.is_empty();
             for change in changes.value {
-                take_change(relay, directory, change, doubtful.may_lapse(now), now);
+                apply_change(relay, directory, change, uncertain.may_lapse(now), now);
             }
             is_changed
         }
     }
 }
 
-fn take_change(
+fn apply_change(
     relay: &Relay,
     directory: &mut Directory,
     change: DirectoryChange,
@@ -439,22 +446,22 @@
     match change {
         DirectoryChange::Removed(id) if may_have_lapsed => directory.lapse(&id, now),
         DirectoryChange::Removed(id) => {
-            note_removed(relay, &id, "its entry was removed");
+            log_removed(relay, &id, "its entry was removed");
             directory.apply(DirectoryChange::Removed(id), now);
         }
         DirectoryChange::Unusable(id) => {
-            note_removed(relay, &id, "its entry no longer describes a server");
+            log_removed(relay, &id, "its entry no longer describes a server");
             directory.apply(DirectoryChange::Unusable(id), now);
         }
         DirectoryChange::Updated(server) => {
             let before = directory.get(&server.id).cloned();
-            let is_news = directory.apply(DirectoryChange::Updated(server.clone()), now);
+            let is_new = directory.apply(DirectoryChange::Updated(server.clone()), now);
             if before.as_ref() != Some(&server)
                 && let Some(log) = relay.events.line(Weight::Notable)
             {
                 info!(log, "directory: a server's entry changed"; "event" => "server_changed",
                     "server" => &*server.id, "addr" => %server.addr(), "incarnation" => server.incarnation,
-                    "in_use" => is_news,
+                    "in_use" => is_new,
                     "leaving" => server.is_leaving,
                     "layers" => server.held.map(|held| format!("{}-{}", held.start, held.end)));
             }
@@ -462,7 +469,7 @@
     }
 }
 
-fn note_removed(relay: &Relay, id: &EngineId, cause: &str) {
+fn log_removed(relay: &Relay, id: &EngineId, cause: &str) {
     if let Some(log) = relay.events.line(Weight::Notable) {
         warn!(log, "directory: a server was removed"; "event" => "server_removed",
             "server" => &**id, "cause" => cause);
