--- a/crates/rookferry_relay/src/placement/lease_keeper.rs
+++ b/crates/rookferry_relay/src/placement/lease_keeper.rs
@@ -132,7 +132,7 @@
         let is_rival = self.is_to_reread || !self.relay.leaves_store();
         let is_due = !self.is_holder()
             && is_rival
-            && !self.relay.is_store_away.load(Ordering::Relaxed)
+            && !self.relay.is_store_unavailable.load(Ordering::Relaxed)
             && self
                 .read_at
                 .is_none_or(|read_at| clock::since(read_at) >= pause);
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -97,7 +97,7 @@
     pub(crate) holds_lease: AtomicBool,
     /// Whether this instance's last read of the configuration failed. Other reads then
     /// wait for the next one that succeeds.
-    pub(crate) is_store_away: AtomicBool,
+    pub(crate) is_store_unavailable: AtomicBool,
     pub(crate) started_at: Instant,
     leaving_since: OnceLock<Instant>,
     pub(crate) config_age: Mutex<ConfigAge>,
@@ -141,7 +141,7 @@
             servers_source: Mutex::new(BodySource::new().link_mbps(link_mbps)),
             offered_at: Mutex::default(),
             holds_lease: AtomicBool::new(false),
-            is_store_away: AtomicBool::new(false),
+            is_store_unavailable: AtomicBool::new(false),
             started_at: clock::now(),
             leaving_since: OnceLock::new(),
             config_age: Mutex::default(),
--- a/crates/rookferry_relay/src/sync/config.rs
+++ b/crates/rookferry_relay/src/sync/config.rs
@@ -32,7 +32,7 @@
     loop {
         if relay.leaves_store() {
             // The result of an earlier call is meaningless by the time of the next one.
-            relay.is_store_away.store(false, Ordering::Relaxed);
+            relay.is_store_unavailable.store(false, Ordering::Relaxed);
             tokio::time::sleep(poll_interval(&relay)).await;
             continue;
         }
@@ -46,7 +46,7 @@
                 if stored.after.is_some() {
                     outage.record_watch();
                 }
-                relay.is_store_away.store(false, Ordering::Relaxed);
+                relay.is_store_unavailable.store(false, Ordering::Relaxed);
                 stored.apply(&relay, read);
             }
             Err(StoreError::Forgotten | StoreError::Outdated) => {
@@ -55,7 +55,7 @@
                 outage.failures().wait_backoff(&relay).await;
             }
             Err(error) => {
-                relay.is_store_away.store(true, Ordering::Relaxed);
+                relay.is_store_unavailable.store(true, Ordering::Relaxed);
                 outage.record_failure(&relay, &error);
                 outage.failures().wait_backoff(&relay).await;
             }
--- a/crates/rookferry_relay/src/sync/servers.rs
+++ b/crates/rookferry_relay/src/sync/servers.rs
@@ -327,7 +327,7 @@
 ) -> Result<ListUpdate, StoreError> {
     loop {
         if !relay.leaves_store() {
-            if !relay.is_store_away.load(Ordering::Relaxed) {
+            if !relay.is_store_unavailable.load(Ordering::Relaxed) {
                 break;
             }
             if !is_outage {
