--- a/crates/rookferry_relay/src/placement/census.rs
+++ b/crates/rookferry_relay/src/placement/inventory.rs
@@ -22,16 +22,16 @@
 const LOST_AFTER: Duration = Duration::from_millis(400);
 /// Share of a site's engines that may be unresponsive; above it, this instance is more
 /// likely partitioned than the engines lost.
-const MAX_LOST_PART: f64 = 0.34;
+const MAX_LOST_SHARE: f64 = 0.34;
 
 /// The engines seen so far, and when they were listed.
-pub(super) struct Census {
+pub(super) struct Inventory {
     relay: Arc<Relay>,
     /// The engines seen so far, by service.
     fleets: BTreeMap<ServiceId, FleetCensus>,
 }
 
-impl Census {
+impl Inventory {
     pub(super) const fn new(relay: Arc<Relay>) -> Self {
         Self {
             relay,
@@ -40,7 +40,7 @@
     }
 
     /// The engines to plan with: without those that leave or have only just appeared.
-    pub(super) fn take(
+    pub(super) fn engines_to_plan(
         &mut self,
         service: &ServingService,
         table: &ServerTable,
@@ -71,7 +71,7 @@
             since.is_some_and(|since| now.saturating_duration_since(since) >= LOST_AFTER)
         };
         let lost = staying.iter().filter(|server| is_lost(server.key)).count();
-        let trusts_health = lost as f64 <= staying.len() as f64 * MAX_LOST_PART;
+        let trusts_health = lost as f64 <= staying.len() as f64 * MAX_LOST_SHARE;
         let layout = staying
             .iter()
             .filter(|server| !(trusts_health && is_lost(server.key)))
--- a/crates/rookferry_relay/src/placement/lease_keeper.rs
+++ b/crates/rookferry_relay/src/placement/lease_keeper.rs
@@ -23,18 +23,18 @@
 use crate::store::StoreError;
 
 /// Duration of the lease; a dead holder is replaced after about this time.
-const LEASE: Duration = Duration::from_secs(2);
+const LEASE_DURATION: Duration = Duration::from_secs(2);
 /// How long an instance may be paused between checking the lease and sending. Orders
 /// carry the engine's sequence number, so nothing waits for this time.
 const PAUSE_BOUND: Duration = Duration::from_secs(1);
 /// How often a candidate reads the lease while no holder is known.
-const RIVAL_READS: Duration = Duration::from_millis(500);
+const CANDIDATE_READ_INTERVAL: Duration = Duration::from_millis(500);
 /// How often it does while a holder is known; covers a holder that has lost the lease to
 /// another without noticing.
-const QUIET_READS: Duration = Duration::from_secs(15);
+const KNOWN_HOLDER_READ_INTERVAL: Duration = Duration::from_secs(15);
 /// How long no holder must have been reported before an instance orders engines of its
 /// own domain without a lease: longer than another instance takes to acquire it.
-const DEPUTY_AFTER: Duration = Duration::from_millis(3_500);
+const DEPUTY_DELAY: Duration = Duration::from_millis(3_500);
 
 /// The engines that an instance may order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,18 +56,18 @@
     read_at: Option<Instant>,
     /// Whether the lease was held when the store was restored; it is then read again
     /// whichever instance reads the store for the domain.
-    is_to_reread: bool,
+    must_reread: bool,
     /// Whether this instance held the lease when the store last answered.
     was_holder: bool,
     /// Since when calls about the lease have failed.
-    away_since: Option<Instant>,
+    unavailable_since: Option<Instant>,
     started_at: Instant,
 }
 
 impl LeaseKeeper {
     pub(super) fn new(relay: Arc<Relay>, incarnation: Incarnation) -> Self {
         let timing = LeaseTiming {
-            duration: LEASE,
+            duration: LEASE_DURATION,
             pause_bound: PAUSE_BOUND,
         };
         Self {
@@ -75,9 +75,9 @@
             era: 0,
             relay,
             read_at: None,
-            is_to_reread: false,
+            must_reread: false,
             was_holder: false,
-            away_since: None,
+            unavailable_since: None,
             started_at: clock::now(),
         }
     }
@@ -99,12 +99,12 @@
         // While the store is unavailable no instance can take the lease over, and
         // conflicting orders of two instances would be refused by the engines' sequence
         // numbers.
-        if self.was_holder && self.away_since.is_some() {
+        if self.was_holder && self.unavailable_since.is_some() {
             return Scope::Site;
         }
-        let heard_at = peers.holder_at().unwrap_or(self.started_at);
+        let reported_at = peers.holder_at().unwrap_or(self.started_at);
         let is_deputy =
-            now.saturating_duration_since(heard_at) >= DEPUTY_AFTER && peers.is_first(now);
+            now.saturating_duration_since(reported_at) >= DEPUTY_DELAY && peers.is_first(now);
         if is_deputy {
             Scope::Domain
         } else {
@@ -113,49 +113,53 @@
     }
 
     /// Releases the lease, so that another instance can acquire it at once.
-    pub(super) async fn give_up(&mut self) {
+    pub(super) async fn release_lease(&mut self) {
         if let Some((expected, object)) = self.lease.release() {
             // If this fails, the lease expires by itself.
             let expected = StoreVersion::new(self.era, expected);
             let _ = self.relay.store.write_lease(expected, &object).await;
         }
-        self.note_lease();
+        self.publish_lease();
     }
 
     /// Renews the lease, or acquires an expired one. Returns whether it was won or lost.
-    pub(super) async fn keep(&mut self) -> bool {
-        self.follow_era();
-        let asked_at = clock::now();
-        let is_heard = lock(&self.relay.peers).hears_holder(asked_at);
-        let pause = if is_heard { QUIET_READS } else { RIVAL_READS };
+    pub(super) async fn renew(&mut self) -> bool {
+        self.reset_on_era_change();
+        let requested_at = clock::now();
+        let is_holder_known = lock(&self.relay.peers).hears_holder(requested_at);
+        let pause = if is_holder_known {
+            KNOWN_HOLDER_READ_INTERVAL
+        } else {
+            CANDIDATE_READ_INTERVAL
+        };
         // Only one instance per domain is a candidate: its store reader.
-        let is_rival = self.is_to_reread || !self.relay.leaves_store();
+        let is_candidate = self.must_reread || !self.relay.leaves_store();
         let is_due = !self.is_holder()
-            && is_rival
+            && is_candidate
             && !self.relay.is_store_unavailable.load(Ordering::Relaxed)
             && self
                 .read_at
                 .is_none_or(|read_at| clock::since(read_at) >= pause);
         if is_due {
-            self.read_at = Some(asked_at);
+            self.read_at = Some(requested_at);
             match self.relay.store.lease().await {
                 Ok(read) => {
-                    self.follow_era();
-                    self.read_at = Some(asked_at);
+                    self.reset_on_era_change();
+                    self.read_at = Some(requested_at);
                     if read.version.era == self.era {
-                        self.lease.observed(asked_at, read.value.as_ref());
-                        self.is_to_reread = false;
-                        self.store_answered();
+                        self.lease.observed(requested_at, read.value.as_ref());
+                        self.must_reread = false;
+                        self.record_answer();
                     }
                 }
                 // The outage is logged by the task that reads the server list.
                 Err(_) => {
-                    self.away_since.get_or_insert(asked_at);
+                    self.unavailable_since.get_or_insert(requested_at);
                 }
             }
         }
         // A lease that isn't read while a holder is known only looks expired.
-        let may_write = self.is_holder() || (is_due && !is_heard);
+        let may_write = self.is_holder() || (is_due && !is_holder_known);
         if may_write && let LeaseAction::Write { expected, object } = self.lease.next(clock::now())
         {
             let sent_at = clock::now();
@@ -163,47 +167,47 @@
             match self.relay.store.write_lease(expected, &object).await {
                 Ok(version) => {
                     self.lease.written(sent_at, version.revision, object);
-                    self.store_answered();
+                    self.record_answer();
                     self.was_holder = true;
                 }
                 Err(StoreError::Conflict { current }) => {
                     self.lease.observed(clock::now(), current.as_ref());
-                    self.store_answered();
+                    self.record_answer();
                 }
                 // It may have been written over another holder's lease.
                 Err(StoreError::Outdated) => self.read_at = None,
                 // The next read shows whether it was written.
                 Err(_) => {
                     self.read_at = None;
-                    self.away_since.get_or_insert(sent_at);
+                    self.unavailable_since.get_or_insert(sent_at);
                 }
             }
         }
-        self.note_lease()
+        self.publish_lease()
     }
 
     /// Discards what was read or written of the lease in a previous era of the store:
     /// another instance may hold it now, or none.
-    fn follow_era(&mut self) {
+    fn reset_on_era_change(&mut self) {
         let era = self.relay.store.era();
         if era == self.era {
             return;
         }
-        self.is_to_reread |= self.was_holder;
+        self.must_reread |= self.was_holder;
         self.era = era;
         self.lease.forget();
         self.was_holder = false;
         self.read_at = None;
     }
 
-    fn store_answered(&mut self) {
-        self.away_since = None;
+    fn record_answer(&mut self) {
+        self.unavailable_since = None;
         self.was_holder = self.is_holder();
     }
 
     /// Publishes and logs whether this instance orders the whole site; returns whether
     /// that has changed.
-    fn note_lease(&self) -> bool {
+    fn publish_lease(&self) -> bool {
         let is_held = self.scope() == Scope::Site;
         if self.relay.holds_lease.swap(is_held, Ordering::Relaxed) == is_held {
             return false;
--- a/crates/rookferry_relay/src/placement/mod.rs
+++ b/crates/rookferry_relay/src/placement/mod.rs
@@ -5,7 +5,7 @@
 //! sequence number; an engine that has accepted another order since then refuses it,
 //! which fences orders of a former holder.
 
-mod census;
+mod inventory;
 mod lease_keeper;
 mod orders;
 
@@ -19,7 +19,7 @@
 use rookferry_wire::Incarnation;
 use slog::info;
 
-use self::census::Census;
+use self::inventory::Inventory;
 use self::lease_keeper::LeaseKeeper;
 use self::lease_keeper::Scope;
 use self::orders::Orders;
@@ -28,15 +28,15 @@
 use crate::view::ServerTable;
 
 /// Longest time between two plans; a change of the fleet triggers one early.
-const PLAN_EVERY: Duration = Duration::from_millis(500);
+const PLAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Least time between two plans.
-const PLAN_PAUSE: Duration = Duration::from_millis(60);
+const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Plans and sends orders while this instance holds the lease.
 pub(crate) struct Placement {
     relay: Arc<Relay>,
     keeper: LeaseKeeper,
-    census: Census,
+    inventory: Inventory,
     orders: Orders,
 }
 
@@ -44,7 +44,7 @@
     pub(crate) fn new(relay: Arc<Relay>, incarnation: Incarnation) -> Self {
         Self {
             keeper: LeaseKeeper::new(relay.clone(), incarnation),
-            census: Census::new(relay.clone()),
+            inventory: Inventory::new(relay.clone()),
             orders: Orders::new(relay.clone()),
             relay,
         }
@@ -55,18 +55,18 @@
         let mut fleet = self.relay.fleet_changes.subscribe();
         loop {
             if self.relay.is_leaving() {
-                return self.keeper.give_up().await;
+                return self.keeper.release_lease().await;
             }
-            if self.keeper.keep().await {
+            if self.keeper.renew().await {
                 self.orders.clear();
             }
             let has_more = self.plan_all().await;
-            tokio::time::sleep(PLAN_PAUSE).await;
+            tokio::time::sleep(MIN_PLAN_INTERVAL).await;
             if has_more {
                 continue;
             }
             tokio::select! {
-                () = tokio::time::sleep(PLAN_EVERY) => {}
+                () = tokio::time::sleep(PLAN_INTERVAL) => {}
                 _ = fleet.changed(), if self.holds_lease() || self.relay.is_leaving() => {}
             }
         }
@@ -104,11 +104,11 @@
         scope: Scope,
     ) -> bool {
         if scope != Scope::Nothing {
-            self.orders.settle(service, table).await;
+            self.orders.reconcile(service, table).await;
         }
         // Also on instances that may not order, so that one that takes over knows which
         // engines have just come back.
-        let mut engines = self.census.take(service, table, &self.orders);
+        let mut engines = self.inventory.engines_to_plan(service, table, &self.orders);
         if scope == Scope::Nothing {
             return false;
         }
--- a/crates/rookferry_relay/src/placement/orders.rs
+++ b/crates/rookferry_relay/src/placement/orders.rs
@@ -31,23 +31,23 @@
 const ORDER_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long an ordered engine may take to show its layers before it is asked for a
 /// report.
-const PLACED_AFTER: Duration = Duration::from_secs(4);
+const PLACEMENT_GRACE: Duration = Duration::from_secs(4);
 /// Engines that are called concurrently. Each answers within a few milliseconds, so more
 /// calls would only queue in this process.
-const CALLS_AT_ONCE: usize = 32;
+const MAX_CONCURRENT_CALLS: usize = 32;
 /// How long a round starts new calls. With the two calls of the last engine, which may
 /// take 1.2 s, the round ends within the lease's 2 s.
-const ROUND: Duration = Duration::from_millis(500);
+const ROUND_DURATION: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug)]
-struct Ordered {
+struct PendingOrder {
     layers: LayerRange,
     at: Instant,
 }
 
 /// An order that an engine accepted, or may have accepted.
 #[derive(Clone, Copy, Debug)]
-struct Taken {
+struct AcceptedOrder {
     engine: ServerKey,
     layers: LayerRange,
 }
@@ -57,25 +57,25 @@
     relay: Arc<Relay>,
     /// By the incarnation that each was sent to: a restarted engine doesn't know of
     /// earlier orders.
-    ordered: BTreeMap<ServerKey, Ordered>,
+    pending: BTreeMap<ServerKey, PendingOrder>,
 }
 
 impl Orders {
     pub(super) const fn new(relay: Arc<Relay>) -> Self {
         Self {
             relay,
-            ordered: BTreeMap::new(),
+            pending: BTreeMap::new(),
         }
     }
 
     /// The layers that an engine was ordered to hold and doesn't show yet.
     pub(super) fn layers(&self, engine: ServerKey) -> Option<LayerRange> {
-        self.ordered.get(&engine).map(|ordered| ordered.layers)
+        self.pending.get(&engine).map(|pending| pending.layers)
     }
 
     /// Discards all: another instance orders from now on.
     pub(super) fn clear(&mut self) {
-        self.ordered.clear();
+        self.pending.clear();
     }
 
     /// Sends orders for the time of a round, missing layers first; `may_order` is checked
@@ -90,54 +90,54 @@
         needed.sort_by_key(|placement| !placement.is_missing);
         let count = needed.len();
         let orders =
-            for_a_round(needed).map(|placement| self.order(service, table, placement, &may_order));
-        let calls = stream::iter(orders).buffer_unordered(CALLS_AT_ONCE);
-        let taken: Vec<Option<Taken>> = calls.collect().await;
-        let has_more = taken.len() < count;
+            within_round(needed).map(|placement| self.order(service, table, placement, &may_order));
+        let calls = stream::iter(orders).buffer_unordered(MAX_CONCURRENT_CALLS);
+        let accepted: Vec<Option<AcceptedOrder>> = calls.collect().await;
+        let has_more = accepted.len() < count;
         let at = clock::now();
-        for Taken { engine, layers } in taken.into_iter().flatten() {
-            self.ordered.insert(engine, Ordered { layers, at });
+        for AcceptedOrder { engine, layers } in accepted.into_iter().flatten() {
+            self.pending.insert(engine, PendingOrder { layers, at });
         }
         has_more
     }
 
     /// Discards orders that show in the engines' entries, or that were not carried out.
-    pub(super) async fn settle(&mut self, service: &ServingService, table: &ServerTable) {
+    pub(super) async fn reconcile(&mut self, service: &ServingService, table: &ServerTable) {
         let mut overdue = Vec::new();
-        self.ordered.retain(|engine, ordered| {
+        self.pending.retain(|engine, pending| {
             let Some(server) = table.get(*engine) else {
                 return false;
             };
-            if server.held == Some(ordered.layers) {
+            if server.held == Some(pending.layers) {
                 return false;
             }
             let is_askable = self.relay.states.backoff_left(*engine).is_none();
-            if is_askable && clock::since(ordered.at) >= PLACED_AFTER {
+            if is_askable && clock::since(pending.at) >= PLACEMENT_GRACE {
                 overdue.push(*engine);
             }
             true
         });
-        let asked = for_a_round(overdue).map(async |engine| {
+        let polled = within_round(overdue).map(async |engine| {
             let upstream = self.relay.upstream(engine, service);
             (engine, self.report(upstream).await)
         });
-        let calls = stream::iter(asked).buffer_unordered(CALLS_AT_ONCE);
+        let calls = stream::iter(polled).buffer_unordered(MAX_CONCURRENT_CALLS);
         let reports: Vec<(ServerKey, Option<EngineReport>)> = calls.collect().await;
         for (engine, report) in reports {
-            self.take_report(engine, report);
+            self.handle_report(engine, report);
         }
     }
 
     /// Extends the wait for an engine that reports to be working on its order, or to have
     /// completed it.
-    fn take_report(&mut self, engine: ServerKey, report: Option<EngineReport>) {
-        let Some(ordered) = self.ordered.get_mut(&engine) else {
+    fn handle_report(&mut self, engine: ServerKey, report: Option<EngineReport>) {
+        let Some(pending) = self.pending.get_mut(&engine) else {
             return;
         };
-        if report.is_some_and(|report| report.is_busy || report.held == Some(ordered.layers)) {
-            ordered.at = clock::now();
+        if report.is_some_and(|report| report.is_busy || report.held == Some(pending.layers)) {
+            pending.at = clock::now();
         } else {
-            self.ordered.remove(&engine);
+            self.pending.remove(&engine);
         }
     }
 
@@ -156,10 +156,10 @@
         table: &ServerTable,
         placement: NeededPlacement,
         may_order: impl Fn() -> bool,
-    ) -> Option<Taken> {
+    ) -> Option<AcceptedOrder> {
         let protocol = &self.relay.protocol;
         let server = table.named(&placement.engine)?;
-        let taken = Taken {
+        let accepted = AcceptedOrder {
             engine: server.key,
             layers: placement.layers,
         };
@@ -171,7 +171,7 @@
             return None;
         }
         if report.is_busy {
-            return Some(taken);
+            return Some(accepted);
         }
         // The lease may have expired while the engine was asked.
         if !may_order() {
@@ -195,7 +195,7 @@
                 "outcome" => &outcome);
         }
         match answer {
-            Ok(answer) if answer.status.is_success() => Some(taken),
+            Ok(answer) if answer.status.is_success() => Some(accepted),
             Ok(answer) if answer.status == StatusCode::CONFLICT => None,
             Ok(answer) => {
                 if let Some(log) = self.relay.events.line(Weight::Notable) {
@@ -206,15 +206,15 @@
                 None
             }
             // The order may have been accepted.
-            Err(error) if !error.is_unsent() => Some(taken),
+            Err(error) if !error.is_unsent() => Some(accepted),
             Err(_) => None,
         }
     }
 }
 
 /// Yields items until a round that begins now is over.
-fn for_a_round<T>(items: Vec<T>) -> impl Iterator<Item = T> {
-    let until = clock::now() + ROUND;
+fn within_round<T>(items: Vec<T>) -> impl Iterator<Item = T> {
+    let until = clock::now() + ROUND_DURATION;
     let items = items.into_iter();
     items.take_while(move |_| clock::now() < until)
 }
--- a/crates/rookferry_relay/src/sync/config.rs
+++ b/crates/rookferry_relay/src/sync/config.rs
@@ -78,20 +78,20 @@
         let Versioned {
             version,
             value,
-            asked_at,
+            requested_at,
         } = read;
         self.after = Some(version);
         if let Some(config) = value {
             self.shown = Some((version, config.version));
             log_older(relay, &config);
-            relay.adopt_config(config, "store", asked_at);
+            relay.adopt_config(config, "store", requested_at);
             return;
         }
         // An invalid configuration confirms the last valid one, as an answer without a
         // change does; a configuration read in a previous era confirms nothing.
         let shown = self.shown.filter(|(at, _)| at.era == version.era);
         if let Some((_, config_version)) = shown {
-            relay.confirm_config(config_version, asked_at);
+            relay.confirm_config(config_version, requested_at);
         }
     }
 }
--- a/crates/rookferry_relay/src/sync/servers.rs
+++ b/crates/rookferry_relay/src/sync/servers.rs
@@ -389,8 +389,8 @@
     /// When the resulting list was last known to be the newest.
     const fn newest_at(&self) -> Option<Instant> {
         match self {
-            Self::List(list) => Some(list.asked_at),
-            Self::Changes(changes) => Some(changes.asked_at),
+            Self::List(list) => Some(list.requested_at),
+            Self::Changes(changes) => Some(changes.requested_at),
             Self::Peer(list) => list.newest_at,
             _ => None,
         }
--- a/crates/rookferry_relay/src/tracked_store.rs
+++ b/crates/rookferry_relay/src/tracked_store.rs
@@ -43,7 +43,7 @@
     pub(crate) version: StoreVersion,
     pub(crate) value: T,
     /// When the call was sent.
-    pub(crate) asked_at: Instant,
+    pub(crate) requested_at: Instant,
 }
 
 /// A store whose calls are counted and whose restores are detected.
@@ -125,9 +125,9 @@
         &self,
         answer: StoreResponse<T>,
         asked_in: StoreEra,
-        asked_at: Instant,
+        requested_at: Instant,
     ) -> Result<Versioned<T>, StoreError> {
-        let verdict = lock(&self.eras).observe(answer.era, asked_at, clock::now());
+        let verdict = lock(&self.eras).observe(answer.era, requested_at, clock::now());
         // An answer without an era belongs to the era in which the call was sent.
         let era = answer.era.unwrap_or(asked_in);
         match verdict {
@@ -139,7 +139,7 @@
         Ok(Versioned {
             version: StoreVersion::new(era, answer.revision),
             value: answer.value,
-            asked_at,
+            requested_at,
         })
     }
 
@@ -148,12 +148,12 @@
         call: &'static str,
         answer: impl Future<Output = Result<StoreResponse<T>, StoreError>>,
     ) -> Result<Versioned<T>, StoreError> {
-        let (asked_in, asked_at) = (self.era(), clock::now());
+        let (asked_in, requested_at) = (self.era(), clock::now());
         let answer = counted(call, answer).await;
         if matches!(answer, Err(StoreError::Forgotten)) {
             self.note_forgotten(call);
         }
-        self.versioned(answer?, asked_in, asked_at)
+        self.versioned(answer?, asked_in, requested_at)
     }
 
     /// Completes a watch that resumes from a version.
@@ -247,7 +247,7 @@
 
     pub(crate) async fn config(&self) -> Result<Versioned<Option<ServingConfig>>, StoreError> {
         let read = self.read("config", self.inner.config()).await?;
-        lock(&self.contact).read_config(read.asked_at);
+        lock(&self.contact).read_config(read.requested_at);
         Ok(read)
     }
 
@@ -261,13 +261,13 @@
         let beside = self.read("config_since", inner.config_since(after.revision));
         let answer = self.first_answer(wait, watch, beside);
         let read = self.watch(after, answer).await?;
-        lock(&self.contact).read_config(read.asked_at);
+        lock(&self.contact).read_config(read.requested_at);
         Ok(read)
     }
 
     pub(crate) async fn servers(&self) -> Result<Versioned<Vec<BackendServer>>, StoreError> {
         let read = self.read("servers", self.inner.servers()).await?;
-        lock(&self.contact).read_servers(read.asked_at);
+        lock(&self.contact).read_servers(read.requested_at);
         Ok(read)
     }
 
@@ -281,7 +281,7 @@
         let beside = self.read("servers_since", inner.servers_since(after.revision));
         let answer = self.first_answer(wait, watch, beside);
         let read = self.watch(after, answer).await?;
-        lock(&self.contact).read_servers(read.asked_at);
+        lock(&self.contact).read_servers(read.requested_at);
         Ok(read)
     }
 
