--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -253,7 +253,7 @@
     /// How many instances may have requests in flight at a server.
     fn sharers(&self, server: ServerKey) -> usize {
         let known = if self.is_near(server) {
-            &self.near_instances
+            &self.local_instances
         } else {
             &self.instances
         };
@@ -288,7 +288,7 @@
     /// their failure domain, so its instances have the larger share.
     pub(crate) fn upstream(&self, server: ServerKey, service: &ServingService) -> Upstream {
         let limit = f64::from(service.max_connections);
-        let near = self.near_instances.load(Ordering::Relaxed).max(1);
+        let near = self.local_instances.load(Ordering::Relaxed).max(1);
         let all = self.instances.load(Ordering::Relaxed).max(near);
         let part = if self.is_near(server) {
             limit * NEAR_CONNECTIONS / near as f64
--- a/crates/rookferry_relay/src/event_log.rs
+++ b/crates/rookferry_relay/src/event_log.rs
@@ -16,9 +16,9 @@
 use slog::warn;
 
 /// Limit of lines per second about successful requests.
-const ROUTINE_LINES_PER_S: u64 = 200;
+const MAX_ROUTINE_LINES_PER_S: u64 = 200;
 /// Limit of lines per second about failures and changes of state.
-const NOTABLE_LINES_PER_S: u64 = 500;
+const MAX_NOTABLE_LINES_PER_S: u64 = 500;
 
 /// The names of all events.
 pub const EVENTS: &[&str] = &[
@@ -89,7 +89,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Budget {
+struct RateLimiter {
     /// The second since the start in the upper half, the number of lines in the lower.
     state: AtomicU64,
     dropped: AtomicU64,
@@ -100,8 +100,8 @@
 pub(crate) struct EventLog {
     log: Logger,
     started_at: Instant,
-    routine: Budget,
-    notable: Budget,
+    routine: RateLimiter,
+    notable: RateLimiter,
 }
 
 impl EventLog {
@@ -109,23 +109,23 @@
         Self {
             log,
             started_at: clock::now(),
-            routine: Budget::default(),
-            notable: Budget::default(),
+            routine: RateLimiter::default(),
+            notable: RateLimiter::default(),
         }
     }
 
     /// The logger, if the rate limit of this weight allows a line now.
     pub(crate) fn line(&self, weight: Weight) -> Option<&Logger> {
         let second = clock::since(self.started_at).as_secs();
-        let (budget, limit) = match weight {
-            Weight::Routine => (&self.routine, ROUTINE_LINES_PER_S),
-            Weight::Notable => (&self.notable, NOTABLE_LINES_PER_S),
+        let (limiter, limit) = match weight {
+            Weight::Routine => (&self.routine, MAX_ROUTINE_LINES_PER_S),
+            Weight::Notable => (&self.notable, MAX_NOTABLE_LINES_PER_S),
         };
-        budget.take(second, limit).then_some(&self.log)
+        limiter.try_acquire(second, limit).then_some(&self.log)
     }
 
     /// Logs how many lines were dropped since the last such report.
-    pub(crate) fn tell_dropped(&self) {
+    pub(crate) fn log_dropped(&self) {
         let routine = self.routine.dropped.swap(0, Ordering::Relaxed);
         let notable = self.notable.dropped.swap(0, Ordering::Relaxed);
         if routine + notable > 0 {
@@ -143,16 +143,16 @@
     }
 
     /// Logs that a dependency answers again.
-    pub(crate) fn dependency_regained(&self, name: &str, away: Duration) {
+    pub(crate) fn dependency_regained(&self, name: &str, outage: Duration) {
         if let Some(log) = self.line(Weight::Notable) {
             info!(log, "sync: a dependency answers again"; "event" => "dependency_regained",
-                "dependency" => name, "away_ms" => millis(away));
+                "dependency" => name, "away_ms" => millis(outage));
         }
     }
 }
 
-impl Budget {
-    fn take(&self, second: u64, limit: u64) -> bool {
+impl RateLimiter {
+    fn try_acquire(&self, second: u64, limit: u64) -> bool {
         let taken = self
             .state
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |state| {
--- a/crates/rookferry_relay/src/node.rs
+++ b/crates/rookferry_relay/src/node.rs
@@ -56,7 +56,7 @@
 /// a second, and removes an instance after two failed checks.
 const ACCEPT_WHILE_LEAVING: Duration = Duration::from_millis(3_200);
 /// The same, if no request is in flight.
-const QUIET_BEFORE_END: Duration = Duration::from_millis(2_600);
+const ACCEPT_WHILE_IDLE: Duration = Duration::from_millis(2_600);
 /// Upper bounds of the buckets of latency histograms, in seconds: around the objectives
 /// of 0.1 to 0.5 s and pauses of 0.2 s, and up to route timeouts.
 const LATENCY_BUCKETS_S: [f64; 14] = [
@@ -65,7 +65,7 @@
 /// Attempts to bind a port where the system chooses it.
 const MAX_PORT_TRIES: u32 = 20;
 /// How often dropped log lines are reported.
-const TELL_DROPPED_EVERY: Duration = Duration::from_secs(5);
+const DROPPED_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Why an instance didn't start.
 #[derive(Debug, Snafu)]
@@ -103,7 +103,7 @@
     stop: Arc<Notify>,
 }
 
-struct Figures {
+struct MetricsEndpoint {
     relay: Arc<Relay>,
     handle: PrometheusHandle,
     callers: ConnectionTable,
@@ -138,28 +138,28 @@
         let limits = ConnectionLimits::default();
         let callers = bind(listen.callers, limits, "callers").await?;
         let readiness = bind(listen.readiness, limits, "readiness").await?;
-        let figures = bind(listen.metrics, limits, "metrics").await?;
-        let addr = |server: &Server, asked| server.local_addr().unwrap_or(asked);
+        let metrics_endpoint = bind(listen.metrics, limits, "metrics").await?;
+        let addr = |server: &Server, requested| server.local_addr().unwrap_or(requested);
         let addrs = NodeAddrs {
             callers: addr(&callers, listen.callers),
             readiness: addr(&readiness, listen.readiness),
-            metrics: addr(&figures, listen.metrics),
+            metrics: addr(&metrics_endpoint, listen.metrics),
             peers,
         };
         let connections = callers.connections().clone();
         let handler = endpoint(&relay, callers.connections(), front::handle);
         let until = stop.clone();
         tokio::spawn(async move { callers.serve(handler, until.notified()).await });
-        let handler = endpoint(&relay, readiness.connections(), tell_ready);
+        let handler = endpoint(&relay, readiness.connections(), serve_readiness);
         tokio::spawn(readiness.serve(handler, std::future::pending()));
-        let app = Arc::new(Figures {
+        let app = Arc::new(MetricsEndpoint {
             relay: relay.clone(),
             handle,
             callers: connections.clone(),
             started_at: clock::now(),
         });
-        let handler = endpoint(&app, figures.connections(), tell_figures);
-        tokio::spawn(figures.serve(handler, std::future::pending()));
+        let handler = endpoint(&app, metrics_endpoint.connections(), serve_metrics);
+        tokio::spawn(metrics_endpoint.serve(handler, std::future::pending()));
         let incarnation = incarnation();
         tokio::spawn(HeartbeatTask::new(relay.clone(), socket, incarnation).run());
         tokio::spawn(serve_peers(relay.clone(), listener));
@@ -168,7 +168,7 @@
         tokio::spawn(quarantine_keeper::keep_quarantine(relay.clone()));
         tokio::spawn(probe::watch_lost(relay.clone()));
         tokio::spawn(Placement::new(relay.clone(), incarnation).run());
-        tokio::spawn(tell_dropped(relay.clone()));
+        tokio::spawn(log_dropped_lines(relay.clone()));
         Ok(Self {
             relay,
             callers: connections,
@@ -204,7 +204,7 @@
             .grace()
             .saturating_sub(STOP_MARGIN);
         let finish = async {
-            tokio::time::sleep(QUIET_BEFORE_END).await;
+            tokio::time::sleep(ACCEPT_WHILE_IDLE).await;
             let accept_left = ACCEPT_WHILE_LEAVING.saturating_sub(clock::since(started));
             let _ = tokio::time::timeout(accept_left, self.callers.quiet()).await;
             self.stop.notify_one();
@@ -248,41 +248,44 @@
     }
 }
 
-async fn tell_ready(relay: Arc<Relay>, _inbound: Inbound) -> Response<Body> {
+async fn serve_readiness(relay: Arc<Relay>, _inbound: Inbound) -> Response<Body> {
     if relay.is_ready() {
         return text_response(StatusCode::OK, "ready\n".to_owned());
     }
     text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_owned())
 }
 
-async fn tell_figures(figures: Arc<Figures>, _inbound: Inbound) -> Response<Body> {
-    let age = figures.relay.config_age();
+async fn serve_metrics(
+    metrics_endpoint: Arc<MetricsEndpoint>,
+    _inbound: Inbound,
+) -> Response<Body> {
+    let age = metrics_endpoint.relay.config_age();
     gauge!("rookferry_config_version").set(age.version() as f64);
     if let Some(age) = age.age(clock::now()) {
         gauge!("rookferry_config_age_seconds").set(age.as_secs_f64());
     }
-    let servers = figures.relay.servers_version();
+    let servers = metrics_endpoint.relay.servers_version();
     gauge!("rookferry_servers_revision").set(servers.store.revision as f64);
-    if let Some(age) = figures.relay.servers_age(clock::now()) {
+    if let Some(age) = metrics_endpoint.relay.servers_age(clock::now()) {
         gauge!("rookferry_servers_age_seconds").set(age.as_secs_f64());
     }
-    gauge!("rookferry_store_era").set(figures.relay.store.era() as f64);
+    gauge!("rookferry_store_era").set(metrics_endpoint.relay.store.era() as f64);
     gauge!("rookferry_build_info", "version" => env!("CARGO_PKG_VERSION")).set(1.0);
-    gauge!("rookferry_uptime_seconds").set(clock::since(figures.started_at).as_secs_f64());
-    gauge!("rookferry_requests_under_way").set(figures.callers.requests() as f64);
-    gauge!("rookferry_connections").set(figures.callers.open() as f64);
-    let instances = figures.relay.instances.load(Ordering::Relaxed);
+    gauge!("rookferry_uptime_seconds").set(clock::since(metrics_endpoint.started_at).as_secs_f64());
+    gauge!("rookferry_requests_under_way").set(metrics_endpoint.callers.requests() as f64);
+    gauge!("rookferry_connections").set(metrics_endpoint.callers.open() as f64);
+    let instances = metrics_endpoint.relay.instances.load(Ordering::Relaxed);
     gauge!("rookferry_instances").set(instances as f64);
-    let holds_lease = figures.relay.holds_lease.load(Ordering::Relaxed);
+    let holds_lease = metrics_endpoint.relay.holds_lease.load(Ordering::Relaxed);
     gauge!("rookferry_holds_lease").set(f64::from(u8::from(holds_lease)));
-    gauge!("rookferry_servers_out").set(figures.relay.states.health().out_count() as f64);
-    text_response(StatusCode::OK, figures.handle.render())
+    gauge!("rookferry_servers_out").set(metrics_endpoint.relay.states.health().out_count() as f64);
+    text_response(StatusCode::OK, metrics_endpoint.handle.render())
 }
 
-async fn tell_dropped(relay: Arc<Relay>) {
+async fn log_dropped_lines(relay: Arc<Relay>) {
     loop {
-        tokio::time::sleep(TELL_DROPPED_EVERY).await;
-        relay.events.tell_dropped();
+        tokio::time::sleep(DROPPED_LOG_INTERVAL).await;
+        relay.events.log_dropped();
     }
 }
 
--- a/crates/rookferry_relay/src/peers/handler.rs
+++ b/crates/rookferry_relay/src/peers/handler.rs
@@ -189,7 +189,9 @@
             (table.instances(), table.near_instances())
         };
         self.relay.instances.fetch_max(known, Ordering::Relaxed);
-        self.relay.near_instances.fetch_max(near, Ordering::Relaxed);
+        self.relay
+            .local_instances
+            .fetch_max(near, Ordering::Relaxed);
     }
 
     /// Applies a peer's instance count, which a starting instance has before its own.
--- a/crates/rookferry_relay/src/peers/transfer.rs
+++ b/crates/rookferry_relay/src/peers/transfer.rs
@@ -187,7 +187,7 @@
         let age = age_ms.map_or(bound, Duration::from_millis);
         let confirmed_at = requested_at.checked_sub(age).unwrap_or(requested_at);
         relay.adopt_config(*config, "peer", confirmed_at);
-        relay.note_contact_by_bodies();
+        relay.record_contact_from_bodies();
     }
 }
 
--- a/crates/rookferry_relay/src/placement/orders.rs
+++ b/crates/rookferry_relay/src/placement/orders.rs
@@ -167,7 +167,7 @@
         let report = self.report(upstream).await?;
         if !report.is_from(server) {
             // The plan was made for the previous process, which held other layers.
-            self.relay.other_start_answered(server.key, &report);
+            self.relay.other_incarnation_answered(server.key, &report);
             return None;
         }
         if report.is_busy {
--- a/crates/rookferry_relay/src/probe.rs
+++ b/crates/rookferry_relay/src/probe.rs
@@ -162,12 +162,12 @@
         return true;
     };
     if !report.is_from(entry) {
-        relay.other_start_answered(server, report);
+        relay.other_incarnation_answered(server, report);
         return false;
     }
     let is_held = |listed| report.held.is_some_and(|held| held.covers(listed));
     if !entry.held.is_none_or(is_held) {
-        relay.server_lost(server, &ServerLoss::LayersGone);
+        relay.server_lost(server, &ServerLoss::LayersMissing);
         return false;
     }
     true
--- a/crates/rookferry_relay/src/readiness.rs
+++ b/crates/rookferry_relay/src/readiness.rs
@@ -71,7 +71,7 @@
     /// themselves when that or their own state grows too old.
     pub(crate) fn relies_on_peers(&self) -> bool {
         let now = clock::now();
-        let budget = self.settings.bounds.news_budget();
+        let budget = self.settings.bounds.propagation_budget();
         let bound = lock(&self.peers).reliance(budget, now);
         let is_informed = self.store.contact().is_fresh(now, bound)
             && self.servers_age(now).is_some_and(|age| age < bound)
@@ -94,7 +94,7 @@
         if self.age() >= self.start_line().first_read_after() {
             return false;
         }
-        let fresh = self.settings.bounds.news_budget().rely();
+        let fresh = self.settings.bounds.propagation_budget().rely();
         !self.knows_site() || self.store.contact().is_fresh(clock::now(), fresh)
     }
 
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -42,7 +42,7 @@
 use crate::protocol::EngineReport;
 use crate::protocol::ServerProtocol;
 use crate::quarantine::RequestQuarantine;
-use crate::restarts::Restarts;
+use crate::restarts::RestartQueue;
 use crate::server_loss::ServerLoss;
 use crate::server_states::ServerStates;
 use crate::settings::RelaySettings;
@@ -53,7 +53,7 @@
 use crate::view::SiteView;
 
 /// Most servers named in a log line as leaving, and most as removed.
-const MAX_DEPARTED_NAMED: usize = 8;
+const MAX_DEPARTED_LOGGED: usize = 8;
 
 /// State shared by all tasks of an instance.
 pub(crate) struct Relay {
@@ -78,14 +78,14 @@
     /// Instances that share the site's budgets, this one included.
     pub(crate) instances: AtomicUsize,
     /// Those of them in the same failure domain.
-    pub(crate) near_instances: AtomicUsize,
+    pub(crate) local_instances: AtomicUsize,
     pub(crate) peers: Mutex<PeerTable>,
     /// Recent changes of the active server list.
     pub(crate) list_history: Mutex<ListHistory>,
     /// The newest server list received from a peer.
     pub(crate) peer_servers: watch::Sender<Option<PeerList>>,
     /// Engines that have restarted and whose entries don't show it yet.
-    pub(crate) restarts: Restarts,
+    pub(crate) restarts: RestartQueue,
     /// Limits what this instance sends over the link between failure domains.
     pub(crate) link_pace: Mutex<LinkPace>,
     /// Transfers of the configuration, and of the server list, to peers.
@@ -113,7 +113,7 @@
         events: EventLog,
     ) -> Self {
         let events = Arc::new(events);
-        let budget = settings.bounds.news_budget();
+        let budget = settings.bounds.propagation_budget();
         let link_mbps = settings.machine.link_mbps.unwrap_or_default();
         let peers = PeerTable::new(settings.listen.peers, settings.domain.clone())
             .capacity(settings.machine.capacity());
@@ -131,11 +131,11 @@
             fleet_changes: watch::Sender::new(0),
             urgent_changes: watch::Sender::new(0),
             instances: AtomicUsize::new(1),
-            near_instances: AtomicUsize::new(1),
+            local_instances: AtomicUsize::new(1),
             peers: Mutex::new(peers),
             list_history: Mutex::default(),
             peer_servers: watch::Sender::new(None),
-            restarts: Restarts::default(),
+            restarts: RestartQueue::default(),
             link_pace: Mutex::new(LinkPace::new(rand::random())),
             config_source: Mutex::new(BodySource::new().link_mbps(link_mbps)),
             servers_source: Mutex::new(BodySource::new().link_mbps(link_mbps)),
@@ -198,7 +198,7 @@
     /// Derives contact with the store from bodies: a configuration and a list from a peer
     /// show what the store contained when both were the newest. A starting instance
     /// relies on that until its domain's store reader sends it a heartbeat.
-    pub(crate) fn note_contact_by_bodies(&self) {
+    pub(crate) fn record_contact_from_bodies(&self) {
         let config_at = lock(&self.config_age).confirmed_at();
         let servers_at = lock(&self.servers_age).confirmed_at();
         if let Some(at) = config_at.min(servers_at) {
@@ -224,7 +224,7 @@
                     "version" => version, "before" => before, "source" => source,
                     "routes" => routes, "accounts" => accounts);
             }
-            self.note_unusable_figures(&index);
+            self.log_unusable_figures(&index);
             self.signal_fleet_change();
         }
         self.confirm_config(version, at);
@@ -234,7 +234,7 @@
     }
 
     /// Logs accelerators whose figures can't be used for planning.
-    fn note_unusable_figures(&self, index: &ServingIndex) {
+    fn log_unusable_figures(&self, index: &ServingIndex) {
         for service in &index.config().services {
             let Some(model) = &service.model else {
                 continue;
@@ -265,7 +265,7 @@
     /// Replaces the table of backend servers.
     pub(crate) fn adopt_servers(&self, servers: ServerTable, source: &'static str) {
         let servers = Arc::new(servers);
-        self.note_servers(&servers, source);
+        self.log_servers(&servers, source);
         lock(&self.list_history).put(servers.version(), servers.listed());
         self.states
             .adopt(self.view.load().servers.as_deref(), &servers);
@@ -282,10 +282,10 @@
 
     /// Logs the newly active server list, and the servers that leave or are removed with
     /// it.
-    fn note_servers(&self, servers: &ServerTable, source: &'static str) {
+    fn log_servers(&self, servers: &ServerTable, source: &'static str) {
         if let Some(log) = self.events.line(Weight::Notable) {
             let before = self.view.load();
-            let departed = servers.departed_since(before.servers.as_deref(), MAX_DEPARTED_NAMED);
+            let departed = servers.departed_since(before.servers.as_deref(), MAX_DEPARTED_LOGGED);
             info!(log, "directory: a list of servers is active"; "event" => "servers_adopted",
                 "version" => %servers.version(), "source" => source, "servers" => servers.all().len(),
                 "leaving" => departed.leaving.join(","), "gone" => departed.gone.join(","));
@@ -304,7 +304,7 @@
     /// Records that a server didn't answer: it counts as unresponsive until a probe
     /// succeeds.
     pub(crate) fn server_lost(&self, server: ServerKey, loss: &ServerLoss) {
-        if loss.is_end() {
+        if loss.is_exit() {
             self.server_ended(server);
         }
         if !self.states.health().lost(server, clock::now()) {
@@ -312,15 +312,15 @@
         }
         if let Some(log) = self.events.line(Weight::Notable) {
             warn!(log, "health: a server doesn't answer"; "event" => "server_lost",
-                "server" => %server.addr, "cause" => %loss, "ended" => loss.is_end());
+                "server" => %server.addr, "cause" => %loss, "ended" => loss.is_exit());
         }
         self.signal_fleet_change();
     }
 
     /// Records that another process answers than the listed one: what was sent to the
     /// listed one is lost. A later incarnation is used before its entry shows it.
-    pub(crate) fn other_start_answered(&self, server: ServerKey, report: &EngineReport) {
-        self.server_lost(server, &ServerLoss::OtherStart);
+    pub(crate) fn other_incarnation_answered(&self, server: ServerKey, report: &EngineReport) {
+        self.server_lost(server, &ServerLoss::OtherIncarnation);
         let view = self.view.load();
         let Some(entry) = view.server(server) else {
             return;
--- a/crates/rookferry_relay/src/restarts.rs
+++ b/crates/rookferry_relay/src/restarts.rs
@@ -14,24 +14,24 @@
 
 /// Most queued restarts: more than there are engines in a failure domain. An engine that
 /// doesn't fit is found again by the next call to it.
-const MAX_WAITING: usize = 1_024;
+const MAX_PENDING: usize = 1_024;
 
 /// Servers as described by their new processes.
 #[derive(Debug, Default)]
-pub(crate) struct Restarts {
-    waiting: Mutex<Vec<BackendServer>>,
+pub(crate) struct RestartQueue {
+    pending: Mutex<Vec<BackendServer>>,
     changed: Notify,
 }
 
-impl Restarts {
+impl RestartQueue {
     /// Queues a server; returns whether it was added.
     pub(crate) fn push(&self, server: BackendServer) -> bool {
-        let mut waiting = lock(&self.waiting);
-        if waiting.len() >= MAX_WAITING || waiting.iter().any(|known| known.key == server.key) {
+        let mut pending = lock(&self.pending);
+        if pending.len() >= MAX_PENDING || pending.iter().any(|known| known.key == server.key) {
             return false;
         }
-        waiting.push(server);
-        drop(waiting);
+        pending.push(server);
+        drop(pending);
         self.changed.notify_one();
         true
     }
@@ -39,7 +39,7 @@
     /// Waits for servers. Cancel safe.
     pub(crate) async fn next(&self) -> Vec<BackendServer> {
         loop {
-            let servers = std::mem::take(&mut *lock(&self.waiting));
+            let servers = std::mem::take(&mut *lock(&self.pending));
             if !servers.is_empty() {
                 return servers;
             }
--- a/crates/rookferry_relay/src/server_loss.rs
+++ b/crates/rookferry_relay/src/server_loss.rs
@@ -10,17 +10,17 @@
     /// Nothing listens at its address: the process has exited.
     Refused,
     /// Another incarnation answers at its address: the process has exited.
-    OtherStart,
+    OtherIncarnation,
     /// It answers, but without the layers that its entry lists.
-    LayersGone,
+    LayersMissing,
     /// It didn't answer, which a network partition explains as well. Contains the cause.
     Unreachable(String),
 }
 
 impl ServerLoss {
     /// Whether it proves that the process has exited.
-    pub(crate) const fn is_end(&self) -> bool {
-        matches!(self, Self::Refused | Self::OtherStart)
+    pub(crate) const fn is_exit(&self) -> bool {
+        matches!(self, Self::Refused | Self::OtherIncarnation)
     }
 }
 
@@ -37,8 +37,8 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Refused => formatter.write_str("it refuses connections"),
-            Self::OtherStart => formatter.write_str("another incarnation of it answers"),
-            Self::LayersGone => formatter.write_str("it doesn't hold its layers any more"),
+            Self::OtherIncarnation => formatter.write_str("another incarnation of it answers"),
+            Self::LayersMissing => formatter.write_str("it doesn't hold its layers any more"),
             Self::Unreachable(cause) => formatter.write_str(cause),
         }
     }
--- a/crates/rookferry_relay/src/settings.rs
+++ b/crates/rookferry_relay/src/settings.rs
@@ -208,7 +208,7 @@
 
     /// The time that each step of the propagation of a store change may take.
     #[must_use]
-    pub const fn news_budget(&self) -> NewsBudget {
+    pub const fn propagation_budget(&self) -> NewsBudget {
         NewsBudget::new(Duration::from_millis(self.drain_ms))
     }
 
--- a/crates/rookferry_relay/src/sync/mod.rs
+++ b/crates/rookferry_relay/src/sync/mod.rs
@@ -23,6 +23,6 @@
     if relay.awaits_peers() {
         START_POLL_INTERVAL
     } else {
-        relay.settings.bounds.news_budget().look()
+        relay.settings.bounds.propagation_budget().look()
     }
 }
--- a/crates/rookferry_relay/src/sync/outage.rs
+++ b/crates/rookferry_relay/src/sync/outage.rs
@@ -48,7 +48,7 @@
             if left.is_zero() {
                 return;
             }
-            let poll = relay.settings.bounds.news_budget().look();
+            let poll = relay.settings.bounds.propagation_budget().look();
             tokio::time::sleep(left.min(poll)).await;
         }
     }
--- a/crates/rookferry_relay/src/sync/servers.rs
+++ b/crates/rookferry_relay/src/sync/servers.rs
@@ -186,7 +186,7 @@
         if let Some(newest_at) = newest_at {
             self.relay.confirm_servers(self.version, newest_at);
             if is_from_peer {
-                self.relay.note_contact_by_bodies();
+                self.relay.record_contact_from_bodies();
             }
         }
     }
@@ -336,7 +336,7 @@
         }
         tokio::time::sleep(poll_interval(relay)).await;
     }
-    let wait = relay.settings.bounds.news_budget().watch_wait();
+    let wait = relay.settings.bounds.propagation_budget().watch_wait();
     match after {
         None => relay.store.servers().await.map(ListUpdate::List),
         Some(after) => {
