--- a/crates/rookferry_relay/src/peers/fetch.rs
+++ b/crates/rookferry_relay/src/peers/fetch.rs
@@ -164,7 +164,7 @@
         let store_age_ms = beat.store_age_ms.filter(|_| is_local);
         let store_at = store_age_ms.and_then(|age_ms| known_at(beat, age_ms, epoch));
         if let Some(at) = store_at {
-            self.relay.store.hear_contact(at);
+            self.relay.store.record_peer_contact(at);
         }
     }
 }
--- a/crates/rookferry_relay/src/peers/handler.rs
+++ b/crates/rookferry_relay/src/peers/handler.rs
@@ -47,7 +47,9 @@
             let newly_out = table.newly_out(from, beat, now);
             (is_new, newly_out)
         };
-        self.relay.store.hear_era(beat.servers.version.store.era);
+        self.relay
+            .store
+            .record_peer_era(beat.servers.version.store.era);
         self.apply_instance_count(beat.instances);
         self.record_liveness(&beat.loads, now);
         if let Some(sums) = &beat.domain_loads {
--- a/crates/rookferry_relay/src/sync/servers.rs
+++ b/crates/rookferry_relay/src/sync/servers.rs
@@ -206,7 +206,7 @@
         let version = read.version();
         if let Some(version) = version {
             let store = version.store;
-            self.relay.store.hear_era(store.era);
+            self.relay.store.record_peer_era(store.era);
             self.uncertain.record_era(&self.relay, store.era, now);
             self.after = Some(store);
         }
--- a/crates/rookferry_relay/src/tracked_store.rs
+++ b/crates/rookferry_relay/src/tracked_store.rs
@@ -84,10 +84,10 @@
     }
 
     /// Records an era that another instance reports.
-    pub(crate) fn hear_era(&self, era: StoreEra) {
+    pub(crate) fn record_peer_era(&self, era: StoreEra) {
         let before = self.era();
         if lock(&self.eras).hear(era, clock::now()) {
-            self.note_era(era, Some(before), "peer");
+            self.announce_era_change(era, Some(before), "peer");
         }
     }
 
@@ -97,12 +97,12 @@
     }
 
     /// Records that a peer of the own domain knows the store's content as of a time.
-    pub(crate) fn hear_contact(&self, at: Instant) {
+    pub(crate) fn record_peer_contact(&self, at: Instant) {
         lock(&self.contact).hear(at);
     }
 
     /// Waits until the store is in another era.
-    pub(crate) async fn era_over(&self, era: StoreEra) {
+    pub(crate) async fn era_changed(&self, era: StoreEra) {
         let mut changes = self.era_changes.subscribe();
         while self.era() == era {
             if changes.changed().await.is_err() {
@@ -112,7 +112,7 @@
         }
     }
 
-    fn note_era(&self, era: StoreEra, before: Option<StoreEra>, source: &'static str) {
+    fn announce_era_change(&self, era: StoreEra, before: Option<StoreEra>, source: &'static str) {
         if let Some(log) = self.events.line(Weight::Notable) {
             warn!(log, "store: its era has changed"; "event" => "store_era_changed",
                 "era" => era, "before" => before, "source" => source);
@@ -124,17 +124,17 @@
     fn versioned<T>(
         &self,
         answer: StoreResponse<T>,
-        asked_in: StoreEra,
+        era_at_request: StoreEra,
         requested_at: Instant,
     ) -> Result<Versioned<T>, StoreError> {
         let verdict = lock(&self.eras).observe(answer.era, requested_at, clock::now());
         // An answer without an era belongs to the era in which the call was sent.
-        let era = answer.era.unwrap_or(asked_in);
+        let era = answer.era.unwrap_or(era_at_request);
         match verdict {
             EraVerdict::Late => return Err(StoreError::Outdated),
             EraVerdict::Current if era != self.era() => return Err(StoreError::Outdated),
             EraVerdict::Current => {}
-            EraVerdict::Changed { before } => self.note_era(era, before, "store"),
+            EraVerdict::Changed { before } => self.announce_era_change(era, before, "store"),
         }
         Ok(Versioned {
             version: StoreVersion::new(era, answer.revision),
@@ -148,12 +148,12 @@
         call: &'static str,
         answer: impl Future<Output = Result<StoreResponse<T>, StoreError>>,
     ) -> Result<Versioned<T>, StoreError> {
-        let (asked_in, requested_at) = (self.era(), clock::now());
-        let answer = counted(call, answer).await;
+        let (era_at_request, requested_at) = (self.era(), clock::now());
+        let answer = record_call(call, answer).await;
         if matches!(answer, Err(StoreError::Forgotten)) {
-            self.note_forgotten(call);
+            self.log_forgotten(call);
         }
-        self.versioned(answer?, asked_in, requested_at)
+        self.versioned(answer?, era_at_request, requested_at)
     }
 
     /// Completes a watch that resumes from a version.
@@ -167,7 +167,7 @@
         }
         let read = tokio::select! {
             read = answer => read?,
-            () = self.era_over(after.era) => return Err(StoreError::Forgotten),
+            () = self.era_changed(after.era) => return Err(StoreError::Forgotten),
         };
         // A store that was restored without a new era has other changes under the same
         // revisions.
@@ -179,18 +179,18 @@
 
     /// The answer of a watch that should end within `wait`, or of a fallback call that is
     /// sent once the watch is overdue: its connection may have died silently.
-    async fn first_answer<T>(
+    async fn first_response<T>(
         &self,
         wait: Duration,
         watch: impl Future<Output = Result<Versioned<T>, StoreError>>,
-        beside: impl Future<Output = Result<Versioned<T>, StoreError>>,
+        fallback: impl Future<Output = Result<Versioned<T>, StoreError>>,
     ) -> Result<Versioned<T>, StoreError> {
         let sent_at = clock::now();
         let overdue_after = self.contact().overdue_after(self.budget.overdue());
-        tokio::pin!(watch, beside);
+        tokio::pin!(watch, fallback);
         let in_time = clock::timeout_at(sent_at + wait + overdue_after, &mut watch).await;
         if let Some(answer) = in_time {
-            self.note_delay(sent_at, wait);
+            self.record_delay(sent_at, wait);
             return answer;
         }
         lock(&self.contact).watch_overdue();
@@ -201,21 +201,21 @@
         }
         let (answer, is_watch) = tokio::select! {
             answer = &mut watch => (answer, true),
-            answer = &mut beside => (answer, false),
+            answer = &mut fallback => (answer, false),
         };
         if is_watch {
-            self.note_delay(sent_at, wait);
+            self.record_delay(sent_at, wait);
         }
         match answer {
             Ok(answer) => Ok(answer),
-            Err(_) if is_watch => beside.await,
+            Err(_) if is_watch => fallback.await,
             Err(_) => watch.await,
         }
     }
 
     /// Records the delay of a watch that was sent at `sent_at` and should have ended
     /// within `wait`.
-    fn note_delay(&self, sent_at: Instant, wait: Duration) {
+    fn record_delay(&self, sent_at: Instant, wait: Duration) {
         let delay = clock::since(sent_at).saturating_sub(wait);
         lock(&self.contact).note_delay(delay);
     }
@@ -238,7 +238,7 @@
     }
 
     /// Logs that the store lacks the revision that a watch resumes from.
-    fn note_forgotten(&self, call: &'static str) {
+    fn log_forgotten(&self, call: &'static str) {
         if let Some(log) = self.events.line(Weight::Notable) {
             warn!(log, "store: it no longer has the watch's revision"; "event" => "store_forgot",
                 "call" => call);
@@ -258,8 +258,8 @@
     ) -> Result<Versioned<Option<ServingConfig>>, StoreError> {
         let inner = &self.inner;
         let watch = self.read("watch_config", inner.watch_config(after.revision, wait));
-        let beside = self.read("config_since", inner.config_since(after.revision));
-        let answer = self.first_answer(wait, watch, beside);
+        let fallback = self.read("config_since", inner.config_since(after.revision));
+        let answer = self.first_response(wait, watch, fallback);
         let read = self.watch(after, answer).await?;
         lock(&self.contact).read_config(read.requested_at);
         Ok(read)
@@ -278,8 +278,8 @@
     ) -> Result<Versioned<Vec<DirectoryChange>>, StoreError> {
         let inner = &self.inner;
         let watch = self.read("watch_servers", inner.watch_servers(after.revision, wait));
-        let beside = self.read("servers_since", inner.servers_since(after.revision));
-        let answer = self.first_answer(wait, watch, beside);
+        let fallback = self.read("servers_since", inner.servers_since(after.revision));
+        let answer = self.first_response(wait, watch, fallback);
         let read = self.watch(after, answer).await?;
         lock(&self.contact).read_servers(read.requested_at);
         Ok(read)
@@ -322,7 +322,7 @@
     }
 }
 
-async fn counted<T>(
+async fn record_call<T>(
     call: &'static str,
     answer: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
