--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -39,13 +39,13 @@
 
 /// The share of a server's connections that instances of its own failure domain divide
 /// among themselves; the other instances divide the rest.
-const NEAR_CONNECTIONS: f64 = 0.6;
+const LOCAL_CONNECTION_SHARE: f64 = 0.6;
 /// Least connections that an instance may open to a server.
 const MIN_CONNECTIONS: usize = 3;
 
 /// Age from which an instance knows its peers' loads: representatives begin after 0.4 s
 /// and send them every 0.3 s.
-const HEARD_AFTER: Duration = Duration::from_secs(1);
+const PEER_LOADS_KNOWN_AFTER: Duration = Duration::from_secs(1);
 
 /// State of a stage of a path in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -67,18 +67,18 @@
         let used_tokens = self.load_of(server).tokens;
         let view = self.view.load();
         let entry = view.server(server);
-        let room_tokens = entry.map_or(0.0, |entry| published_tokens(entry, model));
-        let (was_closed, is_closed) = {
-            let mut closed = self.states.closed();
-            let was_closed = closed.is_closed(server, now);
+        let room_tokens = entry.map_or(0.0, |entry| published_cache_tokens(entry, model));
+        let (was_refusing, is_closed) = {
+            let mut refusing = self.states.refusing();
+            let was_refusing = refusing.is_closed(server, now);
             (
-                was_closed,
-                closed.refused(server, used_tokens, room_tokens, now),
+                was_refusing,
+                refusing.refused(server, used_tokens, room_tokens, now),
             )
         };
         if !is_closed {
             self.states.health().had_no_room(server, used_tokens, now);
-        } else if !was_closed && let Some(log) = self.events.line(Weight::Notable) {
+        } else if !was_refusing && let Some(log) = self.events.line(Weight::Notable) {
             warn!(log, "health: a server refuses new work"; "event" => "server_closed",
                 "server" => %server.addr, "source" => "own", "used_tokens" => used_tokens,
                 "room_tokens" => room_tokens);
@@ -98,9 +98,9 @@
 
     /// Records that engines accepted a request's work.
     pub(crate) fn engines_accepted(&self, stages: &[PathStage], now: Instant) {
-        let mut closed = self.states.closed();
+        let mut refusing = self.states.refusing();
         for stage in stages {
-            closed.accepted(stage.server, now);
+            refusing.accepted(stage.server, now);
         }
     }
 
@@ -128,15 +128,15 @@
         let now = clock::now();
         let filter = self.server_filter(urgency);
         let health = &filter.health;
-        let closed = self.states.closed();
-        let doubted = self.states.doubted();
+        let refusing = self.states.refusing();
+        let suspected = self.states.suspected();
         let usable = table
             .of(&service.name)
             .filter(|server| filter.accepts(server, at));
         let engines = usable.filter_map(|server| {
             let mut engine = self.pipeline_engine(server, model, health, now)?;
-            engine.is_closed =
-                closed.is_closed(server.key, now) || self.is_doubted(&doubted, server.key, now);
+            engine.is_closed = refusing.is_closed(server.key, now)
+                || self.is_suspected(&suspected, server.key, now);
             if health.is_full(server.key, now) {
                 engine.used_tokens = engine.cache_tokens;
             }
@@ -187,17 +187,17 @@
     }
 
     /// Whether peers suspect a server that has given no liveness evidence since.
-    fn is_doubted(&self, doubted: &DoubtedServers, server: ServerKey, now: Instant) -> bool {
+    fn is_suspected(&self, suspected: &DoubtedServers, server: ServerKey, now: Instant) -> bool {
         // Liveness lookups take a lock, and few servers are suspected.
-        if doubted.since(server).is_none() {
+        if suspected.since(server).is_none() {
             return false;
         }
         let seen_at = now.checked_sub(self.states.liveness.last_seen(server).age(now));
-        doubted.is_left_alone(server, seen_at)
+        suspected.is_left_alone(server, seen_at)
     }
 
     /// What this instance, of the given rank, uses a suspected server for.
-    pub(crate) fn doubted_use(&self, server: ServerKey, rank: usize) -> DoubtedUse {
+    pub(crate) fn probe_role(&self, server: ServerKey, rank: usize) -> DoubtedUse {
         DoubtedUse {
             has_work: self.states.loads.of(server).requests > 0,
             plans_layers: self.holds_lease.load(Ordering::Relaxed),
@@ -224,7 +224,11 @@
             held,
             layer_step_ms: model.layer_step_ms(kind)
                 * self.states.liveness.slowdown(server.key, now),
-            cache_tokens: health.room_tokens(server.key, published_tokens(server, model), now),
+            cache_tokens: health.room_tokens(
+                server.key,
+                published_cache_tokens(server, model),
+                now,
+            ),
             used_tokens: self.load_of(server.key).tokens,
             is_closed: false,
         })
@@ -240,19 +244,19 @@
         let own = self.states.loads.of(server);
         let mut load = own;
         load += self.states.peer_load(server);
-        if self.age() >= HEARD_AFTER {
+        if self.age() >= PEER_LOADS_KNOWN_AFTER {
             return load;
         }
-        let alike = own.times(self.sharers(server));
+        let assumed = own.times(self.instances_sharing(server));
         ServerLoad {
-            requests: load.requests.max(alike.requests),
-            tokens: load.tokens.max(alike.tokens),
+            requests: load.requests.max(assumed.requests),
+            tokens: load.tokens.max(assumed.tokens),
         }
     }
 
     /// How many instances may have requests in flight at a server.
-    fn sharers(&self, server: ServerKey) -> usize {
-        let known = if self.is_near(server) {
+    fn instances_sharing(&self, server: ServerKey) -> usize {
+        let known = if self.is_local(server) {
             &self.local_instances
         } else {
             &self.instances
@@ -261,7 +265,7 @@
     }
 
     /// Whether a server is in this instance's failure domain.
-    fn is_near(&self, server: ServerKey) -> bool {
+    fn is_local(&self, server: ServerKey) -> bool {
         let view = self.view.load();
         let entry = view.server(server);
         entry.is_some_and(|entry| entry.domain == self.settings.domain)
@@ -288,16 +292,16 @@
     /// their failure domain, so its instances have the larger share.
     pub(crate) fn upstream(&self, server: ServerKey, service: &ServingService) -> Upstream {
         let limit = f64::from(service.max_connections);
-        let near = self.local_instances.load(Ordering::Relaxed).max(1);
-        let all = self.instances.load(Ordering::Relaxed).max(near);
-        let part = if self.is_near(server) {
-            limit * NEAR_CONNECTIONS / near as f64
+        let local = self.local_instances.load(Ordering::Relaxed).max(1);
+        let all = self.instances.load(Ordering::Relaxed).max(local);
+        let share = if self.is_local(server) {
+            limit * LOCAL_CONNECTION_SHARE / local as f64
         } else {
-            limit * (1.0 - NEAR_CONNECTIONS) / all.saturating_sub(near).max(1) as f64
+            limit * (1.0 - LOCAL_CONNECTION_SHARE) / all.saturating_sub(local).max(1) as f64
         };
         Upstream {
             server,
-            max_connections: whole(part).max(MIN_CONNECTIONS),
+            max_connections: floor_to_usize(share).max(MIN_CONNECTIONS),
         }
     }
 }
@@ -346,7 +350,7 @@
 }
 
 /// Tokens that fit on an engine beside the layers that it holds, as published.
-fn published_tokens(server: &BackendServer, model: &ModelShape) -> f64 {
+fn published_cache_tokens(server: &BackendServer, model: &ModelShape) -> f64 {
     let held = server.held.map_or(0, LayerRange::len);
     let kind = server
         .accelerator
@@ -360,6 +364,6 @@
     clippy::cast_sign_loss,
     reason = "a cast of a float saturates, and the share isn't below 0"
 )]
-const fn whole(part: f64) -> usize {
-    part as usize
+const fn floor_to_usize(share: f64) -> usize {
+    share as usize
 }
--- a/crates/rookferry_relay/src/node.rs
+++ b/crates/rookferry_relay/src/node.rs
@@ -166,7 +166,7 @@
         tokio::spawn(sync::sync_config(relay.clone()));
         tokio::spawn(sync::sync_servers(relay.clone()));
         tokio::spawn(quarantine_keeper::keep_quarantine(relay.clone()));
-        tokio::spawn(probe::watch_lost(relay.clone()));
+        tokio::spawn(probe::probe_unresponsive(relay.clone()));
         tokio::spawn(Placement::new(relay.clone(), incarnation).run());
         tokio::spawn(log_dropped_lines(relay.clone()));
         Ok(Self {
--- a/crates/rookferry_relay/src/peers/builder.rs
+++ b/crates/rookferry_relay/src/peers/builder.rs
@@ -104,7 +104,11 @@
             let health = self.relay.states.health();
             (health.told(MAX_UNUSABLE, rotation), health.out_count())
         };
-        let closed = self.relay.states.closed().told(MAX_UNUSABLE, rotation, now);
+        let closed = self
+            .relay
+            .states
+            .refusing()
+            .told(MAX_UNUSABLE, rotation, now);
         let (members, instances, is_joining) = {
             let table = lock(&self.relay.peers);
             let members = table.members(members_offset, MEMBERS_PER_HEARTBEAT, now);
--- a/crates/rookferry_relay/src/peers/fetch.rs
+++ b/crates/rookferry_relay/src/peers/fetch.rs
@@ -106,7 +106,7 @@
         let fetching = FetchGuard::new(&self.servers, version);
         tokio::spawn(async move {
             let _fetching = fetching;
-            if !relay.leaves_store() {
+            if !relay.skips_store() {
                 tokio::time::sleep(OWN_WATCH_GRACE).await;
             }
             if relay.servers_version() < version {
@@ -134,7 +134,7 @@
             let fetching = FetchGuard::new(&self.config, config.version);
             tokio::spawn(async move {
                 let _fetching = fetching;
-                if !relay.leaves_store() {
+                if !relay.skips_store() {
                     tokio::time::sleep(OWN_WATCH_GRACE).await;
                 }
                 transfer::fetch_config(&relay, from).await;
--- a/crates/rookferry_relay/src/peers/handler.rs
+++ b/crates/rookferry_relay/src/peers/handler.rs
@@ -76,12 +76,12 @@
     /// check itself.
     fn record_suspicions(&self, servers: &[ServerKey], beat: &Heartbeat, now: Instant) {
         let rank = self.relay.rank(now);
-        let doubted = self.relay.states.doubted();
+        let suspected = self.relay.states.suspected();
         for server in servers.iter().copied() {
-            let is_asking = self.relay.doubted_use(server, rank).is_asking();
+            let is_asking = self.relay.probe_role(server, rank).is_asking();
             // Logged once while several peers suspect it: a network partition makes each
             // instance of a domain suspect all engines beyond it, thousands of lines.
-            let is_new = doubted.since(server).is_none();
+            let is_new = suspected.since(server).is_none();
             if is_new && let Some(log) = self.relay.events.line(Weight::Routine) {
                 info!(log, "peers: a peer suspects a server"; "event" => "server_doubted",
                     "server" => %server.addr, "source" => &*beat.instance, "asking" => is_asking);
@@ -95,11 +95,11 @@
     /// Counts the instances, and sums the load that peers have in flight.
     pub(super) fn sum_loads(&self, now: Instant) {
         self.count_instances();
-        let (loads, doubted) = {
+        let (loads, suspected) = {
             let peers = lock(&self.relay.peers);
             (peers.loads(now), peers.doubted(now))
         };
-        self.relay.states.hear(loads, doubted);
+        self.relay.states.update_from_peers(loads, suspected);
         self.relay.admission_gate.note_change();
     }
 
@@ -143,7 +143,7 @@
     fn record_departures(&self, beat: &Heartbeat) {
         let mut has_changes = false;
         for seen in &beat.departed {
-            if !self.relay.states.hear_departure(*seen) {
+            if !self.relay.states.record_peer_departure(*seen) {
                 continue;
             }
             has_changes = true;
@@ -166,7 +166,7 @@
     /// Records which servers refused work although they had free capacity.
     fn record_refusals(&self, beat: &Heartbeat, now: Instant) {
         let new: Vec<&ClosedSeen> = {
-            let mut closed = self.relay.states.closed();
+            let mut closed = self.relay.states.refusing();
             let view = self.relay.view.load();
             let refusing = beat.closed.iter();
             let known = refusing.filter(|seen| view.server(seen.server).is_some());
@@ -186,14 +186,14 @@
     /// grow back only with a restart, since a partitioned instance still spends its
     /// share.
     fn count_instances(&self) {
-        let (known, near) = {
+        let (known, local) = {
             let table = lock(&self.relay.peers);
             (table.instances(), table.near_instances())
         };
         self.relay.instances.fetch_max(known, Ordering::Relaxed);
         self.relay
             .local_instances
-            .fetch_max(near, Ordering::Relaxed);
+            .fetch_max(local, Ordering::Relaxed);
     }
 
     /// Applies a peer's instance count, which a starting instance has before its own.
--- a/crates/rookferry_relay/src/placement/lease_keeper.rs
+++ b/crates/rookferry_relay/src/placement/lease_keeper.rs
@@ -133,7 +133,7 @@
             CANDIDATE_READ_INTERVAL
         };
         // Only one instance per domain is a candidate: its store reader.
-        let is_candidate = self.must_reread || !self.relay.leaves_store();
+        let is_candidate = self.must_reread || !self.relay.skips_store();
         let is_due = !self.is_holder()
             && is_candidate
             && !self.relay.is_store_unavailable.load(Ordering::Relaxed)
--- a/crates/rookferry_relay/src/placement/orders.rs
+++ b/crates/rookferry_relay/src/placement/orders.rs
@@ -165,7 +165,7 @@
         };
         let upstream = self.relay.upstream(server.key, service);
         let report = self.report(upstream).await?;
-        if !report.is_from(server) {
+        if !report.is_same_incarnation(server) {
             // The plan was made for the previous process, which held other layers.
             self.relay.other_incarnation_answered(server.key, &report);
             return None;
--- a/crates/rookferry_relay/src/probe.rs
+++ b/crates/rookferry_relay/src/probe.rs
@@ -34,22 +34,22 @@
 /// the engine lost.
 pub(crate) const PROBE_REUSE: Duration = Duration::from_millis(110);
 /// Least time to wait for an answer that has already arrived.
-const LATE_LOOK: Duration = Duration::from_millis(20);
+const MIN_LATE_WAIT: Duration = Duration::from_millis(20);
 /// Factor of the additional wait, relative to how late this process itself noticed that
 /// the answer was due: what delays its timers delays its reads too.
 const LATE_FACTOR: u32 = 2;
 /// Longest additional wait. A lost engine stalls a stream meanwhile.
-const LONGEST_LATE_LOOK: Duration = Duration::from_millis(400);
+const MAX_LATE_WAIT: Duration = Duration::from_millis(400);
 /// Time limit of a probe as a whole, including this process's own delay.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// First interval between probes of an unresponsive server; it doubles.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
+const INITIAL_PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// Longest interval between such probes.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_500);
+const MAX_PROBE_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Most checks in a row of a plain server after a run broke there.
-const MAX_END_CHECKS: usize = 3;
+const MAX_EXIT_CHECKS: usize = 3;
 /// How often the unresponsive servers are scanned.
-const ROUND: Duration = Duration::from_millis(150);
+const SCAN_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Probes an engine; returns whether it answers in time and matches its entry. Marks it
 /// lost if not.
@@ -59,11 +59,11 @@
     }
     let request = relay.protocol.report_call().request(upstream.server.addr);
     let due = clock::now() + PROBE_TIMEOUT;
-    let asked = relay.call(upstream, request, CALL_TIMEOUT);
-    tokio::pin!(asked);
+    let pending = relay.call(upstream, request, CALL_TIMEOUT);
+    tokio::pin!(pending);
     let answer = tokio::select! {
-        answer = &mut asked => answer,
-        () = clock::sleep_until(due) => late(upstream.server.addr, asked, due).await,
+        answer = &mut pending => answer,
+        () = clock::sleep_until(due) => wait_late(upstream.server.addr, pending, due).await,
     };
     match answer {
         Ok(answer) => {
@@ -76,7 +76,7 @@
                 .states
                 .liveness
                 .record_report(upstream.server, report.slowdown, now);
-            let is_listed = is_as_listed(relay, upstream.server, &report);
+            let is_listed = matches_entry(relay, upstream.server, &report);
             if is_listed {
                 relay.states.broken_runs.server_answered(upstream.server);
             }
@@ -137,7 +137,7 @@
 async fn check_plain(relay: &Relay, upstream: Upstream, health_path: &str) {
     let server = upstream.server;
     // The first call may use a connection whose close hasn't been read yet.
-    for _ in 0..MAX_END_CHECKS {
+    for _ in 0..MAX_EXIT_CHECKS {
         let Some(request) = health_request(server.addr, health_path) else {
             return;
         };
@@ -156,12 +156,12 @@
 /// Whether an engine is the incarnation that its entry describes, with its layers; marks
 /// it lost if not. An engine that crashed and came back at its address has no layers, and
 /// its old entry remains for a while.
-fn is_as_listed(relay: &Relay, server: ServerKey, report: &EngineReport) -> bool {
+fn matches_entry(relay: &Relay, server: ServerKey, report: &EngineReport) -> bool {
     let view = relay.view.load();
     let Some(entry) = view.server(server) else {
         return true;
     };
-    if !report.is_from(entry) {
+    if !report.is_same_incarnation(entry) {
         relay.other_incarnation_answered(server, report);
         return false;
     }
@@ -175,13 +175,13 @@
 
 /// Waits a little longer for an answer that was due, but may have arrived while this
 /// process was paused: after a pause its timers fire before the received data is read.
-async fn late(
+async fn wait_late(
     addr: SocketAddr,
-    asked: impl Future<Output = Result<WholeAnswer, UpstreamError>>,
+    pending: impl Future<Output = Result<WholeAnswer, UpstreamError>>,
     due: Instant,
 ) -> Result<WholeAnswer, UpstreamError> {
-    let look = LATE_LOOK + clock::since(due).saturating_mul(LATE_FACTOR);
-    let answer = tokio::time::timeout(look.min(LONGEST_LATE_LOOK), asked).await;
+    let wait = MIN_LATE_WAIT + clock::since(due).saturating_mul(LATE_FACTOR);
+    let answer = tokio::time::timeout(wait.min(MAX_LATE_WAIT), pending).await;
     answer.unwrap_or_else(|_| {
         let message = format!("timed out after {} ms", PROBE_TIMEOUT.as_millis());
         Err(UpstreamError::Lost { addr, message })
@@ -189,28 +189,28 @@
 }
 
 /// Probes unresponsive servers until they answer again.
-pub(crate) async fn watch_lost(relay: Arc<Relay>) {
+pub(crate) async fn probe_unresponsive(relay: Arc<Relay>) {
     let mut due: HashMap<ServerKey, (Instant, Duration)> = HashMap::new();
     loop {
-        tokio::time::sleep(ROUND).await;
+        tokio::time::sleep(SCAN_INTERVAL).await;
         let out = relay.states.health().out();
         due.retain(|server, _| out.contains(server));
         let now = clock::now();
         for server in out {
-            let (at, pause) = due
+            let (at, interval) = due
                 .entry(server)
-                .or_insert((now + FIRST_PAUSE, FIRST_PAUSE));
+                .or_insert((now + INITIAL_PROBE_INTERVAL, INITIAL_PROBE_INTERVAL));
             if *at > now {
                 continue;
             }
-            *pause = (*pause * 2).min(LONGEST_PAUSE);
-            *at = now + *pause;
-            tokio::spawn(probe_lost(relay.clone(), server));
+            *interval = (*interval * 2).min(MAX_PROBE_INTERVAL);
+            *at = now + *interval;
+            tokio::spawn(probe_server(relay.clone(), server));
         }
     }
 }
 
-async fn probe_lost(relay: Arc<Relay>, server: ServerKey) {
+async fn probe_server(relay: Arc<Relay>, server: ServerKey) {
     let view = relay.view.load_full();
     let Some(service) = view.service_of(server) else {
         return;
@@ -227,7 +227,7 @@
     let upstream = relay.upstream(server, service);
     // Any answer shows that it is alive; an overloaded server answers too.
     match relay.call(upstream, request, PROBE_TIMEOUT * 3).await {
-        Ok(answer) if is_engine && is_other(&relay, server, &answer) => {}
+        Ok(answer) if is_engine && contradicts_entry(&relay, server, &answer) => {}
         Ok(_) | Err(UpstreamError::Crossed { .. }) => relay.server_answered(server),
         Err(error) if error.shows_end() => relay.server_ended(server),
         // It stays unresponsive, and is probed again.
@@ -236,9 +236,9 @@
 }
 
 /// Whether an engine's answer contradicts its entry.
-fn is_other(relay: &Relay, server: ServerKey, answer: &WholeAnswer) -> bool {
+fn contradicts_entry(relay: &Relay, server: ServerKey, answer: &WholeAnswer) -> bool {
     let report = read_report(relay, server, answer);
-    report.is_some_and(|report| !is_as_listed(relay, server, &report))
+    report.is_some_and(|report| !matches_entry(relay, server, &report))
 }
 
 /// Parses an engine's report; an invalid one still shows that the engine is alive.
--- a/crates/rookferry_relay/src/protocol.rs
+++ b/crates/rookferry_relay/src/protocol.rs
@@ -94,7 +94,7 @@
     /// Whether the report and `entry` are of the same incarnation; true if either doesn't
     /// state it.
     #[must_use]
-    pub fn is_from(&self, entry: &BackendServer) -> bool {
+    pub fn is_same_incarnation(&self, entry: &BackendServer) -> bool {
         let starts = self.incarnation.zip(entry.incarnation);
         starts.is_none_or(|(reported, listed)| reported == listed)
     }
--- a/crates/rookferry_relay/src/quarantine_keeper.rs
+++ b/crates/rookferry_relay/src/quarantine_keeper.rs
@@ -72,7 +72,7 @@
 impl QuarantineKeeper {
     /// Reads the next change from the store, or pauses; returns whether it was read.
     async fn read_next(&mut self) -> bool {
-        if self.relay.leaves_store() || self.relay.is_store_unavailable.load(Ordering::Relaxed) {
+        if self.relay.skips_store() || self.relay.is_store_unavailable.load(Ordering::Relaxed) {
             let pause = if self.relay.awaits_peers() {
                 START_PAUSE
             } else {
--- a/crates/rookferry_relay/src/readiness.rs
+++ b/crates/rookferry_relay/src/readiness.rs
@@ -23,7 +23,7 @@
 
     /// Whether this instance has just started, and may know the site within moments.
     pub(crate) fn is_starting(&self) -> bool {
-        !self.knows_site() && self.start_line().is_starting(self.age())
+        !self.knows_site() && self.start_queue().is_starting(self.age())
     }
 
     /// Whether configuration and servers are known and recent enough to serve by.
@@ -35,8 +35,8 @@
     /// The refusal for requests that can't be served while the site isn't known.
     pub(crate) fn unknown_site_refusal(&self) -> Refusal {
         if self.is_starting() {
-            let line = self.start_line();
-            return Refusal::Starting(line.come_back_after(self.age(), rand::random()));
+            let queue = self.start_queue();
+            return Refusal::Starting(queue.come_back_after(self.age(), rand::random()));
         }
         // Live peers would have passed on a newer confirmation.
         if lock(&self.peers).hears_any(clock::now()) {
@@ -91,7 +91,7 @@
     /// Whether this instance has just started and its peers have not yet sent their
     /// state, or have sent a recent one. It reads the store itself if they don't.
     pub(crate) fn awaits_peers(&self) -> bool {
-        if self.age() >= self.start_line().first_read_after() {
+        if self.age() >= self.start_queue().first_read_after() {
             return false;
         }
         let fresh = self.settings.bounds.propagation_budget().rely();
@@ -99,7 +99,7 @@
     }
 
     /// This instance's place in the queue at its start.
-    fn start_line(&self) -> StartLine {
+    fn start_queue(&self) -> StartLine {
         let peers = lock(&self.peers);
         StartLine {
             is_first_start: self.settings.is_first_start,
@@ -112,11 +112,11 @@
     /// The longest time that a request waits while this instance starts; `None` if it is
     /// refused at once.
     pub(crate) fn start_wait(&self) -> Option<Duration> {
-        self.start_line().wait(self.age())
+        self.start_queue().wait(self.age())
     }
 
     /// Whether the store isn't read, because peers provide its content.
-    pub(crate) fn leaves_store(&self) -> bool {
+    pub(crate) fn skips_store(&self) -> bool {
         self.relies_on_peers() || self.awaits_peers()
     }
 
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -268,7 +268,7 @@
         self.log_servers(&servers, source);
         lock(&self.list_history).put(servers.version(), servers.listed());
         self.states
-            .adopt(self.view.load().servers.as_deref(), &servers);
+            .apply_list(self.view.load().servers.as_deref(), &servers);
         self.update_view(|view| SiteView {
             index: view.index.clone(),
             servers: Some(servers.clone()),
@@ -288,7 +288,7 @@
             let departed = servers.departed_since(before.servers.as_deref(), MAX_DEPARTED_LOGGED);
             info!(log, "directory: a list of servers is active"; "event" => "servers_adopted",
                 "version" => %servers.version(), "source" => source, "servers" => servers.all().len(),
-                "leaving" => departed.leaving.join(","), "gone" => departed.gone.join(","));
+                "leaving" => departed.leaving.join(","), "gone" => departed.removed.join(","));
         }
     }
 
--- a/crates/rookferry_relay/src/server_states.rs
+++ b/crates/rookferry_relay/src/server_states.rs
@@ -39,9 +39,9 @@
     /// Results of requests, by server.
     health: Mutex<ServerHealth>,
     /// Servers that accept no new work although their load was low.
-    closed: Mutex<ClosedServers>,
+    refusing: Mutex<ClosedServers>,
     /// Servers that peers of the failure domain suspect.
-    doubted: ArcSwap<DoubtedServers>,
+    suspected: ArcSwap<DoubtedServers>,
     /// Backoffs that servers requested from this instance.
     backoffs: ArcSwap<Backoffs<ServerKey>>,
     /// Servers that are leaving.
@@ -63,8 +63,8 @@
     pub(crate) fn new(chance: f64) -> Self {
         Self {
             health: Mutex::new(ServerHealth::new()),
-            closed: Mutex::new(ClosedServers::new(chance)),
-            doubted: ArcSwap::default(),
+            refusing: Mutex::new(ClosedServers::new(chance)),
+            suspected: ArcSwap::default(),
             backoffs: ArcSwap::default(),
             departed: ArcSwap::default(),
             limits: ArcSwap::default(),
@@ -79,12 +79,12 @@
         lock(&self.health)
     }
 
-    pub(crate) fn closed(&self) -> MutexGuard<'_, ClosedServers> {
-        lock(&self.closed)
+    pub(crate) fn refusing(&self) -> MutexGuard<'_, ClosedServers> {
+        lock(&self.refusing)
     }
 
-    pub(crate) fn doubted(&self) -> Arc<DoubtedServers> {
-        self.doubted.load_full()
+    pub(crate) fn suspected(&self) -> Arc<DoubtedServers> {
+        self.suspected.load_full()
     }
 
     /// The backoffs that servers requested.
@@ -98,9 +98,9 @@
     }
 
     /// Records a backoff that a server requested; returns its length.
-    pub(crate) fn back_off(&self, server: ServerKey, asked: Duration) -> Duration {
+    pub(crate) fn back_off(&self, server: ServerKey, requested: Duration) -> Duration {
         update(&self.backoffs, |backoffs| {
-            backoffs.back_off(server, asked, clock::now())
+            backoffs.back_off(server, requested, clock::now())
         })
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Records a departure that a peer reports. Returns whether that is new.
-    pub(crate) fn hear_departure(&self, seen: DepartureSeen) -> bool {
+    pub(crate) fn record_peer_departure(&self, seen: DepartureSeen) -> bool {
         // Every heartbeat repeats it.
         !self.departed.load().knows(seen.server, seen.departure)
             && update(&self.departed, |departed| departed.hear(seen, clock::now()))
@@ -147,31 +147,35 @@
     }
 
     /// Replaces the peers' summed loads and their suspicions.
-    pub(crate) fn hear(&self, loads: BTreeMap<ServerKey, ServerLoad>, doubted: DoubtedServers) {
+    pub(crate) fn update_from_peers(
+        &self,
+        loads: BTreeMap<ServerKey, ServerLoad>,
+        suspected: DoubtedServers,
+    ) {
         self.peer_loads.store(Arc::new(loads));
-        self.doubted.store(Arc::new(doubted));
+        self.suspected.store(Arc::new(suspected));
     }
 
     /// Follows a changed server list: discards refusals of servers whose entries have
     /// changed, and all state of servers that aren't in it.
-    pub(crate) fn adopt(&self, before: Option<&ServerTable>, servers: &ServerTable) {
-        let mut closed = self.closed();
+    pub(crate) fn apply_list(&self, before: Option<&ServerTable>, servers: &ServerTable) {
+        let mut refusing = self.refusing();
         for server in servers.all() {
             let known = before.and_then(|before| before.get(server.key));
             if !known.is_some_and(|known| known.says_the_same(server)) {
-                closed.changed(server.key);
+                refusing.changed(server.key);
             }
         }
         let is_known = |server| servers.get(server).is_some();
-        closed.retain(is_known);
-        drop(closed);
+        refusing.retain(is_known);
+        drop(refusing);
         self.health().retain(is_known);
         self.liveness.retain(is_known);
         if !self.backoffs.load().is_empty() {
             update(&self.backoffs, |backoffs| backoffs.expire(clock::now()));
         }
         update(&self.departed, |departed| {
-            note_departures(departed, before, servers);
+            record_departures(departed, before, servers);
         });
         if !self.limits.load().is_unknown() {
             self.update_limits(|limits| limits.retain(clock::now(), is_known));
@@ -180,7 +184,7 @@
 }
 
 /// Records the departures that follow from a new list.
-fn note_departures(
+fn record_departures(
     departed: &mut DepartedServers,
     before: Option<&ServerTable>,
     servers: &ServerTable,
--- a/crates/rookferry_relay/src/sync/config.rs
+++ b/crates/rookferry_relay/src/sync/config.rs
@@ -30,7 +30,7 @@
     let mut stored = StoredConfig::default();
     let mut outage = Outage::none("store: configuration");
     loop {
-        if relay.leaves_store() {
+        if relay.skips_store() {
             // The result of an earlier call is meaningless by the time of the next one.
             relay.is_store_unavailable.store(false, Ordering::Relaxed);
             tokio::time::sleep(poll_interval(&relay)).await;
--- a/crates/rookferry_relay/src/sync/servers.rs
+++ b/crates/rookferry_relay/src/sync/servers.rs
@@ -326,7 +326,7 @@
     is_outage: bool,
 ) -> Result<ListUpdate, StoreError> {
     loop {
-        if !relay.leaves_store() {
+        if !relay.skips_store() {
             if !relay.is_store_unavailable.load(Ordering::Relaxed) {
                 break;
             }
--- a/crates/rookferry_relay/src/view.rs
+++ b/crates/rookferry_relay/src/view.rs
@@ -71,7 +71,7 @@
     /// Their entries say that they are leaving.
     pub(crate) leaving: Vec<EngineId>,
     /// They aren't in use any more.
-    pub(crate) gone: Vec<EngineId>,
+    pub(crate) removed: Vec<EngineId>,
 }
 
 /// The backend servers, indexed by service, address and name.
@@ -160,19 +160,19 @@
     }
 
     /// The names of servers that the former table had in use and that are leaving in this
-    /// one or missing from it; at most `most` of each.
-    pub(crate) fn departed_since(&self, before: Option<&Self>, most: usize) -> Departed {
+    /// one or missing from it; at most `limit` of each.
+    pub(crate) fn departed_since(&self, before: Option<&Self>, limit: usize) -> Departed {
         let before = before.map_or(&[][..], |before| before.all());
         let used = before.iter().filter(|server| !server.is_leaving);
         let now = |server: &&BackendServer| self.get(server.key);
         let leaves = |server: &&BackendServer| now(server).is_some_and(|now| now.is_leaving);
         let name = |server: &BackendServer| server.id.clone();
         Departed {
-            leaving: used.clone().filter(leaves).take(most).map(name).collect(),
-            gone: before
+            leaving: used.clone().filter(leaves).take(limit).map(name).collect(),
+            removed: before
                 .iter()
                 .filter(|server| now(server).is_none())
-                .take(most)
+                .take(limit)
                 .map(name)
                 .collect(),
         }
