--- a/crates/rookferry_relay/src/lib.rs
+++ b/crates/rookferry_relay/src/lib.rs
@@ -33,7 +33,7 @@
 mod probe;
 mod protocol;
 mod quarantine;
-mod quarantine_keeper;
+mod quarantine_sync;
 mod readiness;
 mod refusal;
 mod relay;
--- a/crates/rookferry_relay/src/node.rs
+++ b/crates/rookferry_relay/src/node.rs
@@ -44,7 +44,7 @@
 use crate::placement::Placement;
 use crate::probe;
 use crate::protocol::ServerProtocol;
-use crate::quarantine_keeper;
+use crate::quarantine_sync;
 use crate::relay::Relay;
 use crate::settings::RelaySettings;
 use crate::store::SiteStore;
@@ -165,7 +165,7 @@
         tokio::spawn(serve_peers(relay.clone(), listener));
         tokio::spawn(sync::sync_config(relay.clone()));
         tokio::spawn(sync::sync_servers(relay.clone()));
-        tokio::spawn(quarantine_keeper::keep_quarantine(relay.clone()));
+        tokio::spawn(quarantine_sync::sync_quarantine(relay.clone()));
         tokio::spawn(probe::probe_unresponsive(relay.clone()));
         tokio::spawn(Placement::new(relay.clone(), incarnation).run());
         tokio::spawn(log_dropped_lines(relay.clone()));
--- a/crates/rookferry_relay/src/quarantine_keeper.rs
+++ b/crates/rookferry_relay/src/quarantine_sync.rs
@@ -31,24 +31,24 @@
 /// watch.
 const START_PAUSE: Duration = Duration::from_millis(50);
 /// Most write attempts against concurrent writes.
-const MAX_WRITES: usize = 4;
+const MAX_WRITE_ATTEMPTS: usize = 4;
 
 /// Synchronises the quarantined requests until the process exits.
-pub(crate) async fn keep_quarantine(relay: Arc<Relay>) {
-    let mut keeper = QuarantineKeeper {
+pub(crate) async fn sync_quarantine(relay: Arc<Relay>) {
+    let mut syncer = QuarantineSyncer {
         relay: relay.clone(),
         stored: Stored::default(),
     };
     loop {
-        let may_lack = tokio::select! {
+        let may_differ = tokio::select! {
             () = relay.quarantine.to_store.notified() => true,
             // Otherwise starting instances would read a released request from the store
             // and every instance would quarantine it again.
-            () = relay.quarantine.released.notified() => keeper.stores_cleared(),
-            has_read = keeper.read_next() => has_read,
+            () = relay.quarantine.released.notified() => syncer.stores_cleared(),
+            has_read = syncer.read_next() => has_read,
         };
-        if may_lack {
-            keeper.write_missing().await;
+        if may_differ {
+            syncer.write_missing().await;
         }
     }
 }
@@ -64,12 +64,12 @@
     quarantine: QuarantineObject,
 }
 
-struct QuarantineKeeper {
+struct QuarantineSyncer {
     relay: Arc<Relay>,
     stored: Stored,
 }
 
-impl QuarantineKeeper {
+impl QuarantineSyncer {
     /// Reads the next change from the store, or pauses; returns whether it was read.
     async fn read_next(&mut self) -> bool {
         if self.relay.skips_store() || self.relay.is_store_unavailable.load(Ordering::Relaxed) {
@@ -89,7 +89,7 @@
             Ok(Versioned { version, value, .. }) => {
                 self.stored.after = Some(version);
                 if let Some(object) = value {
-                    self.take(&object);
+                    self.apply(&object);
                 }
                 return true;
             }
@@ -117,17 +117,17 @@
             quarantine: QuarantineObject::default(),
         };
         if let Some(object) = value {
-            self.take(&object);
+            self.apply(&object);
         }
         true
     }
 
     /// Applies an object of the era that was last read.
-    fn take(&mut self, object: &Object) {
+    fn apply(&mut self, object: &Object) {
         let quarantine = match serde_json::from_value(object.value.clone()) {
             Ok(quarantine) => quarantine,
             Err(error) => {
-                self.note_unreadable(&error);
+                self.log_unreadable(&error);
                 QuarantineObject::default()
             }
         };
@@ -140,7 +140,7 @@
         }
     }
 
-    fn note_unreadable(&self, error: &serde_json::Error) {
+    fn log_unreadable(&self, error: &serde_json::Error) {
         if let Some(log) = self.relay.events.line(Weight::Notable) {
             warn!(log, "quarantine: the store's object can't be parsed";
                 "event" => "object_unreadable", "kind" => "quarantine", "cause" => %error);
@@ -157,7 +157,7 @@
 
     /// Writes quarantined requests that the store lacks, and removes released ones.
     async fn write_missing(&mut self) {
-        for _ in 0..MAX_WRITES {
+        for _ in 0..MAX_WRITE_ATTEMPTS {
             let Some(quarantine) = self.missing() else {
                 return;
             };
@@ -171,7 +171,7 @@
                 }
                 Err(StoreError::Conflict {
                     current: Some(current),
-                }) => self.take(&current),
+                }) => self.apply(&current),
                 // The write may have replaced an object that wasn't read.
                 Err(StoreError::Outdated) => {
                     self.read_anew().await;
@@ -203,8 +203,8 @@
         let is_cleared = |signature| quarantine.is_cleared(signature);
         let stored = self.stored.quarantine.without(is_cleared);
         let wanted = stored.with(held, unix_now);
-        let is_news = signatures(&wanted) != signatures(&self.stored.quarantine);
-        is_news.then_some(wanted)
+        let is_changed = signatures(&wanted) != signatures(&self.stored.quarantine);
+        is_changed.then_some(wanted)
     }
 }
 
