--- a/crates/rookferry_relay/src/liveness.rs
+++ b/crates/rookferry_relay/src/liveness.rs
@@ -91,8 +91,8 @@
         report.map_or(Duration::MAX, |(_, age)| age)
     }
 
-    /// Whether a server should be probed now: not while the answer to a probe for another
-    /// stream, sent at most `pause` ago, may still come.
+    /// Records the start of a probe and returns true, unless the answer to a probe for
+    /// another stream, started less than `pause` ago, may still come.
     pub(crate) fn begin_probe(&self, server: ServerKey, pause: Duration, now: Instant) -> bool {
         self.with_entry(server, |evidence| {
             let is_in_flight = evidence
--- a/crates/rookferry_relay/src/peers/handler.rs
+++ b/crates/rookferry_relay/src/peers/handler.rs
@@ -21,7 +21,7 @@
 use crate::relay::Relay;
 
 /// Upper limit on an instance count that a peer reports: several times the largest site,
-/// so that a corrupted count cannot use up all budgets.
+/// so that a corrupted count cannot shrink all budgets to nothing.
 const MAX_REPORTED_INSTANCES: usize = 4_096;
 
 /// Applies received heartbeats.
