--- a/crates/rookferry_relay/src/engines.rs
+++ b/crates/rookferry_relay/src/engines.rs
@@ -1,5 +1,8 @@
-//! Backend servers as paths and connections need them: what they can take,
-//! what is under way at them, and what this instance may use of them.
+//! Backend servers as routing and connections need them: their capacity, the load in
+//! flight, and this instance's share of their connections.
+//!
+//! Inputs are the server table, the server states and the peers' loads; the results are
+//! the candidates that paths are planned with.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,58 +37,59 @@
 use crate::upstream::Upstream;
 use crate::view::ServerTable;
 
-/// The part of a server's connections that instances of its own failure
-/// domain share; the others share the rest.
-const NEAR_CONNECTIONS: f64 = 0.6;
-/// Connections that an instance may open to a server at the least.
+/// The share of a server's connections that instances of its own failure domain divide
+/// among themselves; the other instances divide the rest.
+const LOCAL_CONNECTION_SHARE: f64 = 0.6;
+/// Least connections that an instance may open to a server.
 const MIN_CONNECTIONS: usize = 3;
 
-/// Time from an instance's start until it has heard what others have under
-/// way: speakers begin after 0.4 s and tell it each 0.3 s.
-const HEARD_AFTER: Duration = Duration::from_secs(1);
+/// Age from which an instance knows its peers' loads: representatives begin after 0.4 s
+/// and send them every 0.3 s.
+const PEER_LOADS_KNOWN_AFTER: Duration = Duration::from_secs(1);
 
-/// What is known of a stage of a path in use.
+/// State of a stage of a path in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StageState {
     /// It holds its layers, and nothing speaks against it.
     Usable,
-    /// It goes, or gives the layers up, and serves what it has until then.
+    /// It is leaving or unloading the layers, and serves running requests until then.
     Leaving,
-    /// It doesn't answer, or is gone.
+    /// It doesn't answer, has restarted or was removed.
     Lost,
 }
 
 impl Relay {
-    /// An engine refused a request: it has no room, or takes no new work. Tells
-    /// whether it has room by what is known.
+    /// Records that an engine refused a request, for lack of free cache or because it
+    /// accepts no new work. Returns whether it has free cache by what is known, so that
+    /// it now counts as refusing.
     pub(crate) fn engine_refused(&self, server: ServerKey, model: &ModelShape) -> bool {
         let now = clock::now();
         let used_tokens = self.load_of(server).tokens;
         let view = self.view.load();
         let entry = view.server(server);
-        let room_tokens = entry.map_or(0.0, |entry| published_tokens(entry, model));
-        let (was_closed, is_closed) = {
-            let mut closed = self.beliefs.closed();
-            let was_closed = closed.is_refusing(server, now);
+        let room_tokens = entry.map_or(0.0, |entry| published_cache_tokens(entry, model));
+        let (was_refusing, is_closed) = {
+            let mut refusing = self.states.refusing();
+            let was_refusing = refusing.is_refusing(server, now);
             (
-                was_closed,
-                closed.refused(server, used_tokens, room_tokens, now),
+                was_refusing,
+                refusing.refused(server, used_tokens, room_tokens, now),
             )
         };
         if !is_closed {
-            self.beliefs
+            self.states
                 .health()
                 .refused_for_capacity(server, used_tokens, now);
-        } else if !was_closed && let Some(log) = self.events.line(Weight::Notable) {
-            warn!(log, "health: a server takes no new work"; "event" => "server_closed",
+        } else if !was_refusing && let Some(log) = self.events.line(Weight::Notable) {
+            warn!(log, "health: a server refuses new work"; "event" => "server_closed",
                 "server" => %server.addr, "source" => "own", "used_tokens" => used_tokens,
                 "room_tokens" => room_tokens);
         }
         is_closed
     }
 
-    /// The engine that is meant where only an address is named: the start that
-    /// the path goes through, else the one in use there.
+    /// The engine that is meant where only an address is given: the incarnation that the
+    /// path uses, else the one in use at the address.
     pub(crate) fn engine_at(&self, addr: SocketAddr, path: &PipelinePath) -> Option<ServerKey> {
         let mut stages = path.stages().iter();
         let stage = stages.find(|stage| stage.addr() == addr);
@@ -94,11 +98,11 @@
             .or_else(|| self.view.load().server_at(addr))
     }
 
-    /// Engines began a request's work.
+    /// Records that engines accepted a request's work.
     pub(crate) fn engines_accepted(&self, stages: &[PathStage], now: Instant) {
-        let mut closed = self.beliefs.closed();
+        let mut refusing = self.states.refusing();
         for stage in stages {
-            closed.accepted(stage.server, now);
+            refusing.accepted(stage.server, now);
         }
     }
 
@@ -113,8 +117,8 @@
         self.pipeline_engines_at(clock::now(), table, service, model, urgency)
     }
 
-    /// The engines that may be a stage at a time, by when some backoffs will be over
-    /// and some permits may be asked for again.
+    /// The engines that may be a stage at time `at`, when some backoffs will have ended
+    /// and some permits can be requested again.
     pub(crate) fn pipeline_engines_at(
         &self,
         at: Instant,
@@ -126,15 +130,15 @@
         let now = clock::now();
         let filter = self.server_filter(urgency);
         let health = &filter.health;
-        let closed = self.beliefs.closed();
-        let doubted = self.beliefs.doubted();
+        let refusing = self.states.refusing();
+        let suspected = self.states.suspected();
         let usable = table
             .of(&service.name)
-            .filter(|server| filter.takes(server, at));
+            .filter(|server| filter.accepts(server, at));
         let engines = usable.filter_map(|server| {
             let mut engine = self.pipeline_engine(server, model, health, now)?;
-            engine.is_refusing =
-                closed.is_refusing(server.key, now) || self.is_doubted(&doubted, server.key, now);
+            engine.is_refusing = refusing.is_refusing(server.key, now)
+                || self.is_suspected(&suspected, server.key, now);
             if health.is_full(server.key, now) {
                 engine.used_tokens = engine.cache_tokens;
             }
@@ -143,60 +147,61 @@
         engines.collect()
     }
 
-    /// When servers of a service that take nothing now may take requests again: the
-    /// ends of backoffs, and when permits may be asked for; the earliest first.
+    /// When servers of a service that accept nothing now may accept requests again: the
+    /// ends of backoffs, and the times at which permits can be requested; the earliest
+    /// first.
     ///
-    /// Moments, as a wait counted from another moment than the one it was taken at
-    /// ends microseconds early, when the server is still backed off from.
-    pub(crate) fn wait_ends(
+    /// These are points in time, because a duration that is counted from another time
+    /// than the one it was computed at ends microseconds early, when the server is still
+    /// backed off from.
+    pub(crate) fn retry_times(
         &self,
         table: &ServerTable,
         service: &ServingService,
         urgency: Urgency,
         now: Instant,
-    ) -> WaitEnds {
-        let backoffs = self.beliefs.backoffs();
+    ) -> RetryTimes {
+        let backoffs = self.states.backoffs();
         let book = self.permits.tracker();
-        let mut wait = WaitEnds::default();
+        let mut wait = RetryTimes::default();
         for server in table.of(&service.name) {
-            wait.ends.extend(backoffs.until(server.key, now));
+            wait.times.extend(backoffs.until(server.key, now));
             let Some(until) = book.refused_until(server.key, urgency, now) else {
                 continue;
             };
-            wait.ends.push(until);
+            wait.times.push(until);
             let spread = book.spread(server.key);
             wait.spread = Some(wait.spread.map_or(spread, |known| known.min(spread)));
         }
-        wait.ends.sort_unstable();
+        wait.times.sort_unstable();
         wait
     }
 
-    /// What tells whether servers take a request of some urgency.
+    /// A filter for the servers that may get a request of some urgency.
     pub(crate) fn server_filter(&self, urgency: Urgency) -> ServerFilter<'_> {
         ServerFilter {
-            health: self.beliefs.health(),
-            backoffs: self.beliefs.backoffs(),
-            departed: self.beliefs.departed(),
+            health: self.states.health(),
+            backoffs: self.states.backoffs(),
+            departed: self.states.departed(),
             book: self.permits.tracker(),
             urgency,
         }
     }
 
-    /// Whether others have trouble with a server that has shown nothing since.
-    fn is_doubted(&self, doubted: &SuspectedServers, server: ServerKey, now: Instant) -> bool {
-        // A sign is looked up under a lock, and few servers are doubted.
-        if doubted.since(server).is_none() {
+    /// Whether peers suspect a server that has given no liveness evidence since.
+    fn is_suspected(&self, suspected: &SuspectedServers, server: ServerKey, now: Instant) -> bool {
+        // Liveness lookups take a lock, and few servers are suspected.
+        if suspected.since(server).is_none() {
             return false;
         }
-        let sign_at = now.checked_sub(self.beliefs.signs.of(server).age(now));
-        doubted.is_excluded(server, sign_at)
+        let seen_at = now.checked_sub(self.states.liveness.last_seen(server).age(now));
+        suspected.is_excluded(server, seen_at)
     }
 
-    /// What this instance, behind `rank` others, has to do with a server that
-    /// others doubt.
-    pub(crate) fn doubted_use(&self, server: ServerKey, rank: usize) -> ProbeRole {
+    /// What this instance, of the given rank, uses a suspected server for.
+    pub(crate) fn probe_role(&self, server: ServerKey, rank: usize) -> ProbeRole {
         ProbeRole {
-            has_requests: self.beliefs.loads.of(server).requests > 0,
+            has_requests: self.states.loads.of(server).requests > 0,
             plans_layers: self.holds_lease.load(Ordering::Relaxed),
             rank,
         }
@@ -219,36 +224,42 @@
             server: server.key,
             domain: server.domain.clone(),
             held,
-            layer_step_ms: model.layer_step_ms(kind) * self.beliefs.signs.slowdown(server.key, now),
-            cache_tokens: health.capacity_tokens(server.key, published_tokens(server, model), now),
+            layer_step_ms: model.layer_step_ms(kind)
+                * self.states.liveness.slowdown(server.key, now),
+            cache_tokens: health.capacity_tokens(
+                server.key,
+                published_cache_tokens(server, model),
+                now,
+            ),
             used_tokens: self.load_of(server.key).tokens,
             is_refusing: false,
         })
     }
 
-    /// What is under way at a server by this instance and those it hears.
+    /// The load in flight at a server, from this instance and the peers it receives from.
     ///
-    /// Instances that start together don't hear each other yet, and each sees
-    /// all the room for itself, so that engines are overfilled after a loss of
-    /// power. Meanwhile the others count as if each had as much under way as this one.
+    /// Instances that start together don't receive each other's loads yet, so each would
+    /// use all the free cache, and engines were overfilled after a power loss. Until the
+    /// loads are known, every sharing instance is assumed to have as much in flight as
+    /// this one.
     pub(crate) fn load_of(&self, server: ServerKey) -> ServerLoad {
-        let own = self.beliefs.loads.of(server);
+        let own = self.states.loads.of(server);
         let mut load = own;
-        load += self.beliefs.peer_load(server);
-        if self.age() >= HEARD_AFTER {
+        load += self.states.peer_load(server);
+        if self.age() >= PEER_LOADS_KNOWN_AFTER {
             return load;
         }
-        let alike = own.times(self.sharers(server));
+        let assumed = own.times(self.instances_sharing(server));
         ServerLoad {
-            requests: load.requests.max(alike.requests),
-            tokens: load.tokens.max(alike.tokens),
+            requests: load.requests.max(assumed.requests),
+            tokens: load.tokens.max(assumed.tokens),
         }
     }
 
-    /// How many instances may have requests under way at a server.
-    fn sharers(&self, server: ServerKey) -> usize {
-        let known = if self.is_near(server) {
-            &self.near_instances
+    /// How many instances may have requests in flight at a server.
+    fn instances_sharing(&self, server: ServerKey) -> usize {
+        let known = if self.is_local(server) {
+            &self.local_instances
         } else {
             &self.instances
         };
@@ -256,49 +267,49 @@
     }
 
     /// Whether a server is in this instance's failure domain.
-    fn is_near(&self, server: ServerKey) -> bool {
+    fn is_local(&self, server: ServerKey) -> bool {
         let view = self.view.load();
         let entry = view.server(server);
         entry.is_some_and(|entry| entry.domain == self.settings.domain)
     }
 
-    /// What is known of a stage of a path in use.
+    /// State of a stage of a path in use.
     pub(crate) fn stage_state(&self, table: &ServerTable, stage: &PathStage) -> StageState {
-        if self.beliefs.health().is_unresponsive(stage.server) {
+        if self.states.health().is_unresponsive(stage.server) {
             return StageState::Lost;
         }
-        // One that has started again has nothing of the request.
+        // A restarted engine has no state of the request.
         let Some(server) = table.get(stage.server) else {
             return StageState::Lost;
         };
         let holds_layers = server.held.is_some_and(|held| held.covers(stage.layers));
-        // Layers that are given up still serve what is passing through.
-        if self.beliefs.is_leaving(server) || !holds_layers {
+        // Layers that are being unloaded still serve running requests.
+        if self.states.is_leaving(server) || !holds_layers {
             return StageState::Leaving;
         }
         StageState::Usable
     }
 
-    /// A server with this instance's part of its connections. Most requests
-    /// stay in their failure domain, so its instances have the larger part.
+    /// A server with this instance's share of its connections. Most requests stay in
+    /// their failure domain, so its instances have the larger share.
     pub(crate) fn upstream(&self, server: ServerKey, service: &ServingService) -> Upstream {
         let limit = f64::from(service.max_connections);
-        let near = self.near_instances.load(Ordering::Relaxed).max(1);
-        let all = self.instances.load(Ordering::Relaxed).max(near);
-        let part = if self.is_near(server) {
-            limit * NEAR_CONNECTIONS / near as f64
+        let local = self.local_instances.load(Ordering::Relaxed).max(1);
+        let all = self.instances.load(Ordering::Relaxed).max(local);
+        let share = if self.is_local(server) {
+            limit * LOCAL_CONNECTION_SHARE / local as f64
         } else {
-            limit * (1.0 - NEAR_CONNECTIONS) / all.saturating_sub(near).max(1) as f64
+            limit * (1.0 - LOCAL_CONNECTION_SHARE) / all.saturating_sub(local).max(1) as f64
         };
         Upstream {
             server,
-            max_connections: whole(part).max(MIN_CONNECTIONS),
+            max_connections: floor_to_usize(share).max(MIN_CONNECTIONS),
         }
     }
 }
 
-/// Which servers may be sent a new request, by their entries, by what requests met
-/// there, by their own word, and by the permits that were refused.
+/// Decides which servers may get a new request, by their entries, the results of earlier
+/// requests, their announced departures and the refused permits.
 pub(crate) struct ServerFilter<'a> {
     pub(crate) health: MutexGuard<'a, ServerHealth>,
     backoffs: Guard<Arc<Backoffs<ServerKey>>>,
@@ -308,8 +319,8 @@
 }
 
 impl ServerFilter<'_> {
-    /// Whether a server may be sent a request at a time.
-    pub(crate) fn takes(&self, server: &BackendServer, at: Instant) -> bool {
+    /// Whether a server may get a request at a time.
+    pub(crate) fn accepts(&self, server: &BackendServer, at: Instant) -> bool {
         let refused = self.book.refused_until(server.key, self.urgency, at);
         !server.is_leaving
             && !self.health.is_unresponsive(server.key)
@@ -319,21 +330,21 @@
     }
 }
 
-/// When there may be a server again where there is none.
+/// When a server may be available again where none is.
 #[derive(Debug, Default)]
-pub(crate) struct WaitEnds {
-    /// The moments to look at, the earliest first.
-    pub(crate) ends: Vec<Instant>,
-    /// Where it is for want of permits, the time over which callers come back.
+pub(crate) struct RetryTimes {
+    /// The times at which to check again, the earliest first.
+    pub(crate) times: Vec<Instant>,
+    /// If permits were refused, the time over which callers' retries are spread.
     spread: Option<Duration>,
 }
 
-impl WaitEnds {
-    /// What a caller is told where a server takes requests from a moment on.
+impl RetryTimes {
+    /// The refusal for a caller where a server accepts requests from `end` on.
     pub(crate) fn refusal(&self, end: Instant, now: Instant) -> Refusal {
         let left = end.saturating_duration_since(now);
         match self.spread {
-            // Told the same moment, all that were refused would come back at once.
+            // With the same time for all, every refused caller would come back at once.
             Some(spread) => Refusal::AtLimit(left + spread.mul_f64(rand::random())),
             None => Refusal::BackedOff(left),
         }
@@ -341,7 +352,7 @@
 }
 
 /// Tokens that fit on an engine beside the layers that it holds, as published.
-fn published_tokens(server: &BackendServer, model: &ModelShape) -> f64 {
+fn published_cache_tokens(server: &BackendServer, model: &ModelShape) -> f64 {
     let held = server.held.map_or(0, LayerRange::len);
     let kind = server
         .accelerator
@@ -353,8 +364,8 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a cast of a float saturates, and the part isn't below 0"
+    reason = "a cast of a float saturates, and the share isn't below 0"
 )]
-const fn whole(part: f64) -> usize {
-    part as usize
+const fn floor_to_usize(share: f64) -> usize {
+    share as usize
 }
--- a/crates/rookferry_relay/src/exchange.rs
+++ b/crates/rookferry_relay/src/exchange.rs
@@ -92,14 +92,14 @@
 
     /// Fails if a backoff holds for the server or a permit is missing.
     fn check_sendable(&self, server: ServerKey, purpose: Purpose<'_>) -> Result<(), UpstreamError> {
-        if let Some(left) = self.beliefs.backoff_left(server) {
+        if let Some(left) = self.states.backoff_left(server) {
             let addr = server.addr;
             return Err(UpstreamError::BackedOff { addr, left });
         }
         let Purpose::CallerRequest(permits) = purpose else {
             return Ok(());
         };
-        let missing = permits.missing_permit(&self.beliefs.limits(), clock::now());
+        let missing = permits.missing_permit(&self.states.limits(), clock::now());
         match missing {
             Some(limited) => Err(UpstreamError::NotPermitted { addr: limited.addr }),
             None => Ok(()),
@@ -196,12 +196,12 @@
         let now = clock::now();
         let change = match (limit, purpose) {
             (LimitNotice::Named(rate), _) => self
-                .beliefs
+                .states
                 .update_limits(|limits| limits.record_limit(server, rate, now)),
             (LimitNotice::None, Purpose::CallerRequest(_))
-                if self.beliefs.limits().of(server).is_some() =>
+                if self.states.limits().of(server).is_some() =>
             {
-                self.beliefs
+                self.states
                     .update_limits(|limits| limits.record_unlimited(server, sent_at, now))
             }
             _ => None,
@@ -213,7 +213,7 @@
 
     /// Starts a backoff that a server asked this instance for.
     pub(crate) fn back_off(&self, server: ServerKey, asked: Duration) {
-        let applied = self.beliefs.back_off(server, asked);
+        let applied = self.states.back_off(server, asked);
         counter!("rookferry_server_backoffs_total").increment(1);
         if let Some(log) = self.events.line(Weight::Notable) {
             info!(log, "health: a server asked for a backoff";
@@ -225,7 +225,7 @@
     /// Records that a server stated it is leaving. Its directory entry shows that
     /// later or never.
     fn record_leaving(&self, server: ServerKey) {
-        if !self.beliefs.note_leaving(server) {
+        if !self.states.record_leaving(server) {
             return;
         }
         let view = self.view.load();
@@ -235,8 +235,8 @@
                 "server" => entry.map(|entry| entry.id.to_string()),
                 "addr" => %server.addr, "source" => "own");
         }
-        self.note_fleet_change();
-        self.versions.send_modify(|changes| *changes += 1);
+        self.signal_fleet_change();
+        self.urgent_changes.send_modify(|changes| *changes += 1);
     }
 
     /// Logs a header about the server that can't be parsed.
--- a/crates/rookferry_relay/src/node.rs
+++ b/crates/rookferry_relay/src/node.rs
@@ -1,4 +1,8 @@
-//! An instance: its listeners, its tasks, its start and its stop.
+//! An instance: its listeners and tasks, its start and its shutdown.
+//!
+//! It listens for callers, for the load balancer's readiness check, for metrics scrapes,
+//! and for peers. A shutdown fails the readiness check first and goes on accepting until
+//! the balancer has noticed, then drains.
 
 use std::io;
 use std::net::SocketAddr;
@@ -34,58 +38,58 @@
 use crate::event_log::EventLog;
 use crate::event_log::Weight;
 use crate::event_log::millis;
-use crate::peers::Heartbeats;
-use crate::peers::answer_peers;
+use crate::peers::HeartbeatTask;
+use crate::peers::serve_peers;
 use crate::placement::Placement;
 use crate::probe;
 use crate::protocol::ServerProtocol;
-use crate::quarantine_keeper;
+use crate::quarantine_sync;
 use crate::relay::Relay;
 use crate::request_handler;
 use crate::settings::RelaySettings;
 use crate::store::SiteStore;
 use crate::sync;
 
-/// What is kept of the time to stop for the process's own end.
+/// Part of the time for the shutdown that is reserved for the process's own exit.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
-/// How long listeners go on accepting after the word to stop: the balancer
-/// asks once a second, and takes an instance out after two misses.
+/// How long listeners go on accepting after the shutdown begins: the balancer checks once
+/// a second, and removes an instance after two failed checks.
 const ACCEPT_WHILE_LEAVING: Duration = Duration::from_millis(3_200);
-/// The same, if nothing is under way.
-const QUIET_BEFORE_END: Duration = Duration::from_millis(2_600);
-/// Upper ends of the buckets of latency histograms, in seconds: around the
-/// objectives of 0.1 to 0.5 s and pauses of 0.2 s, and up to route times.
+/// The same, if no request is in flight.
+const ACCEPT_WHILE_IDLE: Duration = Duration::from_millis(2_600);
+/// Upper bounds of the buckets of latency histograms, in seconds: around the objectives
+/// of 0.1 to 0.5 s and pauses of 0.2 s, and up to route timeouts.
 const LATENCY_BUCKETS_S: [f64; 14] = [
     0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0,
 ];
-/// Ports that are tried where the system chooses one.
+/// Attempts to bind a port where the system chooses it.
 const MAX_PORT_TRIES: u32 = 20;
-/// How often dropped log lines are told.
-const TELL_DROPPED_EVERY: Duration = Duration::from_secs(5);
+/// How often dropped log lines are reported.
+const DROPPED_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Why an instance didn't start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
     /// A listener couldn't be bound.
-    #[snafu(display("can't listen at {addr} for {purpose}: {source}"))]
+    #[snafu(display("can't listen on {addr} for {purpose}: {source}"))]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// What for.
+        /// What the listener is for.
         purpose: &'static str,
         /// The cause.
         source: io::Error,
     },
 }
 
-/// Where an instance listens, with the ports that the system chose.
+/// Addresses at which an instance listens, with the ports that the system chose.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct NodeAddrs {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the balancer's question.
+    /// For the load balancer's readiness check.
     pub readiness: SocketAddr,
-    /// For its figures.
+    /// For metrics scrapes.
     pub metrics: SocketAddr,
     /// For other instances, by UDP and TCP.
     pub peers: SocketAddr,
@@ -99,7 +103,7 @@
     stop: Arc<Notify>,
 }
 
-struct Figures {
+struct MetricsEndpoint {
     relay: Arc<Relay>,
     handle: PrometheusHandle,
     callers: ConnectionTable,
@@ -107,11 +111,11 @@
 }
 
 impl Node {
-    /// Starts an instance; it is ready once it knows the site.
+    /// Starts an instance; it is ready once it knows configuration and servers.
     ///
     /// # Errors
     ///
-    /// If it can't listen.
+    /// If an address can't be bound.
     pub async fn start(
         mut settings: RelaySettings,
         protocol: Arc<dyn ServerProtocol>,
@@ -127,44 +131,44 @@
         }
         let handle = install_recorder();
         let (socket, listener, peers) = bind_peers(listen.peers).await?;
-        // The order of instances goes by this address.
+        // Instances are ranked by this address.
         settings.listen.peers = peers;
         let relay = Arc::new(Relay::new(settings, protocol, store, events));
         let stop = Arc::new(Notify::new());
         let limits = ConnectionLimits::default();
         let callers = bind(listen.callers, limits, "callers").await?;
         let readiness = bind(listen.readiness, limits, "readiness").await?;
-        let figures = bind(listen.metrics, limits, "metrics").await?;
-        let addr = |server: &Server, asked| server.local_addr().unwrap_or(asked);
+        let metrics_endpoint = bind(listen.metrics, limits, "metrics").await?;
+        let addr = |server: &Server, requested| server.local_addr().unwrap_or(requested);
         let addrs = NodeAddrs {
             callers: addr(&callers, listen.callers),
             readiness: addr(&readiness, listen.readiness),
-            metrics: addr(&figures, listen.metrics),
+            metrics: addr(&metrics_endpoint, listen.metrics),
             peers,
         };
         let connections = callers.connections().clone();
         let handler = endpoint(&relay, callers.connections(), request_handler::handle);
         let until = stop.clone();
         tokio::spawn(async move { callers.serve(handler, until.notified()).await });
-        let handler = endpoint(&relay, readiness.connections(), tell_ready);
+        let handler = endpoint(&relay, readiness.connections(), serve_readiness);
         tokio::spawn(readiness.serve(handler, std::future::pending()));
-        let app = Arc::new(Figures {
+        let app = Arc::new(MetricsEndpoint {
             relay: relay.clone(),
             handle,
             callers: connections.clone(),
             started_at: clock::now(),
         });
-        let handler = endpoint(&app, figures.connections(), tell_figures);
-        tokio::spawn(figures.serve(handler, std::future::pending()));
+        let handler = endpoint(&app, metrics_endpoint.connections(), serve_metrics);
+        tokio::spawn(metrics_endpoint.serve(handler, std::future::pending()));
         let incarnation = incarnation();
-        tokio::spawn(Heartbeats::new(relay.clone(), socket, incarnation).run());
-        tokio::spawn(answer_peers(relay.clone(), listener));
-        tokio::spawn(sync::keep_config(relay.clone()));
-        tokio::spawn(sync::keep_servers(relay.clone()));
-        tokio::spawn(quarantine_keeper::keep_quarantine(relay.clone()));
-        tokio::spawn(probe::watch_lost(relay.clone()));
+        tokio::spawn(HeartbeatTask::new(relay.clone(), socket, incarnation).run());
+        tokio::spawn(serve_peers(relay.clone(), listener));
+        tokio::spawn(sync::sync_config(relay.clone()));
+        tokio::spawn(sync::sync_servers(relay.clone()));
+        tokio::spawn(quarantine_sync::sync_quarantine(relay.clone()));
+        tokio::spawn(probe::probe_unresponsive(relay.clone()));
         tokio::spawn(Placement::new(relay.clone(), incarnation).run());
-        tokio::spawn(tell_dropped(relay.clone()));
+        tokio::spawn(log_dropped_lines(relay.clone()));
         Ok(Self {
             relay,
             callers: connections,
@@ -173,7 +177,7 @@
         })
     }
 
-    /// Where it listens.
+    /// The addresses at which it listens.
     #[must_use]
     pub const fn addrs(&self) -> NodeAddrs {
         self.addrs
@@ -185,12 +189,12 @@
         self.relay.is_ready()
     }
 
-    /// Finishes what is under way, within the bound; tells whether all was.
+    /// Drains requests within the grace period; returns whether all have finished.
     pub async fn leave(&self) -> bool {
         let started = clock::now();
         self.relay.leave();
         if let Some(log) = self.relay.events.line(Weight::Notable) {
-            info!(log, "instance: it stops"; "event" => "stopping",
+            info!(log, "instance: stopping"; "event" => "stopping",
                 "requests" => self.callers.requests());
         }
         let bound = self
@@ -200,7 +204,7 @@
             .grace()
             .saturating_sub(STOP_MARGIN);
         let finish = async {
-            tokio::time::sleep(QUIET_BEFORE_END).await;
+            tokio::time::sleep(ACCEPT_WHILE_IDLE).await;
             let accept_left = ACCEPT_WHILE_LEAVING.saturating_sub(clock::since(started));
             let _ = tokio::time::timeout(accept_left, self.callers.quiet()).await;
             self.stop.notify_one();
@@ -225,8 +229,8 @@
         .context(ListenSnafu { addr, purpose })
 }
 
-/// Binds the same port for datagrams and connections; port 0 lets the system
-/// choose one that is free for both.
+/// Binds the same port for datagrams and connections; with port 0 the system chooses one
+/// that is free for both.
 async fn bind_peers(addr: SocketAddr) -> Result<(UdpSocket, TcpListener, SocketAddr), StartError> {
     let context = || ListenSnafu {
         addr,
@@ -244,41 +248,45 @@
     }
 }
 
-async fn tell_ready(relay: Arc<Relay>, _inbound: Inbound) -> Response<Body> {
+async fn serve_readiness(relay: Arc<Relay>, _inbound: Inbound) -> Response<Body> {
     if relay.is_ready() {
         return text_response(StatusCode::OK, "ready\n".to_owned());
     }
     text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_owned())
 }
 
-async fn tell_figures(figures: Arc<Figures>, _inbound: Inbound) -> Response<Body> {
-    let age = figures.relay.config_age();
+async fn serve_metrics(
+    metrics_endpoint: Arc<MetricsEndpoint>,
+    _inbound: Inbound,
+) -> Response<Body> {
+    let age = metrics_endpoint.relay.config_age();
     gauge!("rookferry_config_version").set(age.version() as f64);
     if let Some(age) = age.age(clock::now()) {
         gauge!("rookferry_config_age_seconds").set(age.as_secs_f64());
     }
-    let servers = figures.relay.servers_version();
+    let servers = metrics_endpoint.relay.servers_version();
     gauge!("rookferry_servers_revision").set(servers.store.revision as f64);
-    if let Some(age) = figures.relay.servers_age(clock::now()) {
+    if let Some(age) = metrics_endpoint.relay.servers_age(clock::now()) {
         gauge!("rookferry_servers_age_seconds").set(age.as_secs_f64());
     }
-    gauge!("rookferry_store_era").set(figures.relay.store.era() as f64);
+    gauge!("rookferry_store_era").set(metrics_endpoint.relay.store.era() as f64);
     gauge!("rookferry_build_info", "version" => env!("CARGO_PKG_VERSION")).set(1.0);
-    gauge!("rookferry_uptime_seconds").set(clock::since(figures.started_at).as_secs_f64());
-    gauge!("rookferry_requests_under_way").set(figures.callers.requests() as f64);
-    gauge!("rookferry_connections").set(figures.callers.open() as f64);
-    let instances = figures.relay.instances.load(Ordering::Relaxed);
+    gauge!("rookferry_uptime_seconds").set(clock::since(metrics_endpoint.started_at).as_secs_f64());
+    gauge!("rookferry_requests_under_way").set(metrics_endpoint.callers.requests() as f64);
+    gauge!("rookferry_connections").set(metrics_endpoint.callers.open() as f64);
+    let instances = metrics_endpoint.relay.instances.load(Ordering::Relaxed);
     gauge!("rookferry_instances").set(instances as f64);
-    let holds_lease = figures.relay.holds_lease.load(Ordering::Relaxed);
+    let holds_lease = metrics_endpoint.relay.holds_lease.load(Ordering::Relaxed);
     gauge!("rookferry_holds_lease").set(f64::from(u8::from(holds_lease)));
-    gauge!("rookferry_servers_out").set(figures.relay.beliefs.health().unresponsive_count() as f64);
-    text_response(StatusCode::OK, figures.handle.render())
+    gauge!("rookferry_servers_out")
+        .set(metrics_endpoint.relay.states.health().unresponsive_count() as f64);
+    text_response(StatusCode::OK, metrics_endpoint.handle.render())
 }
 
-async fn tell_dropped(relay: Arc<Relay>) {
+async fn log_dropped_lines(relay: Arc<Relay>) {
     loop {
-        tokio::time::sleep(TELL_DROPPED_EVERY).await;
-        relay.events.tell_dropped();
+        tokio::time::sleep(DROPPED_LOG_INTERVAL).await;
+        relay.events.log_dropped();
     }
 }
 
@@ -290,14 +298,14 @@
         .unwrap_or_default();
     let recorder = builder.build_recorder();
     let handle = recorder.handle();
-    // Fails only if an embedder has installed its own, which then gets the
+    // Fails only if the embedding program has installed a recorder, which then gets the
     // metrics.
     let _ = metrics::set_global_recorder(recorder);
     handle
 }
 
-/// Milliseconds of the time of day at the start. It only tells two runs
-/// apart; nothing rests on its order.
+/// Milliseconds of Unix time at the start. It only distinguishes two runs; nothing
+/// depends on its order.
 fn incarnation() -> u64 {
     millis(clock::unix_now())
 }
--- a/crates/rookferry_relay/src/path_supervisor/mod.rs
+++ b/crates/rookferry_relay/src/path_supervisor/mod.rs
@@ -27,13 +27,13 @@
 use crate::engines::StageState;
 use crate::event_log::Weight;
 use crate::event_log::millis;
+use crate::liveness::LastSeen;
 use crate::load::LoadGuard;
 use crate::probe;
 use crate::quarantine::Reach;
 use crate::quarantine::RunBreak;
 use crate::relay::Relay;
 use crate::request::CallerRequest;
-use crate::signs::Sign;
 use crate::stream_opener::StreamTarget;
 
 /// How long a stream may stall before its path is probed. Events arrive every 20 to
@@ -103,7 +103,7 @@
     /// When the run reached each engine of its path.
     joined: HashMap<ServerKey, Instant>,
     /// The engines' liveness evidence, in the order of the stages.
-    last_seen: Vec<Sign>,
+    last_seen: Vec<LastSeen>,
     load: LoadGuard,
 }
 
@@ -251,7 +251,7 @@
         self.phase = RunPhase::Running;
         self.is_proven = true;
         for seen in &self.last_seen {
-            seen.note(now);
+            seen.record(now);
         }
     }
 
@@ -291,15 +291,15 @@
         let stalled = clock::since(self.stalled_since);
         let now = clock::now();
         let silent = self.path.stages().iter().zip(&self.last_seen);
-        let signs = &self.relay.beliefs.signs;
+        let signs = &self.relay.states.liveness;
         let silent_after = match self.phase {
             RunPhase::Waiting => SILENT_BEFORE_FIRST,
             RunPhase::Running | RunPhase::Hung => SILENT_AFTER,
         };
-        let is_asked = |server: ServerKey, seen: &Sign| {
+        let is_asked = |server: ServerKey, seen: &LastSeen| {
             let is_slow = stalled >= SLOW_AFTER && signs.report_age(server, now) >= MIN_REPORT_AGE;
             (is_slow || seen.age(now) >= silent_after)
-                && signs.begin_asking(server, probe::ASK_AGAIN, now)
+                && signs.begin_probe(server, probe::PROBE_REUSE, now)
         };
         let probes = silent
             .filter(|(stage, seen)| is_asked(stage.server, seen))
@@ -351,7 +351,7 @@
 impl Drop for PathSupervisor {
     fn drop(&mut self) {
         // The load guard is dropped right after this; a woken request checks later.
-        self.relay.door.record_freed(&self.service.name);
+        self.relay.admission_gate.record_freed(&self.service.name);
     }
 }
 
@@ -368,7 +368,7 @@
         .stages()
         .iter()
         .map(|stage| (stage.server, request.tokens() * part(stage)));
-    relay.beliefs.loads.track(parts.collect())
+    relay.states.loads.track(parts.collect())
 }
 
 /// The engines of a path, each with the same time.
@@ -378,9 +378,9 @@
 }
 
 /// The liveness evidence of a path's engines, in the order of the stages.
-fn last_seen(relay: &Relay, path: &PipelinePath) -> Vec<Sign> {
+fn last_seen(relay: &Relay, path: &PipelinePath) -> Vec<LastSeen> {
     let stages = path.stages().iter();
     stages
-        .map(|stage| relay.beliefs.signs.of(stage.server))
+        .map(|stage| relay.states.liveness.last_seen(stage.server))
         .collect()
 }
--- a/crates/rookferry_relay/src/path_supervisor/repair.rs
+++ b/crates/rookferry_relay/src/path_supervisor/repair.rs
@@ -56,7 +56,7 @@
             if lost.contains(&first) {
                 // An engine that refuses new connections may still serve this one.
                 let stands_still = clock::since(self.stalled_since) >= STALL_AFTER;
-                let is_out = self.relay.beliefs.health().is_unresponsive(first.server);
+                let is_out = self.relay.states.health().is_unresponsive(first.server);
                 return if is_out && stands_still {
                     PathCheck::FirstEngineLost
                 } else {
@@ -73,7 +73,7 @@
             let Some((replaced, path)) = self.replacement(&lost, &leaving) else {
                 return PathCheck::NoAction;
             };
-            if let Some(left) = self.relay.beliefs.backoff_left(first.server) {
+            if let Some(left) = self.relay.states.backoff_left(first.server) {
                 return self.handle_backoff(left, !lost.is_empty());
             }
             if !self.allows_costly_repair && self.adds_crossings(&path) {
@@ -99,7 +99,7 @@
                 }
                 RepathOutcome::Refused(Some(engine)) => {
                     self.relay.engine_refused(engine, &self.model);
-                    probe::check_soon(&self.relay, engine);
+                    probe::spawn_check(&self.relay, engine);
                     self.refused.push(engine);
                 }
                 RepathOutcome::Refused(None) => {
--- a/crates/rookferry_relay/src/permits.rs
+++ b/crates/rookferry_relay/src/permits.rs
@@ -199,7 +199,7 @@
     ) -> Option<PathPermits> {
         let mut permits = Vec::new();
         for server in &servers {
-            if let Some(rate) = self.beliefs.limits().of(*server) {
+            if let Some(rate) = self.states.limits().of(*server) {
                 permits.push(self.request_permit(request, *server, rate).await?);
             }
         }
@@ -248,7 +248,7 @@
             .tracker()
             .record_refusal(server, request.urgency, refusal, chance, now);
         if let Some(log) = self.events.line(Weight::Routine) {
-            let limits = self.beliefs.limits();
+            let limits = self.states.limits();
             info!(log, "request: permit refused, the server's limit is reached";
                 "event" => "permit_refused", "request" => &request.attempt,
                 "server" => %server.addr, "limit_per_s" => rate.per_s(),
@@ -266,7 +266,7 @@
         rate: RequestRate,
         now: Instant,
     ) -> PermitRequest {
-        let age = self.beliefs.limits().age(server, now);
+        let age = self.states.limits().age(server, now);
         let mut sent_ms_ago = self.permits.tracker().take_sent(server, now);
         sent_ms_ago.truncate(MAX_SENT_REPORTED);
         PermitRequest {
@@ -324,7 +324,7 @@
         let server = permit_request.seen.server;
         let now = clock::now();
         let change = self
-            .beliefs
+            .states
             .update_limits(|limits| limits.merge(permit_request.seen, now));
         if let Some(change) = change {
             self.record_limit_change(server, change, "question");
@@ -341,7 +341,7 @@
         if self.age() < MIN_GRANTER_AGE {
             return PermitAnswer::Elsewhere(None);
         }
-        let Some(rate) = self.beliefs.limits().of(server) else {
+        let Some(rate) = self.states.limits().of(server) else {
             return PermitAnswer::Granted;
         };
         self.grant(permit_request, rate, share, now)
@@ -405,15 +405,15 @@
             info!(log, "health: a server's request limit for all instances has changed";
                 "event" => "server_limit", "server" => %server.addr,
                 "limit_per_s" => rate.map(RequestRate::per_s), "source" => source,
-                "age_ms" => self.beliefs.limits().age(server, clock::now()).map(millis));
+                "age_ms" => self.states.limits().age(server, clock::now()).map(millis));
         }
         // Peers need the limit soon, also those that the server never answered.
-        self.versions.send_modify(|changes| *changes += 1);
+        self.urgent_changes.send_modify(|changes| *changes += 1);
     }
 
     /// Reports to a server's granter what this instance recently sent without a permit.
     pub(crate) fn report_sent(self: &Arc<Self>, server: ServerKey) {
-        let Some(rate) = self.beliefs.limits().of(server) else {
+        let Some(rate) = self.states.limits().of(server) else {
             return;
         };
         let permit_request = self.new_permit_request(server, rate, clock::now());
--- a/crates/rookferry_relay/src/placement/census.rs
+++ b/crates/rookferry_relay/src/placement/inventory.rs
@@ -1,4 +1,6 @@
-//! Which engines of a service are there to plan with.
+//! Selects the engines of a service that a layout is planned with.
+//!
+//! Engines that leave, that have just appeared, or that count as lost are left out.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,22 +16,22 @@
 use crate::relay::Relay;
 use crate::view::ServerTable;
 
-/// How long a server is out before its layers count as lost. A crashed
-/// engine comes back empty, so waiting longer gains nothing; a lost packet
-/// or a short pause is over by then.
+/// How long a server is unresponsive before its layers count as lost. A crashed engine
+/// comes back empty, so waiting longer gains nothing; a lost packet or a short pause is
+/// over by then.
 const LOST_AFTER: Duration = Duration::from_millis(400);
-/// The part of a site's engines that may be out before it is more likely
-/// that this instance is cut off than that they are lost.
-const MAX_LOST_PART: f64 = 0.34;
+/// Share of a site's engines that may be unresponsive; above it, this instance is more
+/// likely partitioned than the engines lost.
+const MAX_LOST_SHARE: f64 = 0.34;
 
-/// What is known of the engines, and of how they came to be listed.
-pub(super) struct Census {
+/// The engines seen so far, and when they were listed.
+pub(super) struct Inventory {
     relay: Arc<Relay>,
     /// The engines seen so far, by service.
     fleets: BTreeMap<ServiceId, FleetInventory>,
 }
 
-impl Census {
+impl Inventory {
     pub(super) const fn new(relay: Arc<Relay>) -> Self {
         Self {
             relay,
@@ -37,9 +39,8 @@
         }
     }
 
-    /// The engines to plan with: those that stay, without those that are just
-    /// coming.
-    pub(super) fn take(
+    /// The engines to plan with: without those that leave or have only just appeared.
+    pub(super) fn engines_to_plan(
         &mut self,
         service: &ServingService,
         table: &ServerTable,
@@ -52,7 +53,7 @@
         fleet.observe(engines, clock::now())
     }
 
-    /// The engines that stay, with what they hold or were ordered to hold.
+    /// The engines that stay, with the layers they hold or were ordered to hold.
     fn layout(
         &self,
         service: &ServingService,
@@ -62,15 +63,15 @@
         let now = clock::now();
         let staying: Vec<_> = table
             .of(&service.name)
-            .filter(|server| !self.relay.beliefs.is_leaving(server))
+            .filter(|server| !self.relay.states.is_leaving(server))
             .collect();
-        let health = self.relay.beliefs.health();
+        let health = self.relay.states.health();
         let is_lost = |server| {
             let since = health.unresponsive_since(server);
             since.is_some_and(|since| now.saturating_duration_since(since) >= LOST_AFTER)
         };
         let lost = staying.iter().filter(|server| is_lost(server.key)).count();
-        let trusts_health = lost as f64 <= staying.len() as f64 * MAX_LOST_PART;
+        let trusts_health = lost as f64 <= staying.len() as f64 * MAX_LOST_SHARE;
         let layout = staying
             .iter()
             .filter(|server| !(trusts_health && is_lost(server.key)))
--- a/crates/rookferry_relay/src/placement/mod.rs
+++ b/crates/rookferry_relay/src/placement/mod.rs
@@ -1,12 +1,11 @@
-//! Orders engines to hold layers, under the site's lease.
+//! Orders engines to load layers, under the site's lease.
 //!
-//! One instance holds the lease and plans for the whole site from what the
-//! engines' entries say, so that a new holder goes on from what stands. An
-//! order names the engine's sequence as last reported; an engine that has
-//! taken another order meanwhile refuses it, which fences orders of a former
-//! holder.
+//! The lease holder plans for the whole site from the engines' entries, so a new holder
+//! continues from the current layout. An order carries the engine's last reported
+//! sequence number; an engine that has accepted another order since then refuses it,
+//! which fences orders of a former holder.
 
-mod census;
+mod inventory;
 mod lease_keeper;
 mod orders;
 
@@ -20,7 +19,7 @@
 use rookferry_wire::Incarnation;
 use slog::info;
 
-use self::census::Census;
+use self::inventory::Inventory;
 use self::lease_keeper::LeaseKeeper;
 use self::lease_keeper::Scope;
 use self::orders::Orders;
@@ -28,16 +27,16 @@
 use crate::relay::Relay;
 use crate::view::ServerTable;
 
-/// Longest time between two plans; a change of the fleet brings one forward.
-const PLAN_EVERY: Duration = Duration::from_millis(500);
+/// Longest time between two plans; a change of the fleet triggers one early.
+const PLAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Least time between two plans.
-const PLAN_PAUSE: Duration = Duration::from_millis(60);
+const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Plans and orders while this instance holds the lease.
+/// Plans and sends orders while this instance holds the lease.
 pub(crate) struct Placement {
     relay: Arc<Relay>,
     keeper: LeaseKeeper,
-    census: Census,
+    inventory: Inventory,
     orders: Orders,
 }
 
@@ -45,41 +44,41 @@
     pub(crate) fn new(relay: Arc<Relay>, incarnation: Incarnation) -> Self {
         Self {
             keeper: LeaseKeeper::new(relay.clone(), incarnation),
-            census: Census::new(relay.clone()),
+            inventory: Inventory::new(relay.clone()),
             orders: Orders::new(relay.clone()),
             relay,
         }
     }
 
-    /// Runs until the process ends.
+    /// Runs until the process exits.
     pub(crate) async fn run(mut self) {
         let mut fleet = self.relay.fleet_changes.subscribe();
         loop {
             if self.relay.is_leaving() {
-                return self.keeper.give_up().await;
+                return self.keeper.release_lease().await;
             }
-            if self.keeper.keep().await {
+            if self.keeper.renew().await {
                 self.orders.clear();
             }
             let has_more = self.plan_all().await;
-            tokio::time::sleep(PLAN_PAUSE).await;
+            tokio::time::sleep(MIN_PLAN_INTERVAL).await;
             if has_more {
                 continue;
             }
             tokio::select! {
-                () = tokio::time::sleep(PLAN_EVERY) => {}
+                () = tokio::time::sleep(PLAN_INTERVAL) => {}
                 _ = fleet.changed(), if self.holds_lease() || self.relay.is_leaving() => {}
             }
         }
     }
 
-    /// Whether this instance ordered engines of the whole site when it last
-    /// looked.
+    /// Whether this instance was allowed to order engines of the whole site at the last
+    /// check.
     fn holds_lease(&self) -> bool {
         self.relay.holds_lease.load(Ordering::Relaxed)
     }
 
-    /// Plans for all services; tells whether orders are left to send.
+    /// Plans for all services; returns whether orders are left to send.
     async fn plan_all(&mut self) -> bool {
         let scope = self.keeper.scope();
         let view = self.relay.view.load_full();
@@ -105,11 +104,11 @@
         scope: Scope,
     ) -> bool {
         if scope != Scope::Nothing {
-            self.orders.settle(service, table).await;
+            self.orders.reconcile(service, table).await;
         }
-        // Also by those that don't order: one that begins to knows what has
-        // just come back.
-        let mut engines = self.census.take(service, table, &self.orders);
+        // Also on instances that may not order, so that one that takes over knows which
+        // engines have just come back.
+        let mut engines = self.inventory.engines_to_plan(service, table, &self.orders);
         if scope == Scope::Nothing {
             return false;
         }
@@ -130,7 +129,7 @@
             return false;
         }
         if let Some(log) = self.relay.events.line(Weight::Notable) {
-            info!(log, "placement: layers are needed"; "event" => "placement_planned",
+            info!(log, "placement: orders were planned"; "event" => "placement_planned",
                 "service" => &*service.name, "engines" => engines.len(),
                 "orders" => needed.len(),
                 "missing" => needed.iter().filter(|placement| placement.fills_gap).count());
--- a/crates/rookferry_relay/src/placement/orders.rs
+++ b/crates/rookferry_relay/src/placement/orders.rs
@@ -1,9 +1,9 @@
-//! Orders that engines were sent, until they show in the engines' entries.
+//! Orders sent to engines, tracked until they show in the engines' entries.
 //!
-//! Load pattern: thousands of engines that start empty, and one instance with
-//! an eighth of a core to order them all. Sent at once they take so long that each
-//! runs into its time limit and the lease runs out; so they go a few at a time, and
-//! a round of them leaves time to renew the lease.
+//! Load pattern: thousands of engines start empty, and one instance with an eighth of a
+//! core orders them all. Sent at once, the calls take so long that each reaches its time
+//! limit and the lease expires. They are therefore sent a few at a time, and a round of
+//! them leaves time to renew the lease.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,58 +27,59 @@
 use crate::upstream::Upstream;
 use crate::view::ServerTable;
 
-/// How long an order may take.
+/// Time limit of one call of an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long an ordered engine may take to show its layers before it is asked.
-const PLACED_AFTER: Duration = Duration::from_secs(4);
-/// Engines that are called at once. Each answers within a few milliseconds, so
-/// that more would only queue in this process.
-const CALLS_AT_ONCE: usize = 32;
-/// How long a round goes on to call engines. With the last one's two calls,
-/// which may take 1.2 s, it ends within the lease's 2 s.
-const ROUND: Duration = Duration::from_millis(500);
+/// How long an ordered engine may take to show its layers before it is asked for a
+/// report.
+const PLACEMENT_GRACE: Duration = Duration::from_secs(4);
+/// Engines that are called concurrently. Each answers within a few milliseconds, so more
+/// calls would only queue in this process.
+const MAX_CONCURRENT_CALLS: usize = 32;
+/// How long a round starts new calls. With the two calls of the last engine, which may
+/// take 1.2 s, the round ends within the lease's 2 s.
+const ROUND_DURATION: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug)]
-struct Ordered {
+struct PendingOrder {
     layers: LayerRange,
     at: Instant,
 }
 
-/// An order that an engine took, or may have taken.
+/// An order that an engine accepted, or may have accepted.
 #[derive(Clone, Copy, Debug)]
-struct Taken {
+struct AcceptedOrder {
     engine: ServerKey,
     layers: LayerRange,
 }
 
-/// Orders under way.
+/// Pending orders.
 pub(super) struct Orders {
     relay: Arc<Relay>,
-    /// By the start that each went to: one that starts again knows of none.
-    ordered: BTreeMap<ServerKey, Ordered>,
+    /// By the incarnation that each was sent to: a restarted engine doesn't know of
+    /// earlier orders.
+    pending: BTreeMap<ServerKey, PendingOrder>,
 }
 
 impl Orders {
     pub(super) const fn new(relay: Arc<Relay>) -> Self {
         Self {
             relay,
-            ordered: BTreeMap::new(),
+            pending: BTreeMap::new(),
         }
     }
 
-    /// The layers that an engine was ordered to hold, and doesn't show yet.
+    /// The layers that an engine was ordered to hold and doesn't show yet.
     pub(super) fn layers(&self, engine: ServerKey) -> Option<LayerRange> {
-        self.ordered.get(&engine).map(|ordered| ordered.layers)
+        self.pending.get(&engine).map(|pending| pending.layers)
     }
 
-    /// Forgets all: another instance orders from now on.
+    /// Discards all: another instance orders from now on.
     pub(super) fn clear(&mut self) {
-        self.ordered.clear();
+        self.pending.clear();
     }
 
-    /// Sends orders that `may_order` still allows when each is about to leave,
-    /// missing layers first, for the time of a round. Tells whether some are
-    /// left for the next.
+    /// Sends orders for the time of a round, missing layers first; `may_order` is checked
+    /// again just before each is sent. Returns whether some are left for the next round.
     pub(super) async fn send(
         &mut self,
         service: &ServingService,
@@ -89,57 +90,58 @@
         needed.sort_by_key(|placement| !placement.fills_gap);
         let count = needed.len();
         let orders =
-            for_a_round(needed).map(|placement| self.order(service, table, placement, &may_order));
-        let calls = stream::iter(orders).buffer_unordered(CALLS_AT_ONCE);
-        let taken: Vec<Option<Taken>> = calls.collect().await;
-        let has_more = taken.len() < count;
+            within_round(needed).map(|placement| self.order(service, table, placement, &may_order));
+        let calls = stream::iter(orders).buffer_unordered(MAX_CONCURRENT_CALLS);
+        let accepted: Vec<Option<AcceptedOrder>> = calls.collect().await;
+        let has_more = accepted.len() < count;
         let at = clock::now();
-        for Taken { engine, layers } in taken.into_iter().flatten() {
-            self.ordered.insert(engine, Ordered { layers, at });
+        for AcceptedOrder { engine, layers } in accepted.into_iter().flatten() {
+            self.pending.insert(engine, PendingOrder { layers, at });
         }
         has_more
     }
 
-    /// Forgets orders that show in the engines' entries, or didn't come about.
-    pub(super) async fn settle(&mut self, service: &ServingService, table: &ServerTable) {
+    /// Discards orders that show in the engines' entries, or that were not carried out.
+    pub(super) async fn reconcile(&mut self, service: &ServingService, table: &ServerTable) {
         let mut overdue = Vec::new();
-        self.ordered.retain(|engine, ordered| {
+        self.pending.retain(|engine, pending| {
             let Some(server) = table.get(*engine) else {
                 return false;
             };
-            if server.held == Some(ordered.layers) {
+            if server.held == Some(pending.layers) {
                 return false;
             }
-            let is_askable = self.relay.beliefs.backoff_left(*engine).is_none();
-            if is_askable && clock::since(ordered.at) >= PLACED_AFTER {
+            let is_askable = self.relay.states.backoff_left(*engine).is_none();
+            if is_askable && clock::since(pending.at) >= PLACEMENT_GRACE {
                 overdue.push(*engine);
             }
             true
         });
-        let asked = for_a_round(overdue).map(async |engine| {
+        let polled = within_round(overdue).map(async |engine| {
             let upstream = self.relay.upstream(engine, service);
             (engine, self.report(upstream).await)
         });
-        let calls = stream::iter(asked).buffer_unordered(CALLS_AT_ONCE);
+        let calls = stream::iter(polled).buffer_unordered(MAX_CONCURRENT_CALLS);
         let reports: Vec<(ServerKey, Option<EngineReport>)> = calls.collect().await;
         for (engine, report) in reports {
-            self.take_report(engine, report);
+            self.handle_report(engine, report);
         }
     }
 
-    /// Goes on waiting for an engine that is at its order, by its own word.
-    fn take_report(&mut self, engine: ServerKey, report: Option<EngineReport>) {
-        let Some(ordered) = self.ordered.get_mut(&engine) else {
+    /// Extends the wait for an engine that reports to be working on its order, or to have
+    /// completed it.
+    fn handle_report(&mut self, engine: ServerKey, report: Option<EngineReport>) {
+        let Some(pending) = self.pending.get_mut(&engine) else {
             return;
         };
-        if report.is_some_and(|report| report.is_busy || report.held == Some(ordered.layers)) {
-            ordered.at = clock::now();
+        if report.is_some_and(|report| report.is_busy || report.held == Some(pending.layers)) {
+            pending.at = clock::now();
         } else {
-            self.ordered.remove(&engine);
+            self.pending.remove(&engine);
         }
     }
 
-    /// What an engine says of itself, if it answers.
+    /// An engine's report, if it answers.
     async fn report(&self, upstream: Upstream) -> Option<EngineReport> {
         let protocol = &self.relay.protocol;
         let request = protocol.report_call().request(upstream.server.addr);
@@ -147,53 +149,53 @@
         protocol.read_report(&answer.ok()?.body).ok()
     }
 
-    /// Orders an engine to hold layers; tells if it may have taken the order.
+    /// Orders an engine to hold layers; returns the order if it may have been accepted.
     async fn order(
         &self,
         service: &ServingService,
         table: &ServerTable,
         placement: NeededPlacement,
         may_order: impl Fn() -> bool,
-    ) -> Option<Taken> {
+    ) -> Option<AcceptedOrder> {
         let protocol = &self.relay.protocol;
         let server = table.named(&placement.engine)?;
-        let taken = Taken {
+        let accepted = AcceptedOrder {
             engine: server.key,
             layers: placement.layers,
         };
         let upstream = self.relay.upstream(server.key, service);
         let report = self.report(upstream).await?;
-        if !report.is_from(server) {
-            // The plan is for the process before, which held other layers.
-            self.relay.other_start_answered(server.key, &report);
+        if !report.is_same_incarnation(server) {
+            // The plan was made for the previous process, which held other layers.
+            self.relay.other_incarnation_answered(server.key, &report);
             return None;
         }
         if report.is_busy {
-            return Some(taken);
+            return Some(accepted);
         }
-        // The lease may have run out while the engine was asked.
+        // The lease may have expired while the engine was asked.
         if !may_order() {
             return None;
         }
         let call = protocol.place_call(placement.layers, Some(report.sequence));
         let request = call.request(server.addr());
         let answer = self.relay.call(upstream, request, ORDER_TIMEOUT).await;
-        // An engine is seldom ordered again, and the one that orders thousands would
-        // keep a connection to each, most of its memory.
+        // An engine is seldom ordered again, and keeping a connection to each of
+        // thousands of engines would take most of this process's memory.
         self.relay.pool.close_idle(server.key);
         let outcome = match &answer {
             Ok(answer) => answer.status.as_str().to_owned(),
             Err(error) => error.to_string(),
         };
         if let Some(log) = self.relay.events.line(Weight::Notable) {
-            info!(log, "placement: an engine is ordered"; "event" => "order_sent",
+            info!(log, "placement: sent an order to an engine"; "event" => "order_sent",
                 "engine" => &*placement.engine, "addr" => %server.addr(), "order" => "place",
                 "layers" => format!("{}-{}", placement.layers.start, placement.layers.end),
                 "missing" => placement.fills_gap, "sequence" => report.sequence,
                 "outcome" => &outcome);
         }
         match answer {
-            Ok(answer) if answer.status.is_success() => Some(taken),
+            Ok(answer) if answer.status.is_success() => Some(accepted),
             Ok(answer) if answer.status == StatusCode::CONFLICT => None,
             Ok(answer) => {
                 if let Some(log) = self.relay.events.line(Weight::Notable) {
@@ -203,16 +205,16 @@
                 }
                 None
             }
-            // It may have been taken.
-            Err(error) if !error.is_unsent() => Some(taken),
+            // The order may have been accepted.
+            Err(error) if !error.is_unsent() => Some(accepted),
             Err(_) => None,
         }
     }
 }
 
-/// Items until a round that begins now is over.
-fn for_a_round<T>(items: Vec<T>) -> impl Iterator<Item = T> {
-    let until = clock::now() + ROUND;
+/// Yields items until a round that begins now is over.
+fn within_round<T>(items: Vec<T>) -> impl Iterator<Item = T> {
+    let until = clock::now() + ROUND_DURATION;
     let items = items.into_iter();
     items.take_while(move |_| clock::now() < until)
 }
--- a/crates/rookferry_relay/src/plain.rs
+++ b/crates/rookferry_relay/src/plain.rs
@@ -93,15 +93,15 @@
                     return pass_answer(relay, &request, server, answer);
                 }
                 log_failed_try(relay, &request, server, answer.status.as_str());
-                relay.beliefs.health().failed(server.key, clock::now());
+                relay.states.health().failed(server.key, clock::now());
                 last_answer = Some((server.clone(), answer));
             }
             SendOutcome::NotRun => {
                 reached += 1;
                 log_failed_try(relay, &request, server, "not run");
                 // A backoff alone excludes the server; it is no failure.
-                if relay.beliefs.backoff_left(server.key).is_none() {
-                    relay.beliefs.health().failed(server.key, clock::now());
+                if relay.states.backoff_left(server.key).is_none() {
+                    relay.states.health().failed(server.key, clock::now());
                 }
             }
             SendOutcome::Failed(UpstreamError::Withdrawn) => {
@@ -131,7 +131,7 @@
                     };
                     relay.record_broken_run(&request, broken);
                 }
-                relay.beliefs.health().failed(server.key, clock::now());
+                relay.states.health().failed(server.key, clock::now());
             }
             SendOutcome::TimedOut => return ServeOutcome::Refused(Refusal::TimedOut),
         }
@@ -157,16 +157,16 @@
     service: &ServingService,
 ) -> Option<Refusal> {
     let now = clock::now();
-    let wait = relay.wait_ends(table, service, request.urgency, now);
+    let wait = relay.retry_times(table, service, request.urgency, now);
     let filter = relay.server_filter(request.urgency);
     let has_server_at = |at| {
         let mut servers = table.of(&service.name);
-        servers.any(|server| filter.takes(server, at))
+        servers.any(|server| filter.accepts(server, at))
     };
     if has_server_at(now) {
         return None;
     }
-    let first = wait.ends.iter().find(|end| has_server_at(**end))?;
+    let first = wait.times.iter().find(|end| has_server_at(**end))?;
     Some(wait.refusal(*first, now))
 }
 
@@ -199,7 +199,7 @@
     let filter = relay.server_filter(request.urgency);
     let usable = table
         .of(&service.name)
-        .filter(|server| filter.takes(server, now) && !avoided.contains(&server.key));
+        .filter(|server| filter.accepts(server, now) && !avoided.contains(&server.key));
     let cost = |server: &BackendServer| {
         let is_remote = server.domain != relay.settings.domain;
         f64::from(relay.load_of(server.key).requests)
@@ -219,7 +219,7 @@
 ) -> SendOutcome {
     let names = relay.protocol.names();
     let _load = relay
-        .beliefs
+        .states
         .loads
         .track(vec![(server.key, request.tokens())]);
     let outbound = request.to_server(names, &server.id, None);
@@ -281,7 +281,7 @@
 fn none_is_leaving(relay: &Relay, view: &SiteView, servers: &[ServerKey]) -> bool {
     servers.iter().all(|server| {
         let known = view.server(*server);
-        known.is_some_and(|known| !relay.beliefs.is_leaving(known))
+        known.is_some_and(|known| !relay.states.is_leaving(known))
     })
 }
 
--- a/crates/rookferry_relay/src/probe.rs
+++ b/crates/rookferry_relay/src/probe.rs
@@ -1,4 +1,9 @@
-//! Asks servers for a sign of life.
+//! Probes servers: at once on suspicion, and periodically while they are unresponsive.
+//!
+//! Engines are asked for their report, plain servers (of services without a model) for
+//! their health path. An engine that doesn't answer counts as unresponsive; so does a
+//! plain server only if it refuses the connection. Any server is used again once a
+//! periodic probe gets an answer.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,57 +27,58 @@
 use crate::upstream::UpstreamError;
 use crate::upstream::WholeAnswer;
 
-/// How long an engine may take to answer; within a site a round trip takes
-/// under a millisecond.
+/// Time limit of an engine's answer; a round trip within a site takes under a
+/// millisecond.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(80);
-/// How long a question to an engine stands for those of other streams; they
-/// hear of a lost engine, too.
-pub(crate) const ASK_AGAIN: Duration = Duration::from_millis(110);
-/// How long to look for an answer that is there already.
-const LATE_LOOK: Duration = Duration::from_millis(20);
-/// How much longer to look, for each time that this process itself was late to
-/// see that an answer was due: what delays its timers delays what it reads.
+/// How long a probe of an engine serves other streams too; they are notified if it finds
+/// the engine lost.
+pub(crate) const PROBE_REUSE: Duration = Duration::from_millis(110);
+/// Least time to wait for an answer that has already arrived.
+const MIN_LATE_WAIT: Duration = Duration::from_millis(20);
+/// Factor of the additional wait, relative to how late this process itself noticed that
+/// the answer was due: what delays its timers delays its reads too.
 const LATE_FACTOR: u32 = 2;
-/// The longest look. An engine that is lost holds a stream up meanwhile.
-const LONGEST_LATE_LOOK: Duration = Duration::from_millis(400);
-/// How long a question may take in all, an own delay included.
+/// Longest additional wait. A lost engine stalls a stream meanwhile.
+const MAX_LATE_WAIT: Duration = Duration::from_millis(400);
+/// Time limit of a probe as a whole, including this process's own delay.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// First time between probes of a server that is out; doubles.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
-/// Longest time between them.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_500);
-/// How often a plain server is asked at once after a run broke there.
-const MAX_END_CHECKS: usize = 3;
-/// How often servers that are out are looked through.
-const ROUND: Duration = Duration::from_millis(150);
+/// First interval between probes of an unresponsive server; it doubles.
+const INITIAL_PROBE_INTERVAL: Duration = Duration::from_millis(300);
+/// Longest interval between such probes.
+const MAX_PROBE_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Most checks in a row of a plain server after a run broke there.
+const MAX_EXIT_CHECKS: usize = 3;
+/// How often the unresponsive servers are scanned.
+const SCAN_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Whether an engine gives a sign within the bound; marks it lost if not.
+/// Probes an engine; returns whether it answers in time and matches its entry. Marks it
+/// lost if not.
 pub(crate) async fn check(relay: &Relay, upstream: Upstream) -> bool {
-    if relay.beliefs.health().is_unresponsive(upstream.server) {
+    if relay.states.health().is_unresponsive(upstream.server) {
         return false;
     }
     let request = relay.protocol.report_call().request(upstream.server.addr);
     let due = clock::now() + PROBE_TIMEOUT;
-    let asked = relay.call(upstream, request, CALL_TIMEOUT);
-    tokio::pin!(asked);
+    let pending = relay.call(upstream, request, CALL_TIMEOUT);
+    tokio::pin!(pending);
     let answer = tokio::select! {
-        answer = &mut asked => answer,
-        () = clock::sleep_until(due) => late(upstream.server.addr, asked, due).await,
+        answer = &mut pending => answer,
+        () = clock::sleep_until(due) => wait_late(upstream.server.addr, pending, due).await,
     };
     match answer {
         Ok(answer) => {
             let now = clock::now();
-            relay.beliefs.signs.of(upstream.server).note(now);
+            relay.states.liveness.last_seen(upstream.server).record(now);
             let Some(report) = read_report(relay, upstream.server, &answer) else {
                 return true;
             };
             relay
-                .beliefs
-                .signs
-                .note_report(upstream.server, report.slowdown, now);
-            let is_listed = is_as_listed(relay, upstream.server, &report);
+                .states
+                .liveness
+                .record_report(upstream.server, report.slowdown, now);
+            let is_listed = matches_entry(relay, upstream.server, &report);
             if is_listed {
-                relay.beliefs.broken_runs.server_answered(upstream.server);
+                relay.states.broken_runs.server_answered(upstream.server);
             }
             is_listed
         }
@@ -84,9 +90,9 @@
     }
 }
 
-/// Asks an engine for a sign because another engine, or another instance, had
-/// trouble with it.
-pub(crate) fn check_soon(relay: &Arc<Relay>, server: ServerKey) {
+/// Spawns a probe of an engine that another engine or instance reported trouble with,
+/// unless one is in flight.
+pub(crate) fn spawn_check(relay: &Arc<Relay>, server: ServerKey) {
     let view = relay.view.load();
     let Some(service) = view
         .service_of(server)
@@ -94,12 +100,12 @@
     else {
         return;
     };
-    if relay.beliefs.health().is_unresponsive(server)
-        || relay.beliefs.backoff_left(server).is_some()
+    if relay.states.health().is_unresponsive(server)
+        || relay.states.backoff_left(server).is_some()
         || !relay
-            .beliefs
-            .signs
-            .begin_asking(server, ASK_AGAIN, clock::now())
+            .states
+            .liveness
+            .begin_probe(server, PROBE_REUSE, clock::now())
     {
         return;
     }
@@ -108,10 +114,10 @@
     tokio::spawn(async move { check(&relay, upstream).await });
 }
 
-/// Asks a server that a run broke at whether it is still there, whatever was
-/// asked of it just before. One that is out is being probed.
-pub(crate) async fn check_ended(relay: &Relay, server: ServerKey) {
-    if relay.beliefs.health().is_unresponsive(server) {
+/// Checks whether a server at which a run broke has exited, even if it was probed just
+/// before. An unresponsive server is already being probed.
+pub(crate) async fn check_exited(relay: &Relay, server: ServerKey) {
+    if relay.states.health().is_unresponsive(server) {
         return;
     }
     let view = relay.view.load_full();
@@ -126,86 +132,85 @@
     }
 }
 
-/// Asks a plain server whether it is there. It may just be busy, so that no
-/// answer says nothing.
+/// Checks whether a plain server has exited. It may just be busy, so a missing answer
+/// proves nothing.
 async fn check_plain(relay: &Relay, upstream: Upstream, health_path: &str) {
     let server = upstream.server;
-    // The first may meet a connection that the end is yet to be heard on.
-    for _ in 0..MAX_END_CHECKS {
+    // The first call may use a connection whose close hasn't been read yet.
+    for _ in 0..MAX_EXIT_CHECKS {
         let Some(request) = health_request(server.addr, health_path) else {
             return;
         };
         match relay.call(upstream, request, PROBE_TIMEOUT).await {
-            Ok(_) => return relay.beliefs.broken_runs.server_answered(server),
+            Ok(_) => return relay.states.broken_runs.server_answered(server),
             Err(error) if error.shows_exit() => {
                 return relay.server_lost(server, &ServerLoss::Refused);
             }
-            // Nothing was asked, and asking again at once comes to the same.
+            // Nothing was sent, and an immediate retry would fail in the same way.
             Err(error) if error.is_local_refusal() => return,
             Err(_) => {}
         }
     }
 }
 
-/// Whether an engine is the start that its entry tells of, with its layers; it
-/// is out if not. One that crashed and came back at its address has none, and
-/// its old entry stays for a while.
-fn is_as_listed(relay: &Relay, server: ServerKey, report: &EngineReport) -> bool {
+/// Whether an engine is the incarnation that its entry describes, with its layers; marks
+/// it lost if not. An engine that crashed and came back at its address has no layers, and
+/// its old entry remains for a while.
+fn matches_entry(relay: &Relay, server: ServerKey, report: &EngineReport) -> bool {
     let view = relay.view.load();
     let Some(entry) = view.server(server) else {
         return true;
     };
-    if !report.is_from(entry) {
-        relay.other_start_answered(server, report);
+    if !report.is_same_incarnation(entry) {
+        relay.other_incarnation_answered(server, report);
         return false;
     }
     let is_held = |listed| report.held.is_some_and(|held| held.covers(listed));
     if !entry.held.is_none_or(is_held) {
-        relay.server_lost(server, &ServerLoss::LayersGone);
+        relay.server_lost(server, &ServerLoss::LayersMissing);
         return false;
     }
     true
 }
 
-/// A last look for an answer that was due, but has arrived while this process
-/// stood still itself: after a pause its timers are seen before what came in
-/// meanwhile.
-async fn late(
+/// Waits a little longer for an answer that was due, but may have arrived while this
+/// process was paused: after a pause its timers fire before the received data is read.
+async fn wait_late(
     addr: SocketAddr,
-    asked: impl Future<Output = Result<WholeAnswer, UpstreamError>>,
+    pending: impl Future<Output = Result<WholeAnswer, UpstreamError>>,
     due: Instant,
 ) -> Result<WholeAnswer, UpstreamError> {
-    let look = LATE_LOOK + clock::since(due).saturating_mul(LATE_FACTOR);
-    let answer = tokio::time::timeout(look.min(LONGEST_LATE_LOOK), asked).await;
+    let wait = MIN_LATE_WAIT + clock::since(due).saturating_mul(LATE_FACTOR);
+    let answer = tokio::time::timeout(wait.min(MAX_LATE_WAIT), pending).await;
     answer.unwrap_or_else(|_| {
-        let message = format!("nothing within {} ms", PROBE_TIMEOUT.as_millis());
+        let message = format!("timed out after {} ms", PROBE_TIMEOUT.as_millis());
         Err(UpstreamError::Lost { addr, message })
     })
 }
 
-/// Probes servers that are out until they answer again.
-pub(crate) async fn watch_lost(relay: Arc<Relay>) {
+/// Probes unresponsive servers until they answer again.
+pub(crate) async fn probe_unresponsive(relay: Arc<Relay>) {
     let mut due: HashMap<ServerKey, (Instant, Duration)> = HashMap::new();
     loop {
-        tokio::time::sleep(ROUND).await;
-        let out = relay.beliefs.health().unresponsive();
+        tokio::time::sleep(SCAN_INTERVAL).await;
+        let out = relay.states.health().unresponsive();
         due.retain(|server, _| out.contains(server));
         let now = clock::now();
         for server in out {
-            let (at, pause) = due
+            let (at, interval) = due
                 .entry(server)
-                .or_insert((now + FIRST_PAUSE, FIRST_PAUSE));
+                .or_insert((now + INITIAL_PROBE_INTERVAL, INITIAL_PROBE_INTERVAL));
             if *at > now {
                 continue;
             }
-            *pause = (*pause * 2).min(LONGEST_PAUSE);
-            *at = now + *pause;
-            tokio::spawn(probe_lost(relay.clone(), server));
+            *interval = (*interval * 2).min(MAX_PROBE_INTERVAL);
+            *at = now + *interval;
+            tokio::spawn(probe_server(relay.clone(), server));
         }
     }
 }
 
-async fn probe_lost(relay: Arc<Relay>, server: ServerKey) {
+async fn probe_server(relay: Arc<Relay>, server: ServerKey) {
     let view = relay.view.load_full();
     let Some(service) = view.service_of(server) else {
         return;
@@ -220,29 +225,29 @@
         request
     };
     let upstream = relay.upstream(server, service);
-    // Any answer shows that it is there; one that is full answers too.
+    // Any answer shows that it is alive; an overloaded server answers too.
     match relay.call(upstream, request, PROBE_TIMEOUT * 3).await {
-        Ok(answer) if is_engine && is_other(&relay, server, &answer) => {}
+        Ok(answer) if is_engine && contradicts_entry(&relay, server, &answer) => {}
         Ok(_) | Err(UpstreamError::WrongAttempt { .. }) => relay.server_answered(server),
         Err(error) if error.shows_exit() => relay.record_server_exit(server),
-        // It stays out, and is probed again.
+        // It stays unresponsive, and is probed again.
         Err(_) => {}
     }
 }
 
-/// Whether an engine's answer says that it isn't as it is listed.
-fn is_other(relay: &Relay, server: ServerKey, answer: &WholeAnswer) -> bool {
+/// Whether an engine's answer contradicts its entry.
+fn contradicts_entry(relay: &Relay, server: ServerKey, answer: &WholeAnswer) -> bool {
     let report = read_report(relay, server, answer);
-    report.is_some_and(|report| !is_as_listed(relay, server, &report))
+    report.is_some_and(|report| !matches_entry(relay, server, &report))
 }
 
-/// An engine's report; one that doesn't read still shows that it is there.
+/// Parses an engine's report; an invalid one still shows that the engine is alive.
 fn read_report(relay: &Relay, server: ServerKey, answer: &WholeAnswer) -> Option<EngineReport> {
     match relay.protocol.read_report(&answer.body) {
         Ok(report) => Some(report),
         Err(error) => {
             if let Some(log) = relay.events.line(Weight::Notable) {
-                warn!(log, "probe: a report doesn't read"; "event" => "report_unreadable",
+                warn!(log, "probe: an engine's report can't be parsed"; "event" => "report_unreadable",
                     "server" => %server.addr, "status" => answer.status.as_u16(), "cause" => %error);
             }
             None
--- a/crates/rookferry_relay/src/quarantine.rs
+++ b/crates/rookferry_relay/src/quarantine.rs
@@ -136,7 +136,7 @@
     /// crashed. It could otherwise crash another server while that is checked.
     pub(crate) async fn may_run_again(&self, request: &CallerRequest) -> bool {
         if let Suspicion::Suspected { .. } = self.suspicion(request) {
-            let decided = self.beliefs.broken_runs.wait_decided(request.signature());
+            let decided = self.states.broken_runs.wait_decided(request.signature());
             // After the timeout the run counts as broken without a crash.
             let _ = tokio::time::timeout(CRASH_CHECK_WAIT, decided).await;
         }
@@ -158,12 +158,12 @@
             request: request.attempt.clone(),
             crash: self.crash_of(broken),
         };
-        let noted = self.beliefs.broken_runs.lock().record(run, clock::now());
+        let noted = self.states.broken_runs.lock().record(run, clock::now());
         match noted {
             BrokenRunStatus::ServerExited(run) => self.record_crashes(&[run]),
             BrokenRunStatus::Unprobed => {
                 let relay = self.clone();
-                tokio::spawn(async move { probe::check_ended(&relay, server).await });
+                tokio::spawn(async move { probe::check_exited(&relay, server).await });
             }
             BrokenRunStatus::ProbePending => {}
         }
@@ -174,7 +174,7 @@
     /// when it accepted the request.
     fn crash_of(&self, broken: RunBreak) -> RunCrash {
         let at = clock::now();
-        let last_seen_age = self.beliefs.signs.of(broken.server).age(at);
+        let last_seen_age = self.states.liveness.last_seen(broken.server).age(at);
         let last_seen_at = at.checked_sub(last_seen_age);
         let last_seen_at = last_seen_at.and_then(|instant| instant.checked_sub(MAX_EVENT_TRANSIT));
         let alive_at = match broken.reach {
@@ -194,7 +194,7 @@
 
     /// Records that a server's process has exited, so that its broken runs are crashes.
     pub(crate) fn record_server_exit(&self, server: ServerKey) {
-        let broken = &self.beliefs.broken_runs;
+        let broken = &self.states.broken_runs;
         let crashed = broken.lock().server_exited(server, clock::now());
         self.record_crashes(&crashed);
         broken.notify_decided();
--- a/crates/rookferry_relay/src/quarantine_keeper.rs
+++ b/crates/rookferry_relay/src/quarantine_sync.rs
@@ -1,9 +1,9 @@
-//! Keeps the held requests in the platform's store.
+//! Synchronises the quarantined requests with the platform's store.
 //!
-//! The instance that finds one writes it at once. Of each failure domain the
-//! instance that asks the store also reads what others wrote, and writes what
-//! is missing; heartbeats carry it on. So what is known outlives all instances,
-//! and reaches a domain that hears no other.
+//! The instance that quarantines a request writes it to the store at once. In each
+//! failure domain the store reader also reads what others have written and writes what is
+//! missing; heartbeats carry it to the other instances. So the quarantine survives the
+//! loss of all instances, and reaches a domain that receives from no other.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -22,58 +22,57 @@
 use crate::store::StoreError;
 use crate::tracked_store::Versioned;
 
-/// How long a watch waits: three calls a minute and failure domain, a fortieth
-/// of those for the configuration.
+/// How long a watch waits: three calls per minute and failure domain, a fortieth of those
+/// for the configuration.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// Pause after a failed call, and between looks whether the store is this
-/// instance's to ask.
+/// Pause after a failed call, and between checks whether this instance reads the store.
 const PAUSE: Duration = Duration::from_secs(1);
-/// The same while the instance has just started and knows of none, and after a watch that
-/// was refused.
+/// The same while the instance has just started and has no state, and after a refused
+/// watch.
 const START_PAUSE: Duration = Duration::from_millis(50);
-/// How often a write is tried against others' writes.
-const MAX_WRITES: usize = 4;
+/// Most write attempts against concurrent writes.
+const MAX_WRITE_ATTEMPTS: usize = 4;
 
-/// Keeps the held requests until the process ends.
-pub(crate) async fn keep_quarantine(relay: Arc<Relay>) {
-    let mut keeper = QuarantineKeeper {
+/// Synchronises the quarantined requests until the process exits.
+pub(crate) async fn sync_quarantine(relay: Arc<Relay>) {
+    let mut syncer = QuarantineSyncer {
         relay: relay.clone(),
         stored: Stored::default(),
     };
     loop {
-        let may_lack = tokio::select! {
+        let may_differ = tokio::select! {
             () = relay.quarantine.store_pending.notified() => true,
-            // Without this, instances that start read of a request that was
-            // released, and all held it again.
-            () = relay.quarantine.released.notified() => keeper.stores_cleared(),
-            has_read = keeper.read_next() => has_read,
+            // Otherwise starting instances would read a released request from the store
+            // and every instance would quarantine it again.
+            () = relay.quarantine.released.notified() => syncer.stores_cleared(),
+            has_read = syncer.read_next() => has_read,
         };
-        if may_lack {
-            keeper.write_missing().await;
+        if may_differ {
+            syncer.write_missing().await;
         }
     }
 }
 
-/// The object as it was last seen.
+/// The object as last read or written.
 #[derive(Debug, Default)]
 struct Stored {
-    /// The version of the store to watch from; `None` before the first read, and after
-    /// a restore.
+    /// The store version to watch from; `None` before the first read, and after a
+    /// restore.
     after: Option<StoreVersion>,
-    /// The object's revision in the era that it was seen in.
+    /// The object's revision, in the era in which it was read.
     version: StoreVersion,
     quarantine: QuarantineObject,
 }
 
-struct QuarantineKeeper {
+struct QuarantineSyncer {
     relay: Arc<Relay>,
     stored: Stored,
 }
 
-impl QuarantineKeeper {
-    /// The next news of the store, or a pause; tells whether it was read.
+impl QuarantineSyncer {
+    /// Reads the next change from the store, or pauses; returns whether it was read.
     async fn read_next(&mut self) -> bool {
-        if self.relay.leaves_store() || self.relay.is_store_away.load(Ordering::Relaxed) {
+        if self.relay.skips_store() || self.relay.is_store_unavailable.load(Ordering::Relaxed) {
             let pause = if self.relay.awaits_peers() {
                 START_PAUSE
             } else {
@@ -90,25 +89,25 @@
             Ok(Versioned { version, value, .. }) => {
                 self.stored.after = Some(version);
                 if let Some(object) = value {
-                    self.take(&object);
+                    self.apply(&object);
                 }
                 return true;
             }
-            // It is read anew after a pause: a store may refuse each watch.
+            // It is read again after a pause, since a store may refuse each watch.
             Err(StoreError::Forgotten | StoreError::Outdated) => {
                 self.stored.after = None;
                 tokio::time::sleep(START_PAUSE).await;
             }
-            // A store that is away shows as a lost dependency already.
+            // The outage is logged by the tasks that read configuration and servers.
             Err(_) => tokio::time::sleep(PAUSE).await,
         }
         false
     }
 
-    /// Reads what the store has, in whichever era it is; tells whether it was read.
+    /// Reads what the store has, in its current era; returns whether it was read.
     async fn read_anew(&mut self) -> bool {
         let Ok(Versioned { version, value, .. }) = self.relay.store.quarantine().await else {
-            // A store that is away shows as a lost dependency already.
+            // The outage is logged by the tasks that read configuration and servers.
             tokio::time::sleep(PAUSE).await;
             return false;
         };
@@ -118,17 +117,17 @@
             quarantine: QuarantineObject::default(),
         };
         if let Some(object) = value {
-            self.take(&object);
+            self.apply(&object);
         }
         true
     }
 
-    /// Takes in what the store has in the era that was last read in.
-    fn take(&mut self, object: &Object) {
+    /// Applies an object of the era that was last read.
+    fn apply(&mut self, object: &Object) {
         let quarantine = match serde_json::from_value(object.value.clone()) {
             Ok(quarantine) => quarantine,
             Err(error) => {
-                self.note_unreadable(&error);
+                self.log_unreadable(&error);
                 QuarantineObject::default()
             }
         };
@@ -141,23 +140,24 @@
         }
     }
 
-    fn note_unreadable(&self, error: &serde_json::Error) {
+    fn log_unreadable(&self, error: &serde_json::Error) {
         if let Some(log) = self.relay.events.line(Weight::Notable) {
-            warn!(log, "quarantine: what the store has doesn't read";
+            warn!(log, "quarantine: the store's object can't be parsed";
                 "event" => "object_unreadable", "kind" => "quarantine", "cause" => %error);
         }
     }
 
-    /// Whether the store, as last seen, holds a request that has ended well.
+    /// Whether the stored object, as last seen, contains a request that has succeeded
+    /// since.
     fn stores_cleared(&self) -> bool {
         let quarantine = self.relay.quarantine.lock();
         let mut stored = self.stored.quarantine.requests();
         stored.any(|(signature, _)| quarantine.is_cleared(signature))
     }
 
-    /// Writes what is held here and isn't in the store, and what is to go.
+    /// Writes quarantined requests that the store lacks, and removes released ones.
     async fn write_missing(&mut self) {
-        for _ in 0..MAX_WRITES {
+        for _ in 0..MAX_WRITE_ATTEMPTS {
             let Some(quarantine) = self.missing() else {
                 return;
             };
@@ -171,24 +171,24 @@
                 }
                 Err(StoreError::Conflict {
                     current: Some(current),
-                }) => self.take(&current),
-                // It may have been written over what wasn't read.
+                }) => self.apply(&current),
+                // The write may have replaced an object that wasn't read.
                 Err(StoreError::Outdated) => {
                     self.read_anew().await;
                 }
-                // Read it anew: it may have been written all the same.
+                // The write may have taken effect all the same.
                 Err(_) => {
                     tokio::time::sleep(PAUSE).await;
                     self.read_anew().await;
                 }
             }
         }
-        // The next look tries again.
+        // The next pass tries again.
         self.relay.quarantine.store_pending.notify_one();
     }
 
-    /// The object with what is held here, if the store's lacks some of it or
-    /// holds what has ended well since.
+    /// The object to write, if the stored one lacks a quarantined request or contains one
+    /// that has succeeded since.
     fn missing(&self) -> Option<QuarantineObject> {
         let now = clock::now();
         let unix_now = clock::unix_now();
@@ -203,8 +203,8 @@
         let is_cleared = |signature| quarantine.is_cleared(signature);
         let stored = self.stored.quarantine.without(is_cleared);
         let wanted = stored.with(held, unix_now);
-        let is_news = signatures(&wanted) != signatures(&self.stored.quarantine);
-        is_news.then_some(wanted)
+        let is_changed = signatures(&wanted) != signatures(&self.stored.quarantine);
+        is_changed.then_some(wanted)
     }
 }
 
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -1,4 +1,8 @@
-//! What the parts of an instance share.
+//! State that the tasks of an instance share, and its updates.
+//!
+//! Configuration and server list are replaced as a whole in a snapshot ([`SiteView`]),
+//! which requests read without a lock. Changes wake the tasks that wait for them through
+//! watch channels.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -29,7 +33,6 @@
 use tokio::sync::watch;
 
 use crate::admission_gate::AdmissionGate;
-use crate::beliefs::ServerBeliefs;
 use crate::event_log::EventLog;
 use crate::event_log::Weight;
 use crate::event_log::millis;
@@ -39,8 +42,9 @@
 use crate::protocol::EngineReport;
 use crate::protocol::ServerProtocol;
 use crate::quarantine::RequestQuarantine;
-use crate::restarts::Restarts;
+use crate::restarts::RestartQueue;
 use crate::server_loss::ServerLoss;
+use crate::server_states::ServerStates;
 use crate::settings::RelaySettings;
 use crate::store::SiteStore;
 use crate::sync::PeerList;
@@ -48,52 +52,52 @@
 use crate::view::ServerTable;
 use crate::view::SiteView;
 
-/// Most servers named in a line that leave, and most that are gone.
-const MAX_DEPARTED_NAMED: usize = 8;
+/// Most servers named in a log line as leaving, and most as removed.
+const MAX_DEPARTED_LOGGED: usize = 8;
 
-/// State that all parts of an instance share.
+/// State shared by all tasks of an instance.
 pub(crate) struct Relay {
     pub(crate) settings: RelaySettings,
     pub(crate) protocol: Arc<dyn ServerProtocol>,
     pub(crate) store: TrackedStore,
     pub(crate) pool: UpstreamPool,
     pub(crate) view: ArcSwap<SiteView>,
-    /// What is believed of the servers.
-    pub(crate) beliefs: ServerBeliefs,
-    /// Requests under which servers ended.
+    /// What this instance currently assumes about each server.
+    pub(crate) states: ServerStates,
+    /// Requests under which servers crashed.
     pub(crate) quarantine: RequestQuarantine,
-    /// Permits for servers that named a limit.
+    /// Permits for servers that have given a limit.
     pub(crate) permits: Permits,
-    pub(crate) door: Arc<AdmissionGate>,
+    pub(crate) admission_gate: Arc<AdmissionGate>,
     pub(crate) events: Arc<EventLog>,
-    /// Raised whenever paths may have to be looked at again.
+    /// Incremented whenever paths may have to be checked again.
     pub(crate) fleet_changes: watch::Sender<u64>,
-    /// Raised whenever others are to be told of something at once: a newer configuration
-    /// or list of servers, or a server that leaves.
-    pub(crate) versions: watch::Sender<u64>,
+    /// Incremented whenever peers must be notified early: of a newer configuration or
+    /// server list, or of a leaving server.
+    pub(crate) urgent_changes: watch::Sender<u64>,
     /// Instances that share the site's budgets, this one included.
     pub(crate) instances: AtomicUsize,
     /// Those of them in the same failure domain.
-    pub(crate) near_instances: AtomicUsize,
+    pub(crate) local_instances: AtomicUsize,
     pub(crate) peers: Mutex<PeerTable>,
-    /// What has changed in the list of servers in force.
+    /// Recent changes of the active server list.
     pub(crate) list_history: Mutex<ListHistory>,
-    /// The newest list of servers that a peer gave.
+    /// The newest server list received from a peer.
     pub(crate) peer_servers: watch::Sender<Option<PeerList>>,
-    /// Engines that started again before their entries tell of it.
-    pub(crate) restarts: Restarts,
-    /// What this instance may send over the link between failure domains.
+    /// Engines that have restarted and whose entries don't show it yet.
+    pub(crate) restarts: RestartQueue,
+    /// Limits what this instance sends over the link between failure domains.
     pub(crate) link_pace: Mutex<LinkRateLimiter>,
-    /// Who gets the configuration, and the servers, from this instance.
+    /// Transfers of the configuration, and of the server list, to peers.
     pub(crate) config_source: Mutex<BodySource<u64>>,
     pub(crate) servers_source: Mutex<BodySource<ListVersion>>,
-    /// When a peer last told of a configuration or a list newer than this instance's.
+    /// When a peer last advertised a configuration or list newer than the active one.
     pub(crate) offered_at: Mutex<Option<Instant>>,
-    /// Whether this instance orders engines.
+    /// Whether this instance orders engines of the whole site.
     pub(crate) holds_lease: AtomicBool,
-    /// Whether this instance's last read of the configuration failed. Other
-    /// reads then wait for the next that succeeds.
-    pub(crate) is_store_away: AtomicBool,
+    /// Whether this instance's last read of the configuration failed. Other reads then
+    /// wait for the next one that succeeds.
+    pub(crate) is_store_unavailable: AtomicBool,
     pub(crate) started_at: Instant,
     leaving_since: OnceLock<Instant>,
     pub(crate) config_age: Mutex<ConfigAge>,
@@ -109,7 +113,7 @@
         events: EventLog,
     ) -> Self {
         let events = Arc::new(events);
-        let budget = settings.bounds.news_budget();
+        let budget = settings.bounds.propagation_budget();
         let link_mbps = settings.machine.link_mbps.unwrap_or_default();
         let peers = PeerTable::new(settings.listen.peers, settings.domain.clone())
             .capacity(settings.machine.capacity());
@@ -119,25 +123,25 @@
             store: TrackedStore::new(store, events.clone(), budget),
             pool: UpstreamPool::new(),
             view: ArcSwap::default(),
-            beliefs: ServerBeliefs::new(rand::random()),
+            states: ServerStates::new(rand::random()),
             quarantine: RequestQuarantine::default(),
             permits: Permits::new(rand::random()),
-            door: Arc::new(AdmissionGate::new()),
+            admission_gate: Arc::new(AdmissionGate::new()),
             events,
             fleet_changes: watch::Sender::new(0),
-            versions: watch::Sender::new(0),
+            urgent_changes: watch::Sender::new(0),
             instances: AtomicUsize::new(1),
-            near_instances: AtomicUsize::new(1),
+            local_instances: AtomicUsize::new(1),
             peers: Mutex::new(peers),
             list_history: Mutex::default(),
             peer_servers: watch::Sender::new(None),
-            restarts: Restarts::default(),
+            restarts: RestartQueue::default(),
             link_pace: Mutex::new(LinkRateLimiter::new(rand::random())),
             config_source: Mutex::new(BodySource::new().link_mbps(link_mbps)),
             servers_source: Mutex::new(BodySource::new().link_mbps(link_mbps)),
             offered_at: Mutex::default(),
             holds_lease: AtomicBool::new(false),
-            is_store_away: AtomicBool::new(false),
+            is_store_unavailable: AtomicBool::new(false),
             started_at: clock::now(),
             leaving_since: OnceLock::new(),
             config_age: Mutex::default(),
@@ -146,12 +150,12 @@
         }
     }
 
-    /// Whether the instance has been told to stop.
+    /// Whether the instance has been asked to stop.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving_since.get().is_some()
     }
 
-    /// How long ago it was told to stop.
+    /// Time since it was asked to stop.
     pub(crate) fn leaving_for(&self) -> Option<Duration> {
         self.leaving_since.get().copied().map(clock::since)
     }
@@ -170,13 +174,14 @@
         *lock(&self.config_age)
     }
 
-    /// A version was the newest at some time, seen here or told by a peer.
+    /// Records that a version was the newest at a time, as read here or reported by a
+    /// peer.
     pub(crate) fn confirm_config(&self, version: u64, at: Instant) {
         lock(&self.config_age).confirm(version, at);
     }
 
-    /// The list of servers in force was the newest at some time: it is of that version,
-    /// or of a later one.
+    /// Records that the active server list was the newest at a time: it has that version
+    /// or a later one.
     pub(crate) fn confirm_servers(&self, version: ListVersion, at: Instant) {
         let in_force = self.servers_version();
         if version.store.era != in_force.store.era || version > in_force {
@@ -190,18 +195,18 @@
         age.confirm(in_force, at);
     }
 
-    /// A configuration or a list that a peer gave says what the store had when both
-    /// were the newest. An instance that has just started relies on that until it hears
-    /// from the one that reads the store.
-    pub(crate) fn note_contact_by_bodies(&self) {
+    /// Derives contact with the store from bodies: a configuration and a list from a peer
+    /// show what the store contained when both were the newest. A starting instance
+    /// relies on that until its domain's store reader sends it a heartbeat.
+    pub(crate) fn record_contact_from_bodies(&self) {
         let config_at = lock(&self.config_age).confirmed_at();
         let servers_at = lock(&self.servers_age).confirmed_at();
         if let Some(at) = config_at.min(servers_at) {
-            self.store.hear_contact(at);
+            self.store.record_peer_contact(at);
         }
     }
 
-    /// Puts a newer configuration in force.
+    /// Activates a configuration if it is newer, and confirms its version as of `at`.
     pub(crate) fn adopt_config(&self, config: ServingConfig, source: &'static str, at: Instant) {
         let version = config.version;
         let before = self.config_version();
@@ -215,21 +220,21 @@
                 servers: view.servers.clone(),
             });
             if let Some(log) = self.events.line(Weight::Notable) {
-                info!(log, "config: a version is in force"; "event" => "config_adopted",
+                info!(log, "config: a version is active"; "event" => "config_adopted",
                     "version" => version, "before" => before, "source" => source,
                     "routes" => routes, "accounts" => accounts);
             }
-            self.note_unusable_figures(&index);
-            self.note_fleet_change();
+            self.log_unusable_figures(&index);
+            self.signal_fleet_change();
         }
         self.confirm_config(version, at);
         if is_newer {
-            self.versions.send_modify(|changes| *changes += 1);
+            self.urgent_changes.send_modify(|changes| *changes += 1);
         }
     }
 
-    /// Tells of accelerators that can't be planned with.
-    fn note_unusable_figures(&self, index: &ServingIndex) {
+    /// Logs accelerators whose figures can't be used for planning.
+    fn log_unusable_figures(&self, index: &ServingIndex) {
         for service in &index.config().services {
             let Some(model) = &service.model else {
                 continue;
@@ -237,7 +242,7 @@
             let kinds = model.kinds.iter();
             for kind in kinds.filter(|kind| !model.has_valid_figures(kind)) {
                 if let Some(log) = self.events.line(Weight::Notable) {
-                    warn!(log, "config: an accelerator's figures can't be reckoned with";
+                    warn!(log, "config: an accelerator's figures can't be used for planning";
                         "event" => "figures_unusable", "service" => &*service.name,
                         "accelerator" => &kind.name, "memory_mb" => kind.memory_mb,
                         "step_factor" => kind.step_factor, "read_factor" => kind.read_factor,
@@ -247,12 +252,12 @@
         }
     }
 
-    /// The version in force.
+    /// The version of the active configuration.
     pub(crate) fn config_version(&self) -> Option<u64> {
         self.view.load().config_version()
     }
 
-    /// The version of the list of servers in force; the lowest while there is none.
+    /// The version of the active server list; the lowest while there is none.
     pub(crate) fn servers_version(&self) -> ListVersion {
         self.view.load().servers_version()
     }
@@ -260,10 +265,10 @@
     /// Replaces the table of backend servers.
     pub(crate) fn adopt_servers(&self, servers: ServerTable, source: &'static str) {
         let servers = Arc::new(servers);
-        self.note_servers(&servers, source);
+        self.log_servers(&servers, source);
         lock(&self.list_history).set_current(servers.version(), servers.listed());
-        self.beliefs
-            .adopt(self.view.load().servers.as_deref(), &servers);
+        self.states
+            .apply_list(self.view.load().servers.as_deref(), &servers);
         self.update_view(|view| SiteView {
             index: view.index.clone(),
             servers: Some(servers.clone()),
@@ -271,19 +276,19 @@
         let is_known = |server| servers.get(server).is_some();
         self.pool.evict(clock::now(), is_known);
         self.permits.retain(is_known);
-        self.note_fleet_change();
-        self.versions.send_modify(|changes| *changes += 1);
+        self.signal_fleet_change();
+        self.urgent_changes.send_modify(|changes| *changes += 1);
     }
 
-    /// Tells which list of servers is in force from now on, and whom it takes out of
-    /// use.
-    fn note_servers(&self, servers: &ServerTable, source: &'static str) {
+    /// Logs the newly active server list, and the servers that leave or are removed with
+    /// it.
+    fn log_servers(&self, servers: &ServerTable, source: &'static str) {
         if let Some(log) = self.events.line(Weight::Notable) {
             let before = self.view.load();
-            let departed = servers.departed_since(before.servers.as_deref(), MAX_DEPARTED_NAMED);
-            info!(log, "directory: a list of servers is in force"; "event" => "servers_adopted",
+            let departed = servers.departed_since(before.servers.as_deref(), MAX_DEPARTED_LOGGED);
+            info!(log, "directory: a list of servers is active"; "event" => "servers_adopted",
                 "version" => %servers.version(), "source" => source, "servers" => servers.all().len(),
-                "leaving" => departed.leaving.join(","), "gone" => departed.gone.join(","));
+                "leaving" => departed.leaving.join(","), "gone" => departed.removed.join(","));
         }
     }
 
@@ -291,30 +296,31 @@
         self.view.rcu(|view| Arc::new(update(view)));
     }
 
-    /// Wakes the streams, so that they look at their paths again.
-    pub(crate) fn note_fleet_change(&self) {
+    /// Wakes the streams, so that they check their paths again.
+    pub(crate) fn signal_fleet_change(&self) {
         self.fleet_changes.send_modify(|changes| *changes += 1);
     }
 
-    /// A server didn't answer at all: it is out until a probe finds it.
+    /// Records that a server didn't answer: it counts as unresponsive until a probe
+    /// succeeds.
     pub(crate) fn server_lost(&self, server: ServerKey, loss: &ServerLoss) {
-        if loss.is_end() {
+        if loss.is_exit() {
             self.record_server_exit(server);
         }
-        if !self.beliefs.health().lost(server, clock::now()) {
+        if !self.states.health().lost(server, clock::now()) {
             return;
         }
         if let Some(log) = self.events.line(Weight::Notable) {
             warn!(log, "health: a server doesn't answer"; "event" => "server_lost",
-                "server" => %server.addr, "cause" => %loss, "ended" => loss.is_end());
+                "server" => %server.addr, "cause" => %loss, "ended" => loss.is_exit());
         }
-        self.note_fleet_change();
+        self.signal_fleet_change();
     }
 
-    /// Another process answers than the one that is listed: what was sent to
-    /// that one is lost. A later start is taken in before its entry shows it.
-    pub(crate) fn other_start_answered(&self, server: ServerKey, report: &EngineReport) {
-        self.server_lost(server, &ServerLoss::OtherStart);
+    /// Records that another process answers than the listed one: what was sent to the
+    /// listed one is lost. A later incarnation is used before its entry shows it.
+    pub(crate) fn other_incarnation_answered(&self, server: ServerKey, report: &EngineReport) {
+        self.server_lost(server, &ServerLoss::OtherIncarnation);
         let view = self.view.load();
         let Some(entry) = view.server(server) else {
             return;
@@ -333,16 +339,16 @@
         if self.restarts.push(restarted)
             && let Some(log) = self.events.line(Weight::Notable)
         {
-            info!(log, "health: a server has started again"; "event" => "server_restarted",
+            info!(log, "health: a server has restarted"; "event" => "server_restarted",
                 "server" => &*entry.id, "addr" => %server.addr, "source" => "report",
                 "incarnation" => report.incarnation, "before" => entry.incarnation);
         }
     }
 
-    /// A server answered.
+    /// Records that a server answered.
     pub(crate) fn server_answered(&self, server: ServerKey) {
-        self.beliefs.broken_runs.server_answered(server);
-        let mut health = self.beliefs.health();
+        self.states.broken_runs.server_answered(server);
+        let mut health = self.states.health();
         let out_since = health.unresponsive_since(server);
         health.succeeded(server, clock::now());
         drop(health);
@@ -353,6 +359,6 @@
             info!(log, "health: a server answers again"; "event" => "server_regained",
                 "server" => %server.addr, "away_ms" => millis(clock::since(since)));
         }
-        self.note_fleet_change();
+        self.signal_fleet_change();
     }
 }
--- a/crates/rookferry_relay/src/request_handler.rs
+++ b/crates/rookferry_relay/src/request_handler.rs
@@ -84,12 +84,12 @@
             ServeOutcome::Withdrawn => {}
         }
     }
-    refuse(&relay, relay.unknown_site(), &head, received_at)
+    refuse(&relay, relay.unknown_site_refusal(), &head, received_at)
 }
 
 /// Waits until a newly started instance has a configuration and a list of servers.
 async fn await_start(relay: &Relay, longest: Duration) {
-    let mut changes = relay.versions.subscribe();
+    let mut changes = relay.urgent_changes.subscribe();
     let known = async { while relay.is_starting() && changes.changed().await.is_ok() {} };
     // Admission checks the result, also after a timeout.
     let _ = tokio::time::timeout(longest, known).await;
@@ -111,7 +111,7 @@
 async fn read_body(relay: &Relay, inbound: &mut Inbound) -> Result<bytes::Bytes, Refusal> {
     let view = relay.view.load_full();
     let Some(index) = &view.index else {
-        return Err(relay.unknown_site());
+        return Err(relay.unknown_site_refusal());
     };
     let limits = index.config().limits;
     let read = inbound.read_body(limits.max_body_bytes, limits.head_timeout);
@@ -139,7 +139,7 @@
     let view = relay.view.load_full();
     // A configuration that may be outdated must neither admit nor refuse by its rules.
     let known = view.index.as_ref().filter(|_| relay.knows_site());
-    let index = known.ok_or_else(|| relay.unknown_site())?;
+    let index = known.ok_or_else(|| relay.unknown_site_refusal())?;
     let host = host_header(&inbound.headers)
         .ok_or(Refusal::BadRequest("the Host header is missing or invalid"))?;
     let route = index
--- a/crates/rookferry_relay/src/server_loss.rs
+++ b/crates/rookferry_relay/src/server_loss.rs
@@ -1,26 +1,26 @@
-//! Why a server counts as lost.
+//! Reasons for which a server counts as lost.
 
 use std::fmt;
 
 use crate::upstream::UpstreamError;
 
-/// What showed that a server can't be used.
+/// Evidence that a server can't be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ServerLoss {
-    /// Nothing listens at its address: the process has ended.
+    /// Nothing listens at its address: the process has exited.
     Refused,
-    /// Another start of it answers: the process has ended.
-    OtherStart,
-    /// It answers, without the layers that its entry tells of.
-    LayersGone,
-    /// It didn't answer, which a cut between here and there explains as well.
+    /// Another incarnation answers at its address: the process has exited.
+    OtherIncarnation,
+    /// It answers, but without the layers that its entry lists.
+    LayersMissing,
+    /// It didn't answer, which a network partition explains as well. Contains the cause.
     Unreachable(String),
 }
 
 impl ServerLoss {
-    /// Whether the process has ended.
-    pub(crate) const fn is_end(&self) -> bool {
-        matches!(self, Self::Refused | Self::OtherStart)
+    /// Whether it proves that the process has exited.
+    pub(crate) const fn is_exit(&self) -> bool {
+        matches!(self, Self::Refused | Self::OtherIncarnation)
     }
 }
 
@@ -37,8 +37,8 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Refused => formatter.write_str("it refuses connections"),
-            Self::OtherStart => formatter.write_str("another start of it answers"),
-            Self::LayersGone => formatter.write_str("it doesn't hold its layers any more"),
+            Self::OtherIncarnation => formatter.write_str("another incarnation of it answers"),
+            Self::LayersMissing => formatter.write_str("it doesn't hold its layers any more"),
             Self::Unreachable(cause) => formatter.write_str(cause),
         }
     }
--- a/crates/rookferry_relay/src/beliefs.rs
+++ b/crates/rookferry_relay/src/server_states.rs
@@ -1,11 +1,10 @@
-//! What this instance believes of the servers beside their entries.
+//! What this instance currently assumes about the servers, beyond their entries.
 //!
-//! All of it is kept by [`ServerKey`], so a process that starts again begins
-//! with nothing against it. Where sources differ, the later word counts: a sign
-//! of life after a doubt, accepted work after a refusal, a report by its age. An
-//! entry that says something new ends a refusal's effect, and one that goes
-//! takes all that was believed of its server along, so that memory is bounded
-//! by the servers in use.
+//! Everything is keyed by [`ServerKey`], so a restarted process starts with a clean
+//! state. Where sources differ, the later statement wins: liveness evidence after a
+//! suspicion, accepted work after a refusal, a report by its age. An entry with new
+//! content ends the effect of a refusal, and the state of a removed entry is dropped, so
+//! memory is bounded by the servers in use.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,47 +28,47 @@
 use rookferry_net::clock;
 
 use crate::broken_runs::BrokenRunTable;
+use crate::liveness::LivenessTable;
 use crate::load::LoadTable;
 use crate::mutex::lock;
-use crate::signs::Signs;
 use crate::view::ServerTable;
 
-/// What is believed of servers.
+/// What this instance currently assumes about the servers.
 #[derive(Debug)]
-pub(crate) struct ServerBeliefs {
-    /// What requests met at each.
+pub(crate) struct ServerStates {
+    /// Results of requests, by server.
     health: Mutex<ServerHealth>,
-    /// Those that take no new work.
-    closed: Mutex<RefusingServers>,
-    /// Those that others of the failure domain have trouble with.
-    doubted: ArcSwap<SuspectedServers>,
-    /// The backoffs that they asked this instance for.
+    /// Servers that accept no new work although their load was low.
+    refusing: Mutex<RefusingServers>,
+    /// Servers that peers of the failure domain suspect.
+    suspected: ArcSwap<SuspectedServers>,
+    /// Backoffs that servers requested from this instance.
     backoffs: ArcSwap<Backoffs<ServerKey>>,
-    /// Those that leave.
+    /// Servers that are leaving.
     departed: ArcSwap<DepartedServers>,
-    /// The requests a second that they take of all instances together.
+    /// Requests per second that servers accept from all instances together.
     limits: ArcSwap<ServerLimits>,
-    /// When each last gave a sign, and what it reported.
-    pub(crate) signs: Signs,
-    /// Runs that broke, until it is known whether their servers have ended.
+    /// When each last gave liveness evidence, and its last report.
+    pub(crate) liveness: LivenessTable,
+    /// Broken runs, until it is known whether their servers have exited.
     pub(crate) broken_runs: BrokenRunTable,
-    /// What this instance has under way at each.
+    /// Load that this instance has in flight, by server.
     pub(crate) loads: LoadTable,
-    /// What the others have.
+    /// Load that the peers have in flight, by server.
     peer_loads: ArcSwap<BTreeMap<ServerKey, ServerLoad>>,
 }
 
-impl ServerBeliefs {
-    /// Nothing is believed. `chance`, from 0 to 1, is the instance's own.
+impl ServerStates {
+    /// Starts without any state. `chance`, from 0 to 1, is random per instance.
     pub(crate) fn new(chance: f64) -> Self {
         Self {
             health: Mutex::new(ServerHealth::new()),
-            closed: Mutex::new(RefusingServers::new(chance)),
-            doubted: ArcSwap::default(),
+            refusing: Mutex::new(RefusingServers::new(chance)),
+            suspected: ArcSwap::default(),
             backoffs: ArcSwap::default(),
             departed: ArcSwap::default(),
             limits: ArcSwap::default(),
-            signs: Signs::new(),
+            liveness: LivenessTable::new(),
             broken_runs: BrokenRunTable::default(),
             loads: LoadTable::default(),
             peer_loads: ArcSwap::default(),
@@ -80,102 +79,105 @@
         lock(&self.health)
     }
 
-    pub(crate) fn closed(&self) -> MutexGuard<'_, RefusingServers> {
-        lock(&self.closed)
+    pub(crate) fn refusing(&self) -> MutexGuard<'_, RefusingServers> {
+        lock(&self.refusing)
     }
 
-    pub(crate) fn doubted(&self) -> Arc<SuspectedServers> {
-        self.doubted.load_full()
+    pub(crate) fn suspected(&self) -> Arc<SuspectedServers> {
+        self.suspected.load_full()
     }
 
-    /// The backoffs that servers asked for.
+    /// The backoffs that servers requested.
     pub(crate) fn backoffs(&self) -> Guard<Arc<Backoffs<ServerKey>>> {
         self.backoffs.load()
     }
 
-    /// The servers that leave.
+    /// The servers that are leaving.
     pub(crate) fn departed(&self) -> Guard<Arc<DepartedServers>> {
         self.departed.load()
     }
 
-    /// A server asked for a backoff; tells how long it is.
-    pub(crate) fn back_off(&self, server: ServerKey, asked: Duration) -> Duration {
+    /// Records a backoff that a server requested; returns its length.
+    pub(crate) fn back_off(&self, server: ServerKey, requested: Duration) -> Duration {
         update(&self.backoffs, |backoffs| {
-            backoffs.back_off(server, asked, clock::now())
+            backoffs.back_off(server, requested, clock::now())
         })
     }
 
-    /// How much longer to back off from a server, if at all.
+    /// The time left to back off from a server; `None` if there is no backoff.
     pub(crate) fn backoff_left(&self, server: ServerKey) -> Option<Duration> {
         self.backoffs.load().left(server, clock::now())
     }
 
-    /// A server said that it leaves. Tells whether that is news.
-    pub(crate) fn note_leaving(&self, server: ServerKey) -> bool {
-        // Each of its answers says so.
+    /// Records that a server says that it is leaving. Returns whether that is new.
+    pub(crate) fn record_leaving(&self, server: ServerKey) -> bool {
+        // Every answer of the server repeats it.
         !self.departed.load().contains(server)
             && update(&self.departed, |departed| {
                 departed.record(server, Departure::Leaving, clock::now())
             })
     }
 
-    /// Takes another instance's word on a server that leaves in. Tells whether that is
-    /// news.
-    pub(crate) fn hear_departure(&self, seen: DepartureObservation) -> bool {
-        // Each heartbeat tells the same again.
+    /// Records a departure that a peer reports. Returns whether that is new.
+    pub(crate) fn record_peer_departure(&self, seen: DepartureObservation) -> bool {
+        // Every heartbeat repeats it.
         !self.departed.load().knows(seen.server, seen.departure)
             && update(&self.departed, |departed| {
                 departed.merge(seen, clock::now())
             })
     }
 
-    /// Whether a server leaves, by its entry, its own answers or others' word.
+    /// Whether a server is leaving, by its entry, its own answers or peers' reports.
     pub(crate) fn is_leaving(&self, server: &BackendServer) -> bool {
         server.is_leaving || self.departed.load().contains(server.key)
     }
 
-    /// The limits that servers named.
+    /// The limits that servers have given.
     pub(crate) fn limits(&self) -> Guard<Arc<ServerLimits>> {
         self.limits.load()
     }
 
-    /// Takes a word on a server's limit in.
+    /// Changes the servers' limits; `take` may run more than once.
     pub(crate) fn update_limits<T: Default>(&self, take: impl Fn(&mut ServerLimits) -> T) -> T {
         update(&self.limits, take)
     }
 
-    /// What other instances have under way at a server.
+    /// The load that other instances have in flight at a server.
     pub(crate) fn peer_load(&self, server: ServerKey) -> ServerLoad {
         let loads = self.peer_loads.load();
         loads.get(&server).copied().unwrap_or_default()
     }
 
-    /// Takes the others' word in, as last summed.
-    pub(crate) fn hear(&self, loads: BTreeMap<ServerKey, ServerLoad>, doubted: SuspectedServers) {
+    /// Replaces the peers' summed loads and their suspicions.
+    pub(crate) fn update_from_peers(
+        &self,
+        loads: BTreeMap<ServerKey, ServerLoad>,
+        suspected: SuspectedServers,
+    ) {
         self.peer_loads.store(Arc::new(loads));
-        self.doubted.store(Arc::new(doubted));
+        self.suspected.store(Arc::new(suspected));
     }
 
-    /// The list of servers changed: forgets refusals of those whose entries say
-    /// something new, and all of those that aren't in it.
-    pub(crate) fn adopt(&self, before: Option<&ServerTable>, servers: &ServerTable) {
-        let mut closed = self.closed();
+    /// Follows a changed server list: discards refusals of servers whose entries have
+    /// changed, and all state of servers that aren't in it.
+    pub(crate) fn apply_list(&self, before: Option<&ServerTable>, servers: &ServerTable) {
+        let mut refusing = self.refusing();
         for server in servers.all() {
             let known = before.and_then(|before| before.get(server.key));
             if !known.is_some_and(|known| known.has_same_content(server)) {
-                closed.entry_changed(server.key);
+                refusing.entry_changed(server.key);
             }
         }
         let is_known = |server| servers.get(server).is_some();
-        closed.retain(is_known);
-        drop(closed);
+        refusing.retain(is_known);
+        drop(refusing);
         self.health().retain(is_known);
-        self.signs.retain(is_known);
+        self.liveness.retain(is_known);
         if !self.backoffs.load().is_empty() {
             update(&self.backoffs, |backoffs| backoffs.expire(clock::now()));
         }
         update(&self.departed, |departed| {
-            note_departures(departed, before, servers);
+            record_departures(departed, before, servers);
         });
         if !self.limits.load().is_empty() {
             self.update_limits(|limits| limits.retain(clock::now(), is_known));
@@ -183,8 +185,8 @@
     }
 }
 
-/// What a new list says of servers that leave.
-fn note_departures(
+/// Records the departures that follow from a new list.
+fn record_departures(
     departed: &mut DepartedServers,
     before: Option<&ServerTable>,
     servers: &ServerTable,
@@ -195,7 +197,8 @@
     for server in servers.all().iter().filter(|server| server.is_leaving) {
         departed.record(server.key, Departure::Leaving, now);
     }
-    // The list is as it was where a newer configuration has no use for some.
+    // The list itself is unchanged if only a newer configuration makes some entries
+    // unusable.
     let before = before.filter(|before| before.version() < version);
     let before = before.map_or(&[][..], |before| before.all());
     for server in before {
@@ -205,7 +208,7 @@
     }
 }
 
-/// Changes a copy and puts it in the place of the value; the change may run again.
+/// Changes a copy of the value and stores it; `change` may run more than once.
 fn update<V: Clone, T: Default>(value: &ArcSwap<V>, change: impl Fn(&mut V) -> T) -> T {
     let mut outcome = T::default();
     value.rcu(|value| {
--- a/crates/rookferry_relay/src/stream.rs
+++ b/crates/rookferry_relay/src/stream.rs
@@ -201,7 +201,7 @@
                     let first = self.supervisor.path().first().server;
                     self.target
                         .relay
-                        .beliefs
+                        .states
                         .health()
                         .failed(first, clock::now());
                     self.avoided.push(first);
@@ -251,7 +251,10 @@
         if self.first_event_at.is_none() {
             self.first_event_at = Some(now);
             let service = &self.target.service.name;
-            self.target.relay.door.record_first_event(service, stalled);
+            self.target
+                .relay
+                .admission_gate
+                .record_first_event(service, stalled);
             let wait = now.saturating_duration_since(self.target.request.received_at);
             let route = self.target.request.route.name.to_string();
             histogram!("rookferry_first_event_seconds", "route" => route)
--- a/crates/rookferry_relay/src/stream_opener/admission.rs
+++ b/crates/rookferry_relay/src/stream_opener/admission.rs
@@ -42,7 +42,7 @@
     /// for as long as the site is over its capacity. None if no engines cover the layers.
     pub(super) async fn choose_with_free_cache(&self) -> Result<Option<PipelinePath>, Refusal> {
         let request = &self.target.request;
-        let gate = &self.target.relay.door;
+        let gate = &self.target.relay.admission_gate;
         let service = &self.target.service.name;
         let objective = request.route.latency_objective;
         let mut full = None;
@@ -144,7 +144,7 @@
 
     /// Refuses a request that can't meet its objective in the queue.
     fn refuse_overloaded(&self, full: Option<&PipelineEngine>, entry: &QueueEntry) -> Refusal {
-        let overload = self.target.relay.door.refuse();
+        let overload = self.target.relay.admission_gate.refuse();
         let request = &self.target.request;
         if let Some(log) = self.target.relay.events.line(Weight::Notable) {
             warn!(log, "stream: refused, the engines' caches are full"; "event" => "no_room",
--- a/crates/rookferry_relay/src/stream_opener/mod.rs
+++ b/crates/rookferry_relay/src/stream_opener/mod.rs
@@ -159,7 +159,7 @@
                     self.log_failed_try(&supervisor.describe(), answer.status.as_str());
                     self.target
                         .relay
-                        .beliefs
+                        .states
                         .health()
                         .failed(first, clock::now());
                     let is_final = !(answer.status.is_server_error() && may_repeat)
@@ -211,7 +211,7 @@
         self.avoided.push(first);
         let now = clock::now();
         if error.is_connection_limit() {
-            relay.beliefs.health().refused(first, now);
+            relay.states.health().refused(first, now);
             return true;
         }
         if error.is_local_refusal() {
@@ -233,7 +233,7 @@
             };
             relay.record_broken_run(request, broken);
         }
-        relay.beliefs.health().failed(first, now);
+        relay.states.health().failed(first, now);
         request.route.repeatability.may_repeat() && self.runs < request.route.max_servers.max(1)
     }
 
--- a/crates/rookferry_relay/src/stream_opener/refusals.rs
+++ b/crates/rookferry_relay/src/stream_opener/refusals.rs
@@ -32,7 +32,7 @@
         // The engine may have exited, or restarted without its layers. Its directory
         // entry shows that seconds later, or, while the store is unavailable, not at all.
         if has_free_cache || refusing != first {
-            probe::check_soon(relay, refusing);
+            probe::spawn_check(relay, refusing);
         }
     }
 
@@ -57,12 +57,12 @@
                 .find(home, tokens)
                 .is_ok()
         };
-        let wait = relay.wait_ends(table, service, urgency, now);
-        if wait.ends.is_empty() || has_path(now) {
+        let wait = relay.retry_times(table, service, urgency, now);
+        if wait.times.is_empty() || has_path(now) {
             return None;
         }
         // A binary search: with hundreds of backoffs only a few paths are searched.
-        let first = wait.ends.partition_point(|end| !has_path(*end));
-        Some(wait.refusal(*wait.ends.get(first)?, now))
+        let first = wait.times.partition_point(|end| !has_path(*end));
+        Some(wait.refusal(*wait.times.get(first)?, now))
     }
 }
--- a/crates/rookferry_relay/src/sync/servers.rs
+++ b/crates/rookferry_relay/src/sync/servers.rs
@@ -1,4 +1,9 @@
-//! Keeps the list of backend servers.
+//! Keeps the list of backend servers in step with the store and the peers.
+//!
+//! Updates come from the store (lists and watches), from peers (whole lists), and from
+//! engines' reports of a restart. The result is a [`ServerTable`] that is activated in
+//! the relay. An entry whose removal may be an artefact of an outage or a restore is
+//! retained for a grace period.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -18,97 +23,98 @@
 use slog::warn;
 use tokio::sync::watch;
 
-use super::look_pause;
 use super::outage::Outage;
+use super::poll_interval;
 use crate::event_log::Weight;
 use crate::relay::Relay;
 use crate::store::StoreError;
 use crate::tracked_store::Versioned;
 use crate::view::ServerTable;
 
-/// Pause after news of servers, in which more of a burst gathers; a
-/// twentieth of the time in which leaving servers must be heard of.
-const BURST: Duration = Duration::from_millis(100);
-/// How long after an outage removals may be lapses; they show in the first
-/// answers, and a later removal is a server that left.
-const LAPSES_AFTER: Duration = Duration::from_millis(300);
-/// Heartbeats of a server without which its entry goes, and one for the way.
+/// Pause after a change, in which more changes of a burst accumulate; a twentieth of the
+/// time in which leaving servers must be known.
+const BURST_WINDOW: Duration = Duration::from_millis(100);
+/// How long after an outage a removed entry may only have lapsed. Lapses show in the
+/// first answers; a later removal is a server that left.
+const LAPSE_WINDOW: Duration = Duration::from_millis(300);
+/// Missed heartbeats of a server after which its entry lapses, plus one for the delay of
+/// the message.
 const HEARTBEATS_TO_LAPSE: u32 = 4;
 
-/// A list that a peer gives.
+/// A server list received from a peer.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerList {
     pub(crate) version: ListVersion,
     pub(crate) servers: Vec<BackendServer>,
-    /// When it was known to be the newest, if ever.
+    /// When it was last known to be the newest, if ever.
     pub(crate) newest_at: Option<Instant>,
 }
 
-/// Keeps the backend servers.
+/// Keeps the list of backend servers until the process exits.
 ///
-/// The store is read beside everything else: while a call is awaited, and in the
-/// pauses between calls, peers' lists and all other news are taken in.
-pub(crate) async fn keep_servers(relay: Arc<Relay>) {
-    let mut keeper = ServersKeeper::new(relay.clone());
+/// The store is read concurrently with all other input: peers' lists and other updates
+/// are applied while a call is in flight and in the pauses between calls.
+pub(crate) async fn sync_servers(relay: Arc<Relay>) {
+    let mut syncer = ServerListSyncer::new(relay.clone());
     let mut from_peers = relay.peer_servers.subscribe();
-    let mut reading = Box::pin(keeper.next_read());
+    let mut reading = Box::pin(syncer.next_read());
     loop {
-        let before = keeper.after;
+        let before = syncer.after;
         let has_read = tokio::select! {
-            // A store that refuses at once must not keep peers' lists out.
+            // A store that refuses at once must not starve the peers' lists.
             biased;
-            read = next_list(&relay, &mut from_peers) => {
-                keeper.take(Ok(read));
+            read = next_peer_list(&relay, &mut from_peers) => {
+                syncer.apply(Ok(read));
                 false
             }
             servers = relay.restarts.next() => {
-                keeper.take(Ok(Read::Restarted(servers)));
+                syncer.apply(Ok(ListUpdate::Restarted(servers)));
                 false
             }
-            () = other_config(&relay, keeper.judged_by), if keeper.after.is_some() => {
-                keeper.take(Ok(Read::OtherConfig));
+            () = config_changed(&relay, syncer.filtered_by), if syncer.after.is_some() => {
+                syncer.apply(Ok(ListUpdate::ConfigChanged));
                 false
             }
-            () = until(keeper.expires_at()) => {
-                keeper.take(Ok(Read::Expiring));
+            () = sleep_until(syncer.expires_at()) => {
+                syncer.apply(Ok(ListUpdate::EntriesExpired));
                 false
             }
             read = &mut reading => {
-                keeper.take(read);
+                syncer.apply(read);
                 true
             }
         };
-        if has_read || keeper.after != before {
-            reading = Box::pin(keeper.next_read());
+        if has_read || syncer.after != before {
+            reading = Box::pin(syncer.next_read());
         }
     }
 }
 
-/// Waits for a moment, or for ever.
-async fn until(at: Option<Instant>) {
+/// Waits until a time; forever if there is none.
+async fn sleep_until(at: Option<Instant>) {
     match at {
         Some(at) => clock::sleep_until(at).await,
         None => std::future::pending().await,
     }
 }
 
-/// What an instance knows of the backend servers.
-struct ServersKeeper {
+/// State of the server list on this instance.
+struct ServerListSyncer {
     relay: Arc<Relay>,
     directory: Directory,
-    /// The version of the store to watch from; `None` if all is to be listed.
+    /// The store version to watch from; `None` if everything must be listed.
     after: Option<StoreVersion>,
     /// The version of the list.
     version: ListVersion,
     /// When the store may be read next.
     read_at: Instant,
     outage: Outage,
-    doubtful: DoubtfulTimes,
-    /// The configuration that says which entries are the site's.
-    judged_by: Option<u64>,
+    uncertain: UncertainPeriods,
+    /// Version of the configuration that determined which entries are usable.
+    filtered_by: Option<u64>,
 }
 
-impl ServersKeeper {
+impl ServerListSyncer {
     fn new(relay: Arc<Relay>) -> Self {
         Self {
             relay,
@@ -117,145 +123,150 @@
             version: ListVersion::default(),
             read_at: clock::now(),
             outage: Outage::none("store: servers"),
-            doubtful: DoubtfulTimes::default(),
-            judged_by: None,
+            uncertain: UncertainPeriods::default(),
+            filtered_by: None,
         }
     }
 
-    /// The next call to the store.
-    fn next_read(&self) -> impl Future<Output = Result<Read, StoreError>> + use<> {
+    /// The next call to the store, after its pause and backoff.
+    fn next_read(&self) -> impl Future<Output = Result<ListUpdate, StoreError>> + use<> {
         let (relay, after, read_at) = (self.relay.clone(), self.after, self.read_at);
-        let (counts_as_away, failures) = (self.outage.is_begun(), self.outage.failures());
+        let (is_outage, failures) = (self.outage.is_active(), self.outage.failures());
         async move {
             clock::sleep_until(read_at).await;
-            failures.wait_in_line(&relay).await;
-            read_servers(&relay, after, counts_as_away).await
+            failures.wait_backoff(&relay).await;
+            read_servers(&relay, after, is_outage).await
         }
     }
 
-    /// When entries' time is over, if it is running for some.
+    /// When the first lapsed entry expires, if there is one.
     fn expires_at(&self) -> Option<Instant> {
         let grace = self.relay.settings.bounds.lapse_grace();
         self.directory.expires_at(grace)
     }
 
-    /// Takes news in, and puts a new list in force if anything changed.
-    fn take(&mut self, read: Result<Read, StoreError>) {
+    /// Applies an update, and activates a new list if anything changed.
+    fn apply(&mut self, read: Result<ListUpdate, StoreError>) {
         let now = clock::now();
-        let source = read.as_ref().map_or("store", Read::source);
-        let is_from_peer = matches!(read, Ok(Read::Peer(_)));
-        let newest_at = read.as_ref().ok().and_then(Read::newest_at);
+        let source = read.as_ref().map_or("store", ListUpdate::source);
+        let is_from_peer = matches!(read, Ok(ListUpdate::Peer(_)));
+        let newest_at = read.as_ref().ok().and_then(ListUpdate::newest_at);
         let is_changed = match read {
-            Ok(Read::StoreAway) => {
+            Ok(ListUpdate::StoreUnavailable) => {
                 let cause = "the configuration can't be read either";
                 self.outage.begin(&self.relay, &cause);
                 false
             }
-            Ok(read) => self.take_read(read, now),
+            Ok(read) => self.apply_update(read, now),
             Err(StoreError::Forgotten | StoreError::Outdated) => {
                 self.after = None;
-                self.outage.watch_refused();
+                self.outage.record_refused_watch();
                 false
             }
             Err(error) => {
-                self.outage.failed(&self.relay, &error);
+                self.outage.record_failure(&self.relay, &error);
                 false
             }
         };
         let grace = self.relay.settings.bounds.lapse_grace();
         let expired = self.directory.expire(now, grace);
         for id in &expired.removed {
-            note_removed(&self.relay, id, "it did not come back after the outage");
+            log_removed(
+                &self.relay,
+                id,
+                "its entry did not come back after the outage",
+            );
         }
         if !expired.is_empty() {
             self.version = self.version.changed();
         }
         if is_changed || !expired.is_empty() {
-            self.put_in_force(source);
+            self.activate(source);
         }
         if let Some(newest_at) = newest_at {
             self.relay.confirm_servers(self.version, newest_at);
             if is_from_peer {
-                self.relay.note_contact_by_bodies();
+                self.relay.record_contact_from_bodies();
             }
         }
     }
 
-    /// Takes news in; tells whether anything changed.
-    fn take_read(&mut self, read: Read, now: Instant) -> bool {
+    /// Applies an update; returns whether anything changed.
+    fn apply_update(&mut self, read: ListUpdate, now: Instant) -> bool {
         let is_from_store = read.is_from_store();
         if is_from_store {
             self.read_at = now;
-            if self.outage.ended(&self.relay) {
-                self.doubtful.outage_ended(now);
+            if self.outage.record_success(&self.relay) {
+                self.uncertain.record_outage_end(now);
             }
-            if matches!(read, Read::Changes(_)) {
-                self.outage.watch_went_on();
+            if matches!(read, ListUpdate::Changes(_)) {
+                self.outage.record_watch();
             }
         }
         let version = read.version();
         if let Some(version) = version {
             let store = version.store;
-            self.relay.store.hear_era(store.era);
-            self.doubtful.listed(&self.relay, store.era, now);
+            self.relay.store.record_peer_era(store.era);
+            self.uncertain.record_era(&self.relay, store.era, now);
             self.after = Some(store);
         }
-        let is_changed = take_in(&self.relay, &mut self.directory, read, &self.doubtful, now);
+        let is_changed =
+            update_directory(&self.relay, &mut self.directory, read, &self.uncertain, now);
         if let Some(version) = version.filter(|_| is_changed) {
             self.version = version;
         }
         if is_changed && is_from_store {
-            // Entries change in bursts; one call brings those that follow.
-            self.read_at = now + BURST;
+            // Entries change in bursts; one later call returns the rest of the burst.
+            self.read_at = now + BURST_WINDOW;
         }
         is_changed
     }
 
-    fn put_in_force(&mut self, source: &'static str) {
+    fn activate(&mut self, source: &'static str) {
         let view = self.relay.view.load_full();
         let is_usable = |server: &BackendServer| view.is_usable(server);
         let unusable = self.directory.unusable(is_usable).cloned().collect();
         let servers = self.directory.in_use(is_usable);
         let table = ServerTable::new(self.version, servers, unusable);
-        self.judged_by = view.config_version();
+        self.filtered_by = view.config_version();
         self.relay.adopt_servers(table, source);
     }
 }
 
-/// Times in which what the store shows of servers is doubtful.
+/// Periods in which the store's view of the servers may be wrong.
 #[derive(Debug, Default)]
-struct DoubtfulTimes {
-    /// Until when removals may be lapses.
+struct UncertainPeriods {
+    /// Until when a removed entry may only have lapsed.
     lapses_until: Option<Instant>,
-    /// The era that the list is of.
+    /// The era of the list.
     era: Option<StoreEra>,
-    /// Until when entries may be as they once were.
-    old_until: Option<Instant>,
+    /// Until when entries may have outdated content.
+    stale_until: Option<Instant>,
 }
 
-impl DoubtfulTimes {
-    fn outage_ended(&mut self, now: Instant) {
-        self.lapses_until = Some(now + LAPSES_AFTER);
+impl UncertainPeriods {
+    fn record_outage_end(&mut self, now: Instant) {
+        self.lapses_until = Some(now + LAPSE_WINDOW);
     }
 
-    /// A list or changes of an era came.
-    fn listed(&mut self, relay: &Relay, era: StoreEra, now: Instant) {
+    /// Records the era of a received list or change.
+    fn record_era(&mut self, relay: &Relay, era: StoreEra, now: Instant) {
         let before = self.era.replace(era);
         if before.is_some_and(|before| before != era) {
             let heartbeat = Duration::from_millis(relay.settings.bounds.heartbeat_ms);
-            self.lapses_until = Some(now + LAPSES_AFTER);
-            self.old_until = Some(now + heartbeat * HEARTBEATS_TO_LAPSE);
+            self.lapses_until = Some(now + LAPSE_WINDOW);
+            self.stale_until = Some(now + heartbeat * HEARTBEATS_TO_LAPSE);
         }
     }
 
-    /// Whether a server whose entry goes now may only have lapsed.
+    /// Whether a server whose entry is removed now may only have lapsed.
     fn may_lapse(&self, now: Instant) -> bool {
         self.lapses_until.is_some_and(|until| now < until)
     }
 
-    /// What may be wrong with a list that the store gives.
-    fn of_stores_list(&self, now: Instant) -> ListUncertainty {
-        let doubts = self.of_peers_list(now);
+    /// What may be wrong with a list from the store.
+    fn for_store_list(&self, now: Instant) -> ListUncertainty {
+        let doubts = self.for_peer_list(now);
         ListUncertainty {
             may_be_incomplete: self.may_lapse(now),
             may_have_unseen_removals: doubts.may_be_outdated.is_some(),
@@ -263,23 +274,25 @@
         }
     }
 
-    /// What may be wrong with a list that a peer gives: what it lacks has been looked
-    /// into there.
-    fn of_peers_list(&self, now: Instant) -> ListUncertainty {
-        let old_for = self
-            .old_until
+    /// What may be wrong with a list from a peer, which has already handled missing
+    /// entries.
+    fn for_peer_list(&self, now: Instant) -> ListUncertainty {
+        let stale_for = self
+            .stale_until
             .map(|until| until.saturating_duration_since(now));
         ListUncertainty {
             may_be_incomplete: false,
-            may_be_outdated: old_for.filter(|old_for| !old_for.is_zero()),
+            may_be_outdated: stale_for.filter(|stale_for| !stale_for.is_zero()),
             may_have_unseen_removals: false,
         }
     }
 }
 
-/// The next newer list that a peer gives. Nothing is lost when this is
-/// dropped while it waits.
-async fn next_list(relay: &Relay, from_peers: &mut watch::Receiver<Option<PeerList>>) -> Read {
+/// The next newer list from a peer. Cancel safe.
+async fn next_peer_list(
+    relay: &Relay,
+    from_peers: &mut watch::Receiver<Option<PeerList>>,
+) -> ListUpdate {
     loop {
         if from_peers.changed().await.is_err() {
             // The sender lives as long as the process.
@@ -290,14 +303,14 @@
         if let Some(list) =
             list.filter(|list| list.version > own && !relay.store.is_denied(list.version.store.era))
         {
-            return Read::Peer(list);
+            return ListUpdate::Peer(list);
         }
     }
 }
 
-/// Waits until another configuration is in force than that of a version.
-async fn other_config(relay: &Relay, version: Option<u64>) {
-    let mut versions = relay.versions.subscribe();
+/// Waits until the active configuration is another than `version`.
+async fn config_changed(relay: &Relay, version: Option<u64>) {
+    let mut versions = relay.urgent_changes.subscribe();
     while relay.config_version() == version {
         if versions.changed().await.is_err() {
             // The sender lives as long as the process.
@@ -306,75 +319,78 @@
     }
 }
 
-/// Reads the store once it is this instance's to read.
+/// Reads the store once this instance has to.
 async fn read_servers(
     relay: &Relay,
     after: Option<StoreVersion>,
-    counts_as_away: bool,
-) -> Result<Read, StoreError> {
+    is_outage: bool,
+) -> Result<ListUpdate, StoreError> {
     loop {
-        if !relay.leaves_store() {
-            if !relay.is_store_away.load(Ordering::Relaxed) {
+        if !relay.skips_store() {
+            if !relay.is_store_unavailable.load(Ordering::Relaxed) {
                 break;
             }
-            if !counts_as_away {
-                return Ok(Read::StoreAway);
+            if !is_outage {
+                return Ok(ListUpdate::StoreUnavailable);
             }
         }
-        tokio::time::sleep(look_pause(relay)).await;
+        tokio::time::sleep(poll_interval(relay)).await;
     }
-    let wait = relay.settings.bounds.news_budget().watch_wait();
+    let wait = relay.settings.bounds.propagation_budget().watch_wait();
     match after {
-        None => relay.store.servers().await.map(Read::List),
+        None => relay.store.servers().await.map(ListUpdate::List),
         Some(after) => {
             let changes = relay.store.watch_servers(after, wait).await;
-            changes.map(Read::Changes)
+            changes.map(ListUpdate::Changes)
         }
     }
 }
 
-enum Read {
+enum ListUpdate {
     List(Versioned<Vec<BackendServer>>),
     Changes(Versioned<Vec<DirectoryChange>>),
-    /// A peer's list.
+    /// A list from a peer.
     Peer(PeerList),
-    /// Nothing new, but another configuration to judge entries by.
-    OtherConfig,
-    /// Servers whose new processes told of themselves.
+    /// No new entries, but another configuration that determines which are usable.
+    ConfigChanged,
+    /// Servers whose new processes have reported themselves.
     Restarted(Vec<BackendServer>),
-    /// The time of some entries is over.
-    Expiring,
-    /// The store isn't read, as the configuration can't be read either.
-    StoreAway,
+    /// The grace period of some entries is over.
+    EntriesExpired,
+    /// The store isn't read, because the configuration can't be read either.
+    StoreUnavailable,
 }
 
-impl Read {
-    /// The version of the list that it makes.
+impl ListUpdate {
+    /// The version of the resulting list.
     const fn version(&self) -> Option<ListVersion> {
         match self {
             Self::List(list) => Some(ListVersion::of(list.version)),
             Self::Changes(changes) => Some(ListVersion::of(changes.version)),
             Self::Peer(list) => Some(list.version),
-            Self::Restarted(_) | Self::OtherConfig | Self::Expiring | Self::StoreAway => None,
+            Self::Restarted(_)
+            | Self::ConfigChanged
+            | Self::EntriesExpired
+            | Self::StoreUnavailable => None,
         }
     }
 
-    /// Where it is from, as logged.
+    /// The source, as logged.
     const fn source(&self) -> &'static str {
         match self {
-            Self::List(_) | Self::Changes(_) | Self::StoreAway => "store",
+            Self::List(_) | Self::Changes(_) | Self::StoreUnavailable => "store",
             Self::Peer(_) => "peer",
-            Self::OtherConfig => "configuration",
+            Self::ConfigChanged => "configuration",
             Self::Restarted(_) => "report",
-            Self::Expiring => "time",
+            Self::EntriesExpired => "time",
         }
     }
 
-    /// When the list that it makes was known to be the newest.
+    /// When the resulting list was last known to be the newest.
     const fn newest_at(&self) -> Option<Instant> {
         match self {
-            Self::List(list) => Some(list.asked_at),
-            Self::Changes(changes) => Some(changes.asked_at),
+            Self::List(list) => Some(list.requested_at),
+            Self::Changes(changes) => Some(changes.requested_at),
             Self::Peer(list) => list.newest_at,
             _ => None,
         }
@@ -385,42 +401,42 @@
     }
 }
 
-/// Takes news in; tells whether anything changed.
-fn take_in(
+/// Applies an update to the directory; returns whether anything changed.
+fn update_directory(
     relay: &Relay,
     directory: &mut Directory,
-    read: Read,
-    doubtful: &DoubtfulTimes,
+    read: ListUpdate,
+    uncertain: &UncertainPeriods,
     now: Instant,
 ) -> bool {
     match read {
-        Read::List(list) => {
-            directory.replace(list.value, doubtful.of_stores_list(now), now);
+        ListUpdate::List(list) => {
+            directory.replace(list.value, uncertain.for_store_list(now), now);
             true
         }
-        Read::Peer(list) => {
-            directory.replace(list.servers, doubtful.of_peers_list(now), now);
+        ListUpdate::Peer(list) => {
+            directory.replace(list.servers, uncertain.for_peer_list(now), now);
             true
         }
-        Read::OtherConfig => true,
-        Read::Expiring | Read::StoreAway => false,
-        Read::Restarted(servers) => {
+        ListUpdate::ConfigChanged => true,
+        ListUpdate::EntriesExpired | ListUpdate::StoreUnavailable => false,
+        ListUpdate::Restarted(servers) => {
             for server in servers {
                 directory.apply(DirectoryChange::Updated(server), now);
             }
             true
         }
-        Read::Changes(changes) => {
+        ListUpdate::Changes(changes) => {
             let is_changed = !changes.value.is_empty();
             for change in changes.value {
-                take_change(relay, directory, change, doubtful.may_lapse(now), now);
+                apply_change(relay, directory, change, uncertain.may_lapse(now), now);
             }
             is_changed
         }
     }
 }
 
-fn take_change(
+fn apply_change(
     relay: &Relay,
     directory: &mut Directory,
     change: DirectoryChange,
@@ -430,22 +446,22 @@
     match change {
         DirectoryChange::Removed(id) if may_have_lapsed => directory.mark_missing(&id, now),
         DirectoryChange::Removed(id) => {
-            note_removed(relay, &id, "its entry is gone");
+            log_removed(relay, &id, "its entry was removed");
             directory.apply(DirectoryChange::Removed(id), now);
         }
         DirectoryChange::Unusable(id) => {
-            note_removed(relay, &id, "its entry doesn't describe a server any more");
+            log_removed(relay, &id, "its entry no longer describes a server");
             directory.apply(DirectoryChange::Unusable(id), now);
         }
         DirectoryChange::Updated(server) => {
             let before = directory.get(&server.id).cloned();
-            let is_news = directory.apply(DirectoryChange::Updated(server.clone()), now);
+            let is_new = directory.apply(DirectoryChange::Updated(server.clone()), now);
             if before.as_ref() != Some(&server)
                 && let Some(log) = relay.events.line(Weight::Notable)
             {
                 info!(log, "directory: a server's entry changed"; "event" => "server_changed",
                     "server" => &*server.id, "addr" => %server.addr(), "incarnation" => server.incarnation,
-                    "in_use" => is_news,
+                    "in_use" => is_new,
                     "leaving" => server.is_leaving,
                     "layers" => server.held.map(|held| format!("{}-{}", held.start, held.end)));
             }
@@ -453,9 +469,9 @@
     }
 }
 
-fn note_removed(relay: &Relay, id: &EngineId, cause: &str) {
+fn log_removed(relay: &Relay, id: &EngineId, cause: &str) {
     if let Some(log) = relay.events.line(Weight::Notable) {
-        warn!(log, "directory: a server is gone"; "event" => "server_removed",
+        warn!(log, "directory: a server was removed"; "event" => "server_removed",
             "server" => &**id, "cause" => cause);
     }
 }
--- a/crates/rookferry_relay/src/tracked_store.rs
+++ b/crates/rookferry_relay/src/tracked_store.rs
@@ -1,9 +1,9 @@
-//! The platform's store, with its calls counted and its restores noticed.
+//! Wraps the platform's store: counts its calls and detects restores.
 //!
-//! What a caller of this has read holds within one era of the store: a watch of an
-//! era that is over ends as one whose history is forgotten, and a write under a
-//! condition of such an era isn't sent, or isn't reported as a success, since the
-//! revision that it names may be another object's by then.
+//! Whatever a caller reads through this wrapper is valid within one era of the store. A
+//! watch of a previous era fails as if its history were gone. A conditional write of a
+//! previous era isn't sent, or isn't reported as successful, since its expected revision
+//! may belong to another object by then.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -32,28 +32,28 @@
 use crate::event_log::Weight;
 use crate::event_log::millis;
 use crate::mutex::lock;
-use crate::store::AsOf;
 use crate::store::SiteStore;
 use crate::store::StoreError;
+use crate::store::StoreResponse;
 
-/// A value, as of a version of the store.
+/// A value with the version of the store it was read at.
 #[derive(Clone, Debug)]
 pub(crate) struct Versioned<T> {
-    /// The version: the store's, or of the one object that was read or written.
+    /// The version: the store's, or that of the single object that was read or written.
     pub(crate) version: StoreVersion,
     pub(crate) value: T,
-    /// When the call that it answers was sent.
-    pub(crate) asked_at: Instant,
+    /// When the call was sent.
+    pub(crate) requested_at: Instant,
 }
 
-/// A store whose calls are counted, and whose restores are noticed.
+/// A store whose calls are counted and whose restores are detected.
 pub(crate) struct TrackedStore {
     inner: Arc<dyn SiteStore>,
     events: Arc<EventLog>,
     budget: PropagationBudget,
     eras: Mutex<EraTracker>,
     contact: Mutex<StoreContact>,
-    /// Raised with each change of the era.
+    /// Incremented with each change of the era.
     era_changes: watch::Sender<u64>,
 }
 
@@ -73,36 +73,36 @@
         }
     }
 
-    /// The store's era, as known.
+    /// The store's current era, as far as known.
     pub(crate) fn era(&self) -> StoreEra {
         lock(&self.eras).era()
     }
 
-    /// Whether the store has said that there is no such era.
+    /// Whether the store has answered that this era doesn't exist.
     pub(crate) fn is_denied(&self, era: StoreEra) -> bool {
         lock(&self.eras).is_denied(era)
     }
 
-    /// Another instance knows of an era.
-    pub(crate) fn hear_era(&self, era: StoreEra) {
+    /// Records an era that another instance reports.
+    pub(crate) fn record_peer_era(&self, era: StoreEra) {
         let before = self.era();
         if lock(&self.eras).merge(era, clock::now()) {
-            self.note_era(era, Some(before), "peer");
+            self.announce_era_change(era, Some(before), "peer");
         }
     }
 
-    /// As of when what the store has is known.
+    /// The time as of which the store's content is known.
     pub(crate) fn contact(&self) -> StoreContact {
         *lock(&self.contact)
     }
 
-    /// Another instance of the domain has its word as of a time.
-    pub(crate) fn hear_contact(&self, at: Instant) {
+    /// Records that a peer of the own domain knows the store's content as of a time.
+    pub(crate) fn record_peer_contact(&self, at: Instant) {
         lock(&self.contact).merge_peer(at);
     }
 
     /// Waits until the store is in another era.
-    pub(crate) async fn era_over(&self, era: StoreEra) {
+    pub(crate) async fn era_changed(&self, era: StoreEra) {
         let mut changes = self.era_changes.subscribe();
         while self.era() == era {
             if changes.changed().await.is_err() {
@@ -112,51 +112,51 @@
         }
     }
 
-    fn note_era(&self, era: StoreEra, before: Option<StoreEra>, source: &'static str) {
+    fn announce_era_change(&self, era: StoreEra, before: Option<StoreEra>, source: &'static str) {
         if let Some(log) = self.events.line(Weight::Notable) {
-            warn!(log, "store: it is in another era"; "event" => "store_era_changed",
+            warn!(log, "store: its era has changed"; "event" => "store_era_changed",
                 "era" => era, "before" => before, "source" => source);
         }
         self.era_changes.send_modify(|changes| *changes += 1);
     }
 
-    /// Takes an answer's era in.
+    /// Checks an answer's era, and adds the version to its value.
     fn versioned<T>(
         &self,
-        answer: AsOf<T>,
-        asked_in: StoreEra,
-        asked_at: Instant,
+        answer: StoreResponse<T>,
+        era_at_request: StoreEra,
+        requested_at: Instant,
     ) -> Result<Versioned<T>, StoreError> {
-        let verdict = lock(&self.eras).observe(answer.era, asked_at, clock::now());
-        // An answer without an era is of the one that it was asked in.
-        let era = answer.era.unwrap_or(asked_in);
+        let verdict = lock(&self.eras).observe(answer.era, requested_at, clock::now());
+        // An answer without an era belongs to the era in which the call was sent.
+        let era = answer.era.unwrap_or(era_at_request);
         match verdict {
             EraVerdict::Late => return Err(StoreError::Outdated),
             EraVerdict::Current if era != self.era() => return Err(StoreError::Outdated),
             EraVerdict::Current => {}
-            EraVerdict::Changed { before } => self.note_era(era, before, "store"),
+            EraVerdict::Changed { before } => self.announce_era_change(era, before, "store"),
         }
         Ok(Versioned {
             version: StoreVersion::new(era, answer.revision),
             value: answer.value,
-            asked_at,
+            requested_at,
         })
     }
 
     async fn read<T>(
         &self,
         call: &'static str,
-        answer: impl Future<Output = Result<AsOf<T>, StoreError>>,
+        answer: impl Future<Output = Result<StoreResponse<T>, StoreError>>,
     ) -> Result<Versioned<T>, StoreError> {
-        let (asked_in, asked_at) = (self.era(), clock::now());
-        let answer = counted(call, answer).await;
+        let (era_at_request, requested_at) = (self.era(), clock::now());
+        let answer = record_call(call, answer).await;
         if matches!(answer, Err(StoreError::Forgotten)) {
-            self.note_forgotten(call);
+            self.log_forgotten(call);
         }
-        self.versioned(answer?, asked_in, asked_at)
+        self.versioned(answer?, era_at_request, requested_at)
     }
 
-    /// A watch that goes on from a version.
+    /// Completes a watch that resumes from a version.
     async fn watch<T>(
         &self,
         after: StoreVersion,
@@ -167,29 +167,30 @@
         }
         let read = tokio::select! {
             read = answer => read?,
-            () = self.era_over(after.era) => return Err(StoreError::Forgotten),
+            () = self.era_changed(after.era) => return Err(StoreError::Forgotten),
         };
-        // One that went back without a word has other changes below.
+        // A store that was restored without a new era has other changes under the same
+        // revisions.
         if read.version < after || read.version.era != after.era {
             return Err(StoreError::Forgotten);
         }
         Ok(read)
     }
 
-    /// The answer of a watch that should end within a time, or of a call that is sent
-    /// beside it once it is overdue: its connection may have died without a word.
-    async fn first_answer<T>(
+    /// The answer of a watch that should end within `wait`, or of a fallback call that is
+    /// sent once the watch is overdue: its connection may have died silently.
+    async fn first_response<T>(
         &self,
         wait: Duration,
         watch: impl Future<Output = Result<Versioned<T>, StoreError>>,
-        beside: impl Future<Output = Result<Versioned<T>, StoreError>>,
+        fallback: impl Future<Output = Result<Versioned<T>, StoreError>>,
     ) -> Result<Versioned<T>, StoreError> {
         let sent_at = clock::now();
         let overdue_after = self.contact().overdue_after(self.budget.overdue());
-        tokio::pin!(watch, beside);
+        tokio::pin!(watch, fallback);
         let in_time = clock::timeout_at(sent_at + wait + overdue_after, &mut watch).await;
         if let Some(answer) = in_time {
-            self.note_delay(sent_at, wait);
+            self.record_delay(sent_at, wait);
             return answer;
         }
         lock(&self.contact).watch_overdue();
@@ -200,30 +201,31 @@
         }
         let (answer, is_watch) = tokio::select! {
             answer = &mut watch => (answer, true),
-            answer = &mut beside => (answer, false),
+            answer = &mut fallback => (answer, false),
         };
         if is_watch {
-            self.note_delay(sent_at, wait);
+            self.record_delay(sent_at, wait);
         }
         match answer {
             Ok(answer) => Ok(answer),
-            Err(_) if is_watch => beside.await,
+            Err(_) if is_watch => fallback.await,
             Err(_) => watch.await,
         }
     }
 
-    /// A watch that was sent at a time, and should have ended within another, was answered.
-    fn note_delay(&self, sent_at: Instant, wait: Duration) {
+    /// Records the delay of a watch that was sent at `sent_at` and should have ended
+    /// within `wait`.
+    fn record_delay(&self, sent_at: Instant, wait: Duration) {
         let delay = clock::since(sent_at).saturating_sub(wait);
         lock(&self.contact).record_delay(delay);
     }
 
-    /// A write that is to replace a version.
+    /// Performs a write that replaces the expected version.
     async fn write(
         &self,
         call: &'static str,
         expected: StoreVersion,
-        answer: impl Future<Output = Result<AsOf<()>, StoreError>>,
+        answer: impl Future<Output = Result<StoreResponse<()>, StoreError>>,
     ) -> Result<StoreVersion, StoreError> {
         if expected.era != self.era() {
             return Err(StoreError::Outdated);
@@ -235,17 +237,17 @@
         Ok(written)
     }
 
-    /// The store doesn't have the revision that a watch was to go on from.
-    fn note_forgotten(&self, call: &'static str) {
+    /// Logs that the store lacks the revision that a watch resumes from.
+    fn log_forgotten(&self, call: &'static str) {
         if let Some(log) = self.events.line(Weight::Notable) {
-            warn!(log, "store: it doesn't have the watch's revision"; "event" => "store_forgot",
+            warn!(log, "store: it no longer has the watch's revision"; "event" => "store_forgot",
                 "call" => call);
         }
     }
 
     pub(crate) async fn config(&self) -> Result<Versioned<Option<ServingConfig>>, StoreError> {
         let read = self.read("config", self.inner.config()).await?;
-        lock(&self.contact).record_config_read(read.asked_at);
+        lock(&self.contact).record_config_read(read.requested_at);
         Ok(read)
     }
 
@@ -256,16 +258,16 @@
     ) -> Result<Versioned<Option<ServingConfig>>, StoreError> {
         let inner = &self.inner;
         let watch = self.read("watch_config", inner.watch_config(after.revision, wait));
-        let beside = self.read("config_since", inner.config_since(after.revision));
-        let answer = self.first_answer(wait, watch, beside);
+        let fallback = self.read("config_since", inner.config_since(after.revision));
+        let answer = self.first_response(wait, watch, fallback);
         let read = self.watch(after, answer).await?;
-        lock(&self.contact).record_config_read(read.asked_at);
+        lock(&self.contact).record_config_read(read.requested_at);
         Ok(read)
     }
 
     pub(crate) async fn servers(&self) -> Result<Versioned<Vec<BackendServer>>, StoreError> {
         let read = self.read("servers", self.inner.servers()).await?;
-        lock(&self.contact).record_servers_read(read.asked_at);
+        lock(&self.contact).record_servers_read(read.requested_at);
         Ok(read)
     }
 
@@ -276,10 +278,10 @@
     ) -> Result<Versioned<Vec<DirectoryChange>>, StoreError> {
         let inner = &self.inner;
         let watch = self.read("watch_servers", inner.watch_servers(after.revision, wait));
-        let beside = self.read("servers_since", inner.servers_since(after.revision));
-        let answer = self.first_answer(wait, watch, beside);
+        let fallback = self.read("servers_since", inner.servers_since(after.revision));
+        let answer = self.first_response(wait, watch, fallback);
         let read = self.watch(after, answer).await?;
-        lock(&self.contact).record_servers_read(read.asked_at);
+        lock(&self.contact).record_servers_read(read.requested_at);
         Ok(read)
     }
 
@@ -320,7 +322,7 @@
     }
 }
 
-async fn counted<T>(
+async fn record_call<T>(
     call: &'static str,
     answer: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
