--- a/crates/rookferry_net/src/backoff_table.rs
+++ b/crates/rookferry_net/src/backoff_table.rs
@@ -1,4 +1,4 @@
-//! The backoffs that backend servers asked this process for.
+//! Backoffs that backend servers requested from this process by `Retry-After`.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -15,7 +15,7 @@
 use crate::RetryAfterError;
 use crate::clock;
 
-/// Backoffs by the servers' addresses; shared by all that send.
+/// Backoffs by server address; shared by all senders of the process.
 #[derive(Debug)]
 pub struct BackoffTable {
     log: Logger,
@@ -23,7 +23,7 @@
 }
 
 impl BackoffTable {
-    /// No backoffs.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(log: Logger) -> Self {
         Self {
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Takes in an answer's status and the time that it names; only one that
-    /// refuses for now asks for a backoff, and what doesn't read asks for none.
+    /// Records the backoff of a response. Only status 503 requests a backoff; a
+    /// `Retry-After` header that can't be parsed is logged and requests none.
     pub fn note(
         &self,
         addr: SocketAddr,
@@ -52,18 +52,18 @@
                     "asked_ms" => asked.as_millis(), "kept_ms" => kept.as_millis());
             }
             Err(error) => {
-                warn!(self.log, "backoff: what a server asks for doesn't read";
+                warn!(self.log, "backoff: a server sent an invalid Retry-After header";
                     "part" => "backoff", "server" => %addr, "error" => %error);
             }
         }
     }
 
-    /// How much longer to back off from a server, if at all.
+    /// Remaining backoff of a server; `None` without a backoff.
     pub fn left(&self, addr: SocketAddr) -> Option<Duration> {
         self.lock().left(addr, clock::now())
     }
 
-    /// Those of some servers to back off from, each with how much longer, the
+    /// Returns those of `servers` that are in backoff, each with the remaining time,
     /// shortest first.
     pub fn backed_off<T>(
         &self,
@@ -82,7 +82,7 @@
         waiting
     }
 
-    /// Another process is at the address.
+    /// Removes the backoff of an address, since another process now listens there.
     pub fn forget(&self, addr: SocketAddr) {
         self.lock().forget(addr);
     }
--- a/crates/rookferry_net/src/client.rs
+++ b/crates/rookferry_net/src/client.rs
@@ -1,4 +1,5 @@
-//! An HTTP client that tells whether any byte of a request can have left.
+//! An HTTP client whose errors distinguish requests of which no byte was sent from those
+//! that the server may have processed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,66 +25,66 @@
 use crate::RetryAfterError;
 use crate::retry_after;
 
-/// Largest answer that is read, in bytes.
+/// Largest accepted response body, in bytes.
 const MAX_ANSWER_BYTES: usize = 32 * 1024 * 1024;
-/// How long a connect may take.
+/// Timeout of a TCP connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Idle connections kept for each backend server.
+/// Maximum number of pooled idle connections per backend server.
 const IDLE_PER_HOST: usize = 64;
 
-/// Why there is no answer.
+/// Reason why a request has no successful response.
 #[derive(Debug, Snafu)]
 pub enum ClientError {
-    /// No connection was made; no byte of the request has left.
+    /// The connection could not be established; no byte of the request was sent.
     #[snafu(display("could not connect to {addr}: {message}"))]
     NotConnected {
-        /// The address.
+        /// Address of the server.
         addr: SocketAddr,
         /// The cause.
         message: String,
-        /// Whether nothing listens there: the process isn't there.
+        /// Whether the connection was refused: no process listens at the address.
         is_refused: bool,
     },
-    /// No answer within the time; the request may have been taken.
+    /// No response arrived in time; the server may have processed the request.
     #[snafu(display("no answer from {addr} within {} ms", wait.as_millis()))]
     TimedOut {
-        /// The address.
+        /// Address of the server.
         addr: SocketAddr,
-        /// The time.
+        /// The timeout.
         wait: Duration,
     },
-    /// The connection broke; the request may have been taken.
+    /// The connection broke; the server may have processed the request.
     #[snafu(display("connection to {addr} broke: {message}"))]
     Broken {
-        /// The address.
+        /// Address of the server.
         addr: SocketAddr,
         /// The cause.
         message: String,
     },
-    /// An answer with a status that isn't a success.
+    /// The response has a status other than success.
     #[snafu(display("{addr} answered {status}: {body}"))]
     Status {
-        /// The address.
+        /// Address of the server.
         addr: SocketAddr,
-        /// The status.
+        /// HTTP status.
         status: StatusCode,
-        /// The body's text.
+        /// Response body as text.
         body: String,
-        /// The backoff that it asks for, if any.
+        /// The backoff that the response requests, if any.
         retry_after: Result<Option<Duration>, RetryAfterError>,
     },
-    /// It asked for a backoff, which isn't over; no byte has left.
+    /// The server requested a backoff that hasn't expired; no byte was sent.
     #[snafu(display("backing off from {addr} for {} ms more", left.as_millis()))]
     BackedOff {
-        /// The address.
+        /// Address of the server.
         addr: SocketAddr,
-        /// How much longer.
+        /// Remaining time of the backoff.
         left: Duration,
     },
-    /// The answer isn't what was expected.
-    #[snafu(display("could not read the answer of {addr}: {message}"))]
+    /// A request could not be encoded, or a response could not be decoded.
+    #[snafu(display("could not encode the request to {addr} or decode its response: {message}"))]
     Decode {
-        /// The address.
+        /// Address of the server.
         addr: SocketAddr,
         /// The cause.
         message: String,
@@ -91,13 +92,13 @@
 }
 
 impl ClientError {
-    /// Whether no byte of the request can have left.
+    /// Whether it is certain that no byte of the request was sent.
     #[must_use]
     pub const fn is_unsent(&self) -> bool {
         matches!(self, Self::NotConnected { .. } | Self::BackedOff { .. })
     }
 
-    /// Whether nothing listens at the address any more.
+    /// Whether the connection was refused because no process listens at the address.
     #[must_use]
     pub const fn is_refused(&self) -> bool {
         matches!(
@@ -110,21 +111,21 @@
     }
 }
 
-/// A success, read whole.
+/// A successful response with its complete body.
 #[derive(Clone, Debug)]
 pub struct ClientAnswer {
-    /// Its headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Response body.
     pub body: Bytes,
 }
 
 impl ClientAnswer {
-    /// The body as JSON; `addr` is whose answer it is.
+    /// Decodes the body as JSON; `addr` is the server's address, used in the error.
     ///
     /// # Errors
     ///
-    /// If it isn't JSON of that type.
+    /// If the body isn't JSON of type `T`.
     pub fn json<T: DeserializeOwned>(&self, addr: SocketAddr) -> Result<T, ClientError> {
         serde_json::from_slice(&self.body).map_err(|error| ClientError::Decode {
             addr,
@@ -133,7 +134,7 @@
     }
 }
 
-/// A client with a pool of connections; clones share the pool.
+/// An HTTP/1.1 client with a connection pool that clones share.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     inner: Client<HttpConnector, Full<Bytes>>,
@@ -146,16 +147,16 @@
 }
 
 impl HttpClient {
-    /// A client without connections.
+    /// Creates a client with an empty pool.
     ///
-    /// It never repeats a request by itself, not even on a pooled connection
-    /// that turns out to be closed: whoever sends decides about repeats.
+    /// The client never retries a request by itself, not even if a pooled connection
+    /// turns out to be closed; the caller decides about retries.
     #[must_use]
     pub fn new() -> Self {
         Self::with_idle_connections(IDLE_PER_HOST)
     }
 
-    /// A client that opens a connection for each request.
+    /// Creates a client that opens a new connection for each request.
     #[must_use]
     pub fn without_pool() -> Self {
         Self::with_idle_connections(0)
@@ -172,7 +173,7 @@
         Self { inner }
     }
 
-    /// Sends a request and gives the response with its body unread.
+    /// Sends a request and returns the response without reading its body.
     ///
     /// # Errors
     ///
@@ -200,11 +201,11 @@
         })
     }
 
-    /// Posts JSON and reads a JSON answer.
+    /// Sends a POST request with a JSON body and decodes a JSON response.
     ///
     /// # Errors
     ///
-    /// If there is no such answer within `wait`.
+    /// If there is no successful response of type `T` within `wait`.
     pub async fn post<Q: Serialize + Sync, T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
@@ -215,11 +216,11 @@
         self.call(Method::POST, addr, path, Some(body), wait).await
     }
 
-    /// Gets a JSON answer.
+    /// Sends a GET request and decodes a JSON response.
     ///
     /// # Errors
     ///
-    /// If there is no such answer within `wait`.
+    /// If there is no successful response of type `T` within `wait`.
     pub async fn get<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
@@ -229,11 +230,11 @@
         self.call(Method::GET, addr, path, None::<&()>, wait).await
     }
 
-    /// Gets an answer as it came.
+    /// Sends a GET request and returns the response undecoded.
     ///
     /// # Errors
     ///
-    /// If there is no answer within `wait`.
+    /// If there is no successful response within `wait`.
     pub async fn get_answer(
         &self,
         addr: SocketAddr,
@@ -244,11 +245,11 @@
             .await
     }
 
-    /// Gets an answer as text.
+    /// Sends a GET request and returns the response body as text.
     ///
     /// # Errors
     ///
-    /// If there is no answer within `wait`.
+    /// If there is no successful response within `wait`.
     pub async fn get_text(
         &self,
         addr: SocketAddr,
@@ -259,11 +260,11 @@
         Ok(String::from_utf8_lossy(&answer.body).into_owned())
     }
 
-    /// Calls with an optional JSON body and reads a JSON answer.
+    /// Sends a request with an optional JSON body and decodes a JSON response.
     ///
     /// # Errors
     ///
-    /// If there is no such answer within `wait`.
+    /// If there is no successful response of type `T` within `wait`.
     pub async fn call<Q: Serialize + Sync, T: DeserializeOwned>(
         &self,
         method: Method,
@@ -276,11 +277,11 @@
         answer.json(addr)
     }
 
-    /// Calls with an optional JSON body and reads the answer as it came.
+    /// Sends a request with an optional JSON body and returns the response undecoded.
     ///
     /// # Errors
     ///
-    /// If there is no answer within `wait`.
+    /// If there is no successful response within `wait`.
     pub async fn call_answer<Q: Serialize + Sync>(
         &self,
         method: Method,
@@ -367,7 +368,7 @@
     text
 }
 
-/// Whether an error's cause is a refused connection.
+/// Whether an error was caused by a refused connection.
 fn is_refused(error: &(dyn std::error::Error + 'static)) -> bool {
     let causes = std::iter::successors(Some(error), |cause| cause.source());
     causes
--- a/crates/rookferry_net/src/clock.rs
+++ b/crates/rookferry_net/src/clock.rs
@@ -1,12 +1,12 @@
-//! The clock that instances go by.
+//! The process-wide clock for ages and deadlines.
 //!
-//! A machine may be suspended for seconds. The steady clock stands still
-//! meanwhile, and so does each age that is taken by it: a configuration from
-//! before looks fresh, a lease that has run out looks held, a request whose
-//! caller has left looks in time. So ages and deadlines go by a clock that
-//! counts such times, and its instants aren't mixed with the steady clock's.
+//! A machine may be suspended for seconds. The monotonic clock stops during a
+//! suspension, and so does every age measured by it: an old configuration looks fresh, an
+//! expired lease looks held, and a request whose caller has left looks in time. Ages and
+//! deadlines therefore use a clock that includes suspensions. Its instants must not be
+//! mixed with those of the monotonic clock.
 //!
-//! An embedder, or a test, installs another clock before anything starts.
+//! An embedder or a test can install another clock before the first use.
 
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -17,55 +17,55 @@
 use rustix::time::clock_gettime;
 use snafu::Snafu;
 
-/// How long a wait goes by the runtime's timers before it looks at the clock
-/// again: these stand still with the steady clock, so a wait ends at most this
-/// long after a machine that was suspended goes on.
+/// Longest sleep on the runtime's timers before the clock is checked again. These timers
+/// stop during a suspension like the monotonic clock, so a wait ends at most this long
+/// after the machine resumes.
 const LONGEST_SLEEP: Duration = Duration::from_millis(250);
 
-/// Tells the time since some moment; never goes back.
+/// A source of instants that never goes backwards.
 pub trait Clock: Send + Sync {
-    /// The time now.
+    /// Returns the current instant.
     fn now(&self) -> Instant;
 }
 
-/// A clock is in use already.
+/// Error of installing a clock after the clock is in use.
 #[derive(Debug, Snafu)]
-#[snafu(display("a clock is in use already; install one before anything starts"))]
+#[snafu(display("a clock is already in use; install a clock before the first use"))]
 pub struct ClockInUse;
 
 static CLOCK: OnceLock<Box<dyn Clock>> = OnceLock::new();
 
-/// Has all parts of this process go by another clock.
+/// Replaces the clock of this process.
 ///
 /// # Errors
 ///
-/// If the time was asked for before, or a clock was installed.
+/// If the clock was already used or another clock was already installed.
 pub fn install(clock: Box<dyn Clock>) -> Result<(), ClockInUse> {
     CLOCK.set(clock).map_err(|_| ClockInUse)
 }
 
-/// The time now.
+/// Returns the current instant of the process-wide clock.
 #[must_use]
 pub fn now() -> Instant {
     CLOCK.get_or_init(|| Box::new(BootClock::start())).now()
 }
 
-/// The time since an instant of this clock.
+/// Returns the time elapsed since an instant of this clock; zero if it is in the future.
 #[must_use]
 pub fn since(at: Instant) -> Duration {
     now().saturating_duration_since(at)
 }
 
-/// The time of day, as Unix time; it may jump, so that no age goes by it within
-/// one process.
+/// Returns the wall-clock time as Unix time. The wall clock may jump, so ages within one
+/// process must not be measured by it.
 #[must_use]
 pub fn unix_now() -> Duration {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    // A clock from before 1970 counts as its beginning.
+    // A wall clock set before 1970 counts as 0.
     since.unwrap_or_default()
 }
 
-/// Waits until a time of this clock.
+/// Waits until an instant of this clock.
 pub async fn sleep_until(at: Instant) {
     loop {
         let left = at.saturating_duration_since(now());
@@ -76,7 +76,7 @@
     }
 }
 
-/// Waits for a future, until a time of this clock at the longest.
+/// Waits for a future, at the longest until an instant of this clock; `None` on timeout.
 pub async fn timeout_at<T>(at: Instant, future: impl Future<Output = T>) -> Option<T> {
     tokio::select! {
         output = future => Some(output),
@@ -84,7 +84,7 @@
     }
 }
 
-/// The time since the machine's start, in which it was suspended included.
+/// A clock that counts the time since boot, including suspensions.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
     started_at: Instant,
@@ -92,7 +92,7 @@
 }
 
 impl BootClock {
-    /// A clock whose instants begin with the steady clock's.
+    /// Starts a clock whose first instant is that of the monotonic clock.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -110,7 +110,7 @@
 
 fn since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
-    // Neither is below 0, nor the second over a second.
+    // Neither is negative, and the nanoseconds are below one second.
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
     let nanos = u32::try_from(time.tv_nsec).unwrap_or_default();
     Duration::new(seconds, nanos)
--- a/crates/rookferry_net/src/connection.rs
+++ b/crates/rookferry_net/src/connection.rs
@@ -1,9 +1,10 @@
-//! Connections of callers: how many, how long idle, how slow.
+//! Limits and bookkeeping for client connections: number of open connections, active
+//! requests, and a timeout for idle connections and slow request heads.
 //!
-//! The HTTP library has no limit on the time that a caller takes to send a
-//! request's head, so the stream beneath it has one: from the moment that a
-//! connection is idle, the next request must have arrived whole within a
-//! bound, however many bytes trickle in.
+//! The HTTP library doesn't limit the time that a client takes to send a request head.
+//! The stream below it therefore has a timeout: once a connection is idle, the next
+//! request must have arrived completely within the timeout, however often single bytes
+//! arrive.
 
 use std::collections::HashMap;
 use std::io;
@@ -31,17 +32,17 @@
 
 use crate::until;
 
-/// Parts of the table that are locked apart.
+/// Number of separately locked parts of the table.
 const SHARDS: usize = 64;
-/// Name of a request that was refused before it got an id.
+/// Request id in problems for requests that were refused before they got an id.
 const UNASSIGNED: &str = "unassigned";
 
 /// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Connections at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// How long an idle connection may take to send a whole request head.
+    /// Maximum time from when a connection becomes idle until the next request has arrived.
     pub head_timeout: Duration,
 }
 
@@ -60,7 +61,7 @@
     idle_since: Mutex<Instant>,
 }
 
-/// The connections of one listener.
+/// Open connections and active requests of one listener; clones share the table.
 #[derive(Clone, Debug)]
 pub struct ConnectionTable {
     inner: Arc<TableInner>,
@@ -81,7 +82,7 @@
 }
 
 impl ConnectionTable {
-    /// A table without connections.
+    /// Creates an empty table.
     #[must_use]
     pub fn new() -> Self {
         let shards = (0..SHARDS).map(|_| Mutex::default()).collect();
@@ -95,24 +96,24 @@
         }
     }
 
-    /// Requests under way, their answers included.
+    /// Number of active requests; a request is active until its response body is dropped.
     #[must_use]
     pub fn requests(&self) -> usize {
         self.inner.requests.load(Ordering::SeqCst)
     }
 
-    /// Open connections.
+    /// Number of open connections.
     #[must_use]
     pub fn open(&self) -> usize {
         self.inner.open.load(Ordering::Relaxed)
     }
 
-    /// Waits until no request is under way.
+    /// Waits until no request is active.
     pub async fn quiet(&self) {
         until(&self.inner.quiet, || self.requests() == 0).await;
     }
 
-    /// Counts a request of a connection until the guard is dropped.
+    /// Counts a request of the connection from `client_addr` until the guard is dropped.
     #[must_use]
     pub fn enter(&self, client_addr: SocketAddr) -> ConnectionGuard {
         self.inner.requests.fetch_add(1, Ordering::SeqCst);
@@ -162,7 +163,7 @@
     }
 }
 
-/// A request under way.
+/// Counts a request as active until it is dropped.
 #[derive(Debug)]
 pub struct ConnectionGuard {
     table: Arc<TableInner>,
@@ -184,7 +185,7 @@
     }
 }
 
-/// A caller's connection with its time limits.
+/// A client connection with a timeout for idleness and slow request heads.
 #[derive(Debug)]
 pub(crate) struct GuardedStream {
     stream: TcpStream,
@@ -197,7 +198,7 @@
 }
 
 impl GuardedStream {
-    /// Whether the connection has been idle for too long.
+    /// Whether the connection has been idle, without a complete request, past the timeout.
     fn is_overdue(&mut self, cx: &mut Context<'_>) -> bool {
         while self.timer.as_mut().poll(cx).is_ready() {
             let idle_since = *self
@@ -259,7 +260,8 @@
     }
 }
 
-/// Sent before a connection is closed for slowness; the framework can't.
+/// Raw response sent before a connection is closed by the head timeout; gotham has no
+/// means to send one.
 fn too_slow() -> Vec<u8> {
     raw_problem(&Problem {
         title: "request head too slow".to_owned(),
@@ -273,7 +275,7 @@
     })
 }
 
-/// Sent before a connection over the limit is closed.
+/// Raw response sent before a connection beyond the limit is closed.
 pub(crate) fn too_many() -> Vec<u8> {
     raw_problem(&Problem {
         title: "too many connections".to_owned(),
--- a/crates/rookferry_net/src/endpoint.rs
+++ b/crates/rookferry_net/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Handlers as async functions of an application and a request.
+//! Adapts async functions of an application and a request to gotham handlers.
 
 use std::fmt;
 use std::panic::AssertUnwindSafe;
@@ -29,14 +29,15 @@
 use crate::Inbound;
 use crate::json_response_as;
 
-/// A handler bound to its application.
+/// A gotham handler made of an async function and its application state.
 pub struct Endpoint<A, F> {
     app: AssertUnwindSafe<Arc<A>>,
     connections: AssertUnwindSafe<ConnectionTable>,
     call: F,
 }
 
-/// Binds an async function to its application.
+/// Creates a handler that calls an async function with the application state. Each request
+/// counts as active in `connections` until its response body is dropped.
 #[must_use]
 pub fn endpoint<A, F>(app: &Arc<A>, connections: &ConnectionTable, call: F) -> Endpoint<A, F> {
     Endpoint {
@@ -98,7 +99,7 @@
     }
 }
 
-/// A body that counts as a request under way until it is dropped.
+/// A response body that keeps its request counted as active until it is dropped.
 struct GuardedBody {
     inner: Body,
     _guard: Option<ConnectionGuard>,
@@ -124,7 +125,7 @@
     }
 }
 
-/// Gives gotham's own refusals of paths and methods a problem body.
+/// Replaces gotham's responses to unknown paths and methods by problem bodies.
 #[derive(Clone, Copy, Debug)]
 pub struct NotFound;
 
--- a/crates/rookferry_net/src/engine.rs
+++ b/crates/rookferry_net/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine protocol over HTTP.
+//! Client of the engine protocol over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,25 +20,26 @@
 use crate::ClientError;
 use crate::HttpClient;
 
-/// How long calls that run no step may take.
+/// Timeout of calls that neither run steps nor open an attempt.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the daemons ask of engines.
+/// Calls of the engine protocol. Each fails with a [`ClientError`] if there is no
+/// successful response in time.
 pub trait EngineTransport: Send + Sync {
-    /// What the engine says about itself.
+    /// Reads the engine's description of itself.
     fn info(&self, addr: SocketAddr) -> BoxFuture<'_, Result<EngineInfo, ClientError>>;
 
-    /// Its load, as it saw it some time ago.
+    /// Reads the engine's latest load report.
     fn load(&self, addr: SocketAddr) -> BoxFuture<'_, Result<LoadReport, ClientError>>;
 
-    /// Its cache events from a sequence number.
+    /// Reads cache events from sequence number `from` on.
     fn cache_events(
         &self,
         addr: SocketAddr,
         from: u64,
     ) -> BoxFuture<'_, Result<CacheEvents, ClientError>>;
 
-    /// Runs steps.
+    /// Runs a batch of steps, within `wait`.
     fn steps(
         &self,
         addr: SocketAddr,
@@ -46,7 +47,7 @@
         wait: Duration,
     ) -> BoxFuture<'_, Result<StepBatchAnswer, ClientError>>;
 
-    /// Opens an attempt.
+    /// Opens an attempt of a stream, within `wait`.
     fn open(
         &self,
         addr: SocketAddr,
@@ -54,28 +55,28 @@
         wait: Duration,
     ) -> BoxFuture<'_, Result<AttemptAnswer, ClientError>>;
 
-    /// Ends a stream.
+    /// Cancels a stream and frees its KV cache.
     fn cancel(
         &self,
         addr: SocketAddr,
         request: CancelRequest,
     ) -> BoxFuture<'_, Result<(), ClientError>>;
 
-    /// Exports a stream's KV.
+    /// Exports the KV cache of a stream.
     fn export(
         &self,
         addr: SocketAddr,
         request: AttemptRequest,
     ) -> BoxFuture<'_, Result<KvPages, ClientError>>;
 
-    /// Imports a stream's KV.
+    /// Imports the KV cache of a stream.
     fn import(
         &self,
         addr: SocketAddr,
         pages: KvPages,
     ) -> BoxFuture<'_, Result<AttemptAnswer, ClientError>>;
 
-    /// Gives an order.
+    /// Sends a fenced order.
     fn order(
         &self,
         addr: SocketAddr,
@@ -83,14 +84,14 @@
     ) -> BoxFuture<'_, Result<OrderAnswer, ClientError>>;
 }
 
-/// Engines over HTTP.
+/// An [`EngineTransport`] over HTTP with JSON bodies.
 #[derive(Clone, Debug)]
 pub struct HttpEngines {
     client: HttpClient,
 }
 
 impl HttpEngines {
-    /// Engines reached with a client.
+    /// Creates a transport that sends through `client`.
     #[must_use]
     pub const fn new(client: HttpClient) -> Self {
         Self { client }
--- a/crates/rookferry_net/src/files.rs
+++ b/crates/rookferry_net/src/files.rs
@@ -1,4 +1,5 @@
-//! The files that a daemon reads at its start and writes once it listens.
+//! Files that a daemon reads at startup, and the address file that it writes once it
+//! listens.
 
 use std::fs;
 use std::io;
@@ -12,39 +13,39 @@
 /// Why a file couldn't be read or written.
 #[derive(Debug, Snafu)]
 pub enum FileError {
-    /// The file system refused.
+    /// The file could not be accessed.
     #[snafu(display("{}: {source}", path.display()))]
     Access {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The cause.
         source: io::Error,
     },
-    /// The value has no JSON form.
+    /// The value could not be encoded as JSON.
     #[snafu(display("{}: {source}", path.display()))]
     Encode {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The cause.
         source: serde_json::Error,
     },
 }
 
-/// Reads a text file whole.
+/// Reads a UTF-8 text file.
 ///
 /// # Errors
 ///
-/// If it can't be read; the error names the file.
+/// If the file can't be read; the error contains the path.
 pub fn read_text(path: &Path) -> Result<String, FileError> {
     fs::read_to_string(path).context(AccessSnafu { path })
 }
 
-/// Writes addresses as JSON. The file is renamed into place, so that whoever
-/// waits for it reads it whole.
+/// Writes addresses as JSON. The file is renamed into place, so that a process waiting
+/// for it never reads a partial file.
 ///
 /// # Errors
 ///
-/// If it can't be written; the error names the file.
+/// If the file can't be written; the error contains the path.
 pub fn write_addresses(path: &Path, addresses: &impl Serialize) -> Result<(), FileError> {
     let json = serde_json::to_string(addresses).context(EncodeSnafu { path })?;
     let partial = path.with_extension("partial");
--- a/crates/rookferry_net/src/inbound.rs
+++ b/crates/rookferry_net/src/inbound.rs
@@ -1,4 +1,4 @@
-//! A request as handlers get it.
+//! Access to an HTTP request for handlers: head, headers, query and size-limited body.
 
 use std::time::Duration;
 
@@ -14,22 +14,22 @@
 use http_body_util::Limited;
 use snafu::Snafu;
 
-/// Why a body couldn't be read.
+/// Reason why a request body couldn't be read.
 #[derive(Debug, Snafu)]
 pub enum BodyError {
-    /// It is over the limit.
+    /// The body exceeds the size limit.
     #[snafu(display("the body is longer than {limit_bytes} bytes"))]
     TooLarge {
-        /// The limit.
+        /// The limit, in bytes.
         limit_bytes: usize,
     },
-    /// It came too slowly.
+    /// The body did not arrive in time.
     #[snafu(display("the body did not arrive within {} ms", wait.as_millis()))]
     TooSlow {
-        /// How long it was waited for.
+        /// The timeout.
         wait: Duration,
     },
-    /// The connection broke.
+    /// The connection broke while the body was read.
     #[snafu(display("the body broke off: {message}"))]
     Broken {
         /// The cause.
@@ -37,20 +37,20 @@
     },
 }
 
-/// A request's head and its unread body.
+/// A request head with its unread body.
 #[derive(Debug)]
 pub struct Inbound {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The headers.
+    /// Request headers.
     pub headers: HeaderMap,
     body: Body,
 }
 
 impl Inbound {
-    /// Takes the request out of gotham's state.
+    /// Takes the request from gotham's state.
     pub(crate) fn take(state: &mut State) -> Self {
         Self {
             method: Method::borrow_from(state).clone(),
@@ -60,19 +60,19 @@
         }
     }
 
-    /// A header's text, if it is there and is text.
+    /// Value of a header; `None` if it is absent or not visible ASCII.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// The part of the path after a prefix.
+    /// Rest of the path after a prefix; `None` if the path doesn't start with it.
     #[must_use]
     pub fn path_after(&self, prefix: &str) -> Option<&str> {
         self.uri.path().strip_prefix(prefix)
     }
 
-    /// A parameter of the query.
+    /// Value of a query parameter, without percent-decoding; `None` if it is absent.
     #[must_use]
     pub fn query(&self, name: &str) -> Option<&str> {
         let pairs = self.uri.query()?.split('&');
@@ -80,11 +80,11 @@
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
     }
 
-    /// Reads the body whole.
+    /// Reads the complete body; a second call returns an empty body.
     ///
     /// # Errors
     ///
-    /// If it is too large, too slow or broken off.
+    /// If the body exceeds `limit_bytes`, takes longer than `wait` or is incomplete.
     pub async fn read_body(
         &mut self,
         limit_bytes: usize,
--- a/crates/rookferry_net/src/lib.rs
+++ b/crates/rookferry_net/src/lib.rs
@@ -1,9 +1,9 @@
-//! What rookferry's daemons share: listeners, HTTP clients, the platform's
-//! and the engines' protocols, and logs.
+//! Network code shared by rookferry's daemons: HTTP listeners and clients, clients of the
+//! platform's API and of the engine protocol, the clock, and logging.
 //!
-//! Nothing here decides about requests. A listener bounds connections and
-//! slow callers; a client says whether any byte of a request can have left,
-//! which is what the outcome told to callers rests on.
+//! The crate makes no decisions about requests. Listeners limit connections and slow
+//! clients. The HTTP client reports whether any byte of a request can have been sent; the
+//! outcome returned to callers is based on this.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/rookferry_net/src/log.rs
+++ b/crates/rookferry_net/src/log.rs
@@ -1,4 +1,4 @@
-//! Structured logs with a fixed prefix for each part.
+//! Structured logging to standard output, as JSON or as text for a terminal.
 
 use std::io;
 use std::sync::Mutex;
@@ -11,32 +11,32 @@
 use slog::Logger;
 use slog::o;
 
-/// Records that may wait to be written before further ones are dropped.
+/// Capacity of the queue of unwritten records; records beyond it are dropped.
 const QUEUED_RECORDS: usize = 4_096;
 
-/// How logs are written.
+/// Output format of logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     Json,
-    /// For people at a terminal.
+    /// Human-readable text.
     Terminal,
 }
 
-/// The least severity that is written.
+/// Minimum severity of records that are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// What stops a part from working.
+    /// A component can't work.
     Error,
-    /// What an operator should look at.
+    /// A condition that an operator should check.
     Warning,
-    /// What happens to instances, engines and requests without an answer.
+    /// State changes of instances and engines, and failed requests.
     #[default]
     Info,
-    /// Single messages.
+    /// Individual messages.
     Debug,
 }
 
@@ -51,11 +51,10 @@
     }
 }
 
-/// The logger of a process; parts derive theirs with `o!("part" => …)`.
+/// Creates the root logger of a process; components derive theirs with `o!("part" => …)`.
 ///
-/// Records are written to standard output by a thread of their own, so that a
-/// slow reader doesn't hold up requests; the thread drops and counts what it
-/// can't keep up with.
+/// A separate thread writes the records to standard output, so that a slow reader doesn't
+/// block requests. Records that exceed its queue are dropped and counted.
 pub fn root_logger(format: LogFormat, level: LogLevel, instance: &str) -> Logger {
     let values = o!("instance" => instance.to_owned());
     match format {
--- a/crates/rookferry_net/src/paced_engines.rs
+++ b/crates/rookferry_net/src/paced_engines.rs
@@ -1,4 +1,5 @@
-//! Engines that get no call during a backoff that they asked for.
+//! An [`EngineTransport`] that makes no calls to an engine during a backoff that the
+//! engine requested by `Retry-After`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,21 +23,22 @@
 use crate::ClientError;
 use crate::EngineTransport;
 
-/// Calls engines by another transport, but for those that asked for a backoff:
-/// every kind of call is work for them.
+/// Wraps a transport and refuses calls to engines that are in backoff. All kinds of
+/// calls are covered, since each of them costs the engine work.
 pub struct PacedEngines {
     inner: Arc<dyn EngineTransport>,
     backoffs: Arc<BackoffTable>,
 }
 
 impl PacedEngines {
-    /// Calls by `inner`, and keeps in `backoffs` what engines ask for.
+    /// Wraps `inner` and records the backoffs that engines request in `backoffs`.
     #[must_use]
     pub fn new(inner: Arc<dyn EngineTransport>, backoffs: Arc<BackoffTable>) -> Self {
         Self { inner, backoffs }
     }
 
-    /// Makes a call, which sends nothing before it is polled.
+    /// Makes a call unless the engine is in backoff. `call` must send nothing before it is
+    /// polled.
     fn paced<'a, T: 'a>(
         &'a self,
         addr: SocketAddr,
--- a/crates/rookferry_net/src/platform.rs
+++ b/crates/rookferry_net/src/platform.rs
@@ -1,4 +1,6 @@
-//! The platform's object API.
+//! Client of the platform's object API over HTTP.
+//!
+//! Its errors distinguish calls that can't have taken effect from those that may have.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,29 +20,29 @@
 use crate::ClientError;
 use crate::HttpClient;
 
-/// How long a call may take.
+/// Timeout of a call other than a watch.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// How much longer a watch may take than it asks the platform to wait.
+/// Time that a watch may take beyond the wait that is requested from the platform.
 const WATCH_GRACE: Duration = Duration::from_secs(2);
 
-/// Why the platform gave no answer.
+/// Reason why a platform call failed.
 #[derive(Debug, Snafu)]
 pub enum PlatformError {
     /// The call can't have taken effect.
-    #[snafu(display("the platform did not take the call: {message}"))]
+    #[snafu(display("the platform rejected the call: {message}"))]
     Rejected {
         /// The cause.
         message: String,
     },
     /// The call may have taken effect.
-    #[snafu(display("the platform's answer is lost: {message}"))]
+    #[snafu(display("the platform's response is lost: {message}"))]
     Lost {
         /// The cause.
         message: String,
     },
 }
 
-/// The platform, as the daemons see it.
+/// Operations of the platform that the daemons use.
 pub trait Platform: Send + Sync {
     /// Reads an object; `None` if it doesn't exist.
     fn get<'a>(
@@ -49,7 +51,7 @@
         name: &'a str,
     ) -> BoxFuture<'a, Result<Option<Object>, PlatformError>>;
 
-    /// Writes an object if its version is the expected one.
+    /// Writes an object if its current version is the expected one.
     fn put<'a>(
         &'a self,
         kind: &'a str,
@@ -57,7 +59,7 @@
         request: PutRequest,
     ) -> BoxFuture<'a, Result<PutAnswer, PlatformError>>;
 
-    /// Waits for changes of a kind after a version; counts as one read.
+    /// Waits up to `wait` for changes of a kind after a version; counts as one read.
     fn watch<'a>(
         &'a self,
         kind: &'a str,
@@ -65,11 +67,11 @@
         wait: Duration,
     ) -> BoxFuture<'a, Result<WatchAnswer, PlatformError>>;
 
-    /// The lagging list of instances.
+    /// Reads the list of instances, which lags behind the actual state.
     fn instances(&self) -> BoxFuture<'_, Result<InstanceList, PlatformError>>;
 }
 
-/// The platform over HTTP.
+/// A [`Platform`] reached over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     client: HttpClient,
@@ -77,7 +79,7 @@
 }
 
 impl HttpPlatform {
-    /// A client of the platform at an address.
+    /// Creates a client of the platform at `addr`.
     #[must_use]
     pub const fn new(client: HttpClient, addr: SocketAddr) -> Self {
         Self { client, addr }
@@ -150,8 +152,8 @@
     }
 }
 
-/// Only a failed connect, or the platform's own word that its rate is used
-/// up, shows that a call can't have taken effect.
+/// Converts a client error. Only a failed connect or a client error status (4xx), such as
+/// an exceeded rate limit, shows that a call can't have taken effect.
 fn classify(error: &ClientError) -> PlatformError {
     let message = error.to_string();
     let is_rejected = match error {
--- a/crates/rookferry_net/src/respond.rs
+++ b/crates/rookferry_net/src/respond.rs
@@ -1,4 +1,4 @@
-//! Responses from values.
+//! Builds HTTP responses from values.
 
 use bytes::Bytes;
 use gotham::helpers::http::Body;
@@ -11,13 +11,13 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use serde::Serialize;
 
-/// A JSON response.
+/// Builds a JSON response; a value that can't be encoded results in status 500.
 #[must_use]
 pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     json_response_as(status, "application/json", value)
 }
 
-/// A JSON response with a content type of its own.
+/// Like [`json_response`], with another content type.
 #[must_use]
 pub fn json_response_as<T: Serialize>(
     status: StatusCode,
@@ -30,7 +30,7 @@
     }
 }
 
-/// A plain text response.
+/// Builds a plain text response.
 #[must_use]
 pub fn text_response(status: StatusCode, text: String) -> Response<Body> {
     response(status, "text/plain; charset=utf-8", text.into())
--- a/crates/rookferry_net/src/retry_after.rs
+++ b/crates/rookferry_net/src/retry_after.rs
@@ -1,8 +1,8 @@
-//! The backoff that a server asks for by its answer's `Retry-After` header: in
-//! seconds, here also with a fraction, or as a date.
+//! Parses the `Retry-After` header, by which a server requests a backoff. The value is a
+//! number of seconds, also with a fraction, or an HTTP date.
 //!
-//! A date is taken from the answer's own `Date`, so that the clocks of the two
-//! machines needn't agree; without one it is taken from this machine's.
+//! A date is relative to the `Date` header of the same response, so that the clocks of
+//! the two machines needn't agree. Without a `Date` it is relative to the local clock.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -13,23 +13,24 @@
 use http::header::RETRY_AFTER;
 use snafu::Snafu;
 
-/// The longest time that is told apart; what is beyond reads as this much. Who
-/// goes by it has a far lower bound.
+/// Upper bound of a parsed backoff; longer ones are reduced to it. Callers apply far
+/// lower bounds of their own.
 const LONGEST: Duration = Duration::from_hours(24);
 
-/// A `Retry-After` that doesn't read.
+/// A `Retry-After` header that can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("Retry-After is {value:?}, neither seconds nor a date"))]
 pub struct RetryAfterError {
-    /// What stands there.
+    /// Value of the header.
     pub value: String,
 }
 
-/// The backoff that an answer asks for, if any.
+/// Returns the backoff that a response requests, at most 24 hours; `None` without the
+/// header.
 ///
 /// # Errors
 ///
-/// If it is neither seconds nor a date.
+/// If the value is neither a number of seconds nor an HTTP date.
 pub fn retry_after(headers: &HeaderMap) -> Result<Option<Duration>, RetryAfterError> {
     let Some(value) = headers.get(RETRY_AFTER) else {
         return Ok(None);
@@ -42,13 +43,13 @@
     Ok(Some(wait.min(LONGEST)))
 }
 
-/// Digits with at most one point; not all that reads as a float is meant as a
-/// time.
+/// Parses digits with at most one decimal point. Other forms that `f64` accepts, such as
+/// exponents or `inf`, are not valid here.
 fn seconds(text: &str) -> Option<Duration> {
-    let is_number = text.contains(|sign: char| sign.is_ascii_digit())
+    let is_number = text.contains(|char: char| char.is_ascii_digit())
         && text
             .chars()
-            .all(|sign| sign.is_ascii_digit() || sign == '.');
+            .all(|char| char.is_ascii_digit() || char == '.');
     if !is_number {
         return None;
     }
@@ -59,7 +60,7 @@
 fn until_date(text: &str, headers: &HeaderMap) -> Option<Duration> {
     let at = httpdate::parse_http_date(text).ok()?;
     let now = date(headers, &DATE).unwrap_or_else(SystemTime::now);
-    // One that has gone by asks for no time.
+    // A date in the past requests no backoff.
     Some(at.duration_since(now).unwrap_or(Duration::ZERO))
 }
 
--- a/crates/rookferry_net/src/server.rs
+++ b/crates/rookferry_net/src/server.rs
@@ -1,8 +1,8 @@
-//! A listener that gotham serves, with limits, and that can stop.
+//! An HTTP listener served by gotham, with connection limits and a stop signal.
 //!
-//! gotham's own accept loop runs for ever and has no limits. It is run here
-//! as a future that can be dropped: connections go on in tasks of their own,
-//! so that a stop cuts none of them.
+//! gotham's accept loop never returns and has no limits. It runs here as a future that is
+//! dropped to stop accepting. Each connection runs in its own task, so a stop closes no
+//! open connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use crate::connection::GuardedStream;
 use crate::connection::too_many;
 
-/// A bound listener.
+/// A bound listener that is ready to serve.
 #[derive(Debug)]
 pub struct Server {
     listener: TcpListener,
@@ -26,11 +26,11 @@
 }
 
 impl Server {
-    /// Binds an address.
+    /// Binds a listener to an address.
     ///
     /// # Errors
     ///
-    /// If it can't be bound.
+    /// If the address can't be bound.
     pub async fn bind(addr: SocketAddr, limits: ConnectionLimits) -> io::Result<Self> {
         Ok(Self {
             listener: TcpListener::bind(addr).await?,
@@ -39,22 +39,22 @@
         })
     }
 
-    /// Where it listens.
+    /// Address on which the listener is bound.
     ///
     /// # Errors
     ///
-    /// If the system can't tell.
+    /// If the operating system can't report the address.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Its connections.
+    /// Table of the listener's open connections.
     #[must_use]
     pub const fn connections(&self) -> &ConnectionTable {
         &self.connections
     }
 
-    /// Accepts until `stop` is ready; open connections go on after that.
+    /// Accepts connections until `stop` is ready; open connections continue afterwards.
     pub async fn serve<H: NewHandler + 'static>(self, router: H, stop: impl Future<Output = ()>) {
         let Self {
             listener,
@@ -74,7 +74,7 @@
     limits: ConnectionLimits,
     stream: TcpStream,
 ) -> Result<GuardedStream, ()> {
-    // Answers are small and latency counts.
+    // Responses are small and latency-sensitive.
     let _ = stream.set_nodelay(true);
     if connections.open() >= limits.max_connections {
         let _ = stream.try_write(&too_many());
--- a/crates/rookferry_net/src/until.rs
+++ b/crates/rookferry_net/src/until.rs
@@ -1,10 +1,10 @@
-//! Waiting for a condition that somebody else brings about.
+//! Waits for a condition that another task makes true.
 
 use tokio::sync::Notify;
 
-/// Waits until a condition holds. Each change that may bring it about must be
-/// followed by a word to all that wait on `changed`; none is missed that comes
-/// after the look.
+/// Waits until `holds` returns true. Each change that may make it true must be followed
+/// by `changed.notify_waiters()`. The wait is registered before `holds` is evaluated, so
+/// no later notification is missed.
 pub async fn until(changed: &Notify, holds: impl Fn() -> bool) {
     loop {
         let next = changed.notified();
--- a/crates/rookferry_net/tests/paced_engines.rs
+++ b/crates/rookferry_net/tests/paced_engines.rs
@@ -1,4 +1,4 @@
-//! An engine that asked for time gets no call of any kind until it is over.
+//! An engine that requested a backoff must get no call of any kind until it expires.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     Arc::new(BackoffTable::new(Logger::root(Discard, o!())))
 }
 
-/// An engine that refuses whatever comes with some header, and counts it.
+/// Starts an engine that refuses every call with `header` and counts the calls.
 async fn refusing(header: &'static str) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let addr = listener.local_addr().expect("an address");
@@ -44,7 +44,7 @@
             counted.fetch_add(1, Ordering::Relaxed);
             tokio::spawn(async move {
                 let mut head = [0; 4_096];
-                // All that matters is that something came.
+                // Only the number of calls matters, not their content.
                 let _ = caller.read(&mut head).await;
                 let answer = format!(
                     "HTTP/1.1 503 Service Unavailable\r\n{header}\
@@ -57,7 +57,7 @@
     (addr, calls)
 }
 
-/// Makes a call of each kind; gives what came of them.
+/// Makes one call of each kind and returns their errors.
 async fn call_all(engines: &dyn EngineTransport, addr: SocketAddr) -> Vec<Option<ClientError>> {
     let stream = StreamId::nil();
     let layers = LayerRange { start: 0, end: 1 };
@@ -105,7 +105,7 @@
         let error = error.as_ref().expect("an error");
         assert!(error.is_unsent(), "{error}");
     }
-    // Another process at the address has asked for nothing.
+    // A new process at the address has requested no backoff.
     backoffs.forget(addr);
     assert!(engines.info(addr).await.is_err());
     assert_eq!(calls.load(Ordering::Relaxed), 2);
--- a/crates/rookferry_net/tests/retry_after.rs
+++ b/crates/rookferry_net/tests/retry_after.rs
@@ -1,4 +1,4 @@
-//! What a server's `Retry-After` comes to, whatever stands there.
+//! Parsing of the `Retry-After` header: valid, out-of-range and invalid values.
 
 use std::time::Duration;
 
--- a/crates/rookferry_wire/src/caller.rs
+++ b/crates/rookferry_wire/src/caller.rs
@@ -1,4 +1,4 @@
-//! What callers send and get.
+//! JSON bodies of the client protocol: completion requests, responses and errors.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,14 +8,14 @@
 /// Body of `POST /v1/completions`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompletionRequest {
-    /// The model's name.
+    /// Name of the model.
     pub model: String,
-    /// The prompt; each byte is a token to the stand-ins.
+    /// The prompt; stand-in engines treat each byte as a token.
     pub prompt: String,
-    /// How many tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
-    /// Whether to send tokens as they come.
+    /// Whether to stream tokens as they are generated.
     #[serde(default)]
     pub stream: bool,
 }
@@ -24,109 +24,109 @@
     16
 }
 
-/// Body of a whole answer.
+/// Body of a response that is not streamed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompletionResponse {
-    /// The request's id.
+    /// Id of the request.
     pub id: RequestId,
-    /// The model's name.
+    /// Name of the model.
     pub model: String,
-    /// Generated tokens.
+    /// Ids of the generated tokens.
     pub tokens: Vec<u64>,
     /// The tokens as text.
     pub text: String,
-    /// Always `length` or `stop`; an answer cut short is an error instead.
+    /// Either `length` or `stop`; an incomplete completion is reported as an error.
     pub finish_reason: String,
 }
 
-/// One server-sent event of a streamed answer.
+/// One server-sent event of a streamed response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StreamEvent {
-    /// The request's id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Position of the token in the answer, from 0.
+    /// Index of the token in the response, from 0.
     pub index: u32,
-    /// The token.
+    /// Id of the token.
     pub token: u64,
     /// The token as text.
     pub text: String,
 }
 
-/// What is known about a request that got no answer.
+/// What is known about the execution of a failed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Proved: no part of it ran.
+    /// No part of the request was executed.
     NotRun,
-    /// It was sent on and its result is lost.
+    /// The request was forwarded and its result is lost; it may have been executed.
     Unknown,
-    /// It runs now under the same key; come back for the answer.
+    /// A request with the same key is running; retry later for its response.
     Running,
 }
 
-/// Why a request got no answer.
+/// Machine-readable reason why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReasonCode {
-    /// The body can't be read as what the path takes.
+    /// The request is invalid, or its body can't be parsed.
     BadRequest,
-    /// No account, or a key that is none's.
+    /// The API key is missing or belongs to no account.
     Unauthorized,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The body came too slowly.
+    /// The body was not received in time.
     BodyTooSlow,
-    /// No such model, service or path.
+    /// The model, service or path doesn't exist.
     NotFound,
     /// No route's selector matched.
     NoRoute,
-    /// No chain of live engines covers the layers.
+    /// No chain of live engines covers the model's layers.
     NoChain,
     /// The account's limit is reached.
     AccountLimit,
-    /// The queue is full, or the wait would pass the deadline.
+    /// The queue is full, or the expected wait exceeds the deadline.
     Overloaded,
-    /// No configuration is in force yet.
+    /// The instance has no active configuration yet.
     NotReady,
     /// The instance is leaving.
     Leaving,
-    /// The platform can't be reached to claim the key.
+    /// The key can't be claimed because the platform is unavailable.
     ClaimUnavailable,
-    /// The key was used for another body.
+    /// The idempotency key was used with another body.
     KeyReused,
-    /// The key is older than the window.
+    /// The idempotency key is older than the retention window.
     KeyExpired,
-    /// The key's work is running.
+    /// A request with the same idempotency key is running.
     KeyRunning,
-    /// The engines lost it.
+    /// The engines lost the request.
     EngineLost,
-    /// Servers ended each time that they ran it.
+    /// Servers crashed each time they executed the request.
     Quarantined,
-    /// The deadline passed.
+    /// The request's deadline has passed.
     DeadlinePassed,
-    /// The key's owner is gone and its work can't be resumed.
+    /// The instance that owns the key has exited, and its work can't be resumed.
     OwnerGone,
 }
 
-/// Body of an error, `application/problem+json`.
+/// Body of an error response, `application/problem+json`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Short text for people.
+    /// Short human-readable summary.
     pub title: String,
     /// HTTP status.
     pub status: u16,
-    /// What was wrong, the value, and the likely fix.
+    /// What is wrong, the offending value, and the likely fix.
     pub detail: String,
     /// Machine-readable reason.
     pub reason: ReasonCode,
-    /// What is known about the request.
+    /// What is known about the request's execution.
     pub outcome: Outcome,
-    /// The request's id.
+    /// Id of the request.
     pub request_id: RequestId,
-    /// When to come back, in milliseconds; absent if that can't help.
+    /// Delay before a retry, in milliseconds; absent if a retry can't succeed.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
-    /// A key to come back with while the platform is out.
+    /// Idempotency key to use for retries while the platform is unavailable.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub ticket: Option<String>,
 }
--- a/crates/rookferry_wire/src/engine.rs
+++ b/crates/rookferry_wire/src/engine.rs
@@ -1,9 +1,9 @@
-//! The engine protocol: steps of streams through layer ranges, attempts, KV
-//! pages, load reports, cache events and fenced orders.
+//! JSON messages of the engine protocol: steps of streams through layer ranges,
+//! attempts, KV pages, load reports, cache events and fenced orders.
 //!
-//! A step names stream, attempt and position. An engine takes only the next
-//! position of the newest attempt it has seen; it gives the recorded output
-//! for a repeated position and refuses older attempts and gaps.
+//! A step names its stream, attempt and position. An engine runs a step only at the
+//! next position of the newest attempt it has seen. For a repeated position it returns
+//! the recorded output; older attempts and gaps in the positions are refused.
 
 use std::net::SocketAddr;
 
@@ -19,12 +19,12 @@
 use crate::Position;
 use crate::StreamId;
 
-/// A half-open range of a model's layers.
+/// A half-open range of model layers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LayerRange {
     /// First layer.
     pub start: u16,
-    /// One past the last layer.
+    /// Index after the last layer.
     pub end: u16,
 }
 
@@ -35,261 +35,261 @@
         self.end.saturating_sub(self.start)
     }
 
-    /// Whether a layer is in the range.
+    /// Whether the range contains `layer`.
     #[must_use]
     pub const fn contains(self, layer: u16) -> bool {
         self.start <= layer && layer < self.end
     }
 
-    /// Whether all of another range is in this one.
+    /// Whether the range contains all layers of `other`.
     #[must_use]
     pub const fn covers(self, other: Self) -> bool {
         self.start <= other.start && other.end <= self.end
     }
 
-    /// Whether the range holds no layer.
+    /// Whether the range contains no layer.
     #[must_use]
     pub const fn is_empty(self) -> bool {
         self.end <= self.start
     }
 }
 
-/// What an engine says about itself.
+/// An engine's description of itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineInfo {
-    /// Its name.
+    /// Name of the engine.
     pub engine: EngineId,
-    /// This run of it.
+    /// Current incarnation of the engine.
     pub incarnation: Incarnation,
-    /// The model it has loaded.
+    /// Name of the loaded model.
     pub model: ModelId,
-    /// The loaded version of the model.
+    /// Version of the loaded model.
     pub model_version: String,
-    /// The layers it holds.
+    /// Layers that the engine serves.
     pub layers: LayerRange,
-    /// Its accelerator's kind.
+    /// Kind of accelerator.
     pub accelerator: String,
-    /// Its labels.
+    /// Labels of the engine.
     pub labels: Labels,
-    /// How many streams it runs in one step.
+    /// Maximum number of streams in one batched step.
     pub batch_slots: u32,
-    /// Whether it compares fences on orders.
+    /// Whether the engine rejects orders with an outdated fence.
     pub checks_fences: bool,
-    /// Whether it has said that it leaves.
+    /// Whether the engine has announced that it is leaving.
     pub leaving: bool,
 }
 
-/// One step of one stream through the engine's layers.
+/// One step of a stream through the engine's layers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
     /// The stream.
     pub stream: StreamId,
-    /// The attempt that sends it.
+    /// The attempt that the step belongs to.
     pub attempt: Attempt,
     /// Position of the first input.
     pub position: Position,
-    /// One activation a position; token ids before the first layer.
+    /// One activation per position; token ids if the engine has the first layer.
     pub input: Vec<u64>,
-    /// Higher goes first.
+    /// Scheduling priority; higher values run first.
     pub priority: u8,
 }
 
 /// Steps of many streams in one message.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct StepBatch {
-    /// The steps.
+    /// Steps to run, of any streams.
     pub steps: Vec<Step>,
 }
 
-/// Results in the order of the batch.
+/// Response to a [`StepBatch`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct StepBatchAnswer {
-    /// One result a step.
+    /// One result per step, in the order of the batch.
     pub results: Vec<StepResult>,
 }
 
-/// What became of a step.
+/// Result of a step.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum StepResult {
-    /// It ran now or had run; here are the outputs of the positions asked for.
+    /// The step ran now or earlier; carries the outputs of the requested positions.
     Done {
-        /// One activation a position; token ids after the last layer.
+        /// One activation per position; token ids if the engine has the last layer.
         output: Vec<u64>,
     },
-    /// It did not run.
+    /// The step did not run.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         refusal: Refusal,
     },
 }
 
-/// Why an engine didn't run a step.
+/// Reason why an engine refused a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Refusal {
-    /// A newer attempt has been seen.
+    /// The engine has seen a newer attempt.
     StaleAttempt {
-        /// The newest one.
+        /// The newest attempt seen.
         newest: Attempt,
     },
-    /// Positions before this one are missing.
+    /// The step is not at the next position; earlier positions are missing.
     Gap {
-        /// The position the engine would take.
+        /// The position that the engine expects next.
         next: Position,
     },
-    /// The engine takes no new streams.
+    /// The engine is leaving and accepts no new streams.
     Leaving,
-    /// Its waiting room is full.
+    /// The engine's queue is full.
     Overloaded,
     /// The stream was cancelled.
     Cancelled,
-    /// A later attempt must be opened before steps of it are sent.
+    /// The step's attempt is newer than the open one and must be opened first.
     UnopenedAttempt,
 }
 
-/// Opens an attempt on a stage that may already hold the stream.
+/// Opens an attempt on a stage that may already have cached positions of the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptRequest {
     /// The stream.
     pub stream: StreamId,
     /// The new attempt.
     pub attempt: Attempt,
-    /// How many positions to keep at most.
+    /// Maximum number of cached positions to keep.
     pub keep: Position,
-    /// Refuse rather than start anew if the stream isn't held.
+    /// Whether to refuse, instead of starting an empty stream, if the stream is unknown.
     pub must_exist: bool,
 }
 
-/// The engine's answer to [`AttemptRequest`].
+/// Response to an [`AttemptRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum AttemptAnswer {
     /// The attempt is open.
     Opened {
-        /// Positions that the stage holds.
+        /// Number of positions that the stage has cached.
         kept: Position,
     },
-    /// A newer attempt, or no such stream.
+    /// A newer attempt exists, or the stream is unknown.
     Refused {
-        /// The newest attempt seen, 0 if the stream isn't held.
+        /// The newest attempt seen; 0 if the stream is unknown.
         newest: Attempt,
     },
 }
 
-/// Ends a stream and frees its KV.
+/// Cancels a stream and frees its KV cache.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct CancelRequest {
     /// The stream.
     pub stream: StreamId,
-    /// The attempt that ends it.
+    /// The attempt that cancels it.
     pub attempt: Attempt,
 }
 
-/// KV cache of one stream on one stage, as exported.
+/// Exported KV cache of one stream on one stage.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KvPages {
     /// The stream.
     pub stream: StreamId,
-    /// The attempt it was exported under.
+    /// The attempt that the cache was exported under.
     pub attempt: Attempt,
-    /// The layers.
+    /// The layers that the cache covers.
     pub layers: LayerRange,
-    /// Per position, one value a layer.
+    /// For each position, one value per layer.
     pub positions: Vec<Vec<u64>>,
 }
 
-/// Load as the engine saw it some time ago.
+/// An engine's load at an earlier moment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Age of the report when it was sent.
+    /// Age of the report when it was sent, in milliseconds.
     pub age_ms: u64,
-    /// Steps waiting or running.
+    /// Number of queued and running steps.
     pub queued_steps: u32,
-    /// Streams held.
+    /// Number of streams on the engine.
     pub streams: u32,
-    /// Mean time of a step in the report's window.
+    /// Mean step time over the report's window, in microseconds.
     pub step_us: u64,
 }
 
-/// A change of the prefix cache; published late and with gaps.
+/// A change of the prefix cache; events are delayed and some may be missing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Sequence number; a jump tells of a gap.
+    /// Sequence number; a jump shows that events are missing.
     pub seq: u64,
-    /// Hash of the prefix.
+    /// Hash of the cached prefix.
     pub prefix: u64,
-    /// Stored, or evicted.
+    /// Whether the prefix was stored; otherwise it was evicted.
     pub stored: bool,
 }
 
-/// Cache events since a sequence number.
+/// Cache events from a requested sequence number on.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The events.
+    /// Events in the order of their sequence numbers.
     pub events: Vec<CacheEvent>,
-    /// Where to ask from next.
+    /// Sequence number to request next.
     pub next: u64,
 }
 
-/// What an order asks of an engine.
+/// An action that the controller orders an engine to take.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "snake_case")]
 pub enum Order {
-    /// Load a model's version, or a range of its layers.
+    /// Load layers of a model version.
     Load {
-        /// The model.
+        /// Name of the model.
         model: ModelId,
-        /// The version.
+        /// Version of the model.
         version: String,
-        /// The layers.
+        /// Layers to load.
         layers: LayerRange,
     },
     /// Load an adapter.
     LoadAdapter {
-        /// The adapter.
+        /// Name of the adapter.
         adapter: String,
     },
     /// Change the engine's role.
     SetRole {
-        /// The role.
+        /// The new role.
         role: String,
     },
 }
 
-/// A fenced order.
+/// An order with the fence that protects against outdated lease holders.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// Fence of the lease it is given under.
+    /// Fence of the lease under which the order was issued.
     pub fence: u64,
     /// The order.
     pub order: Order,
 }
 
-/// What became of an order.
+/// Response to an [`OrderRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum OrderAnswer {
-    /// Accepted.
+    /// The engine accepted the order.
     Accepted,
-    /// A higher fence has been seen.
+    /// The engine has seen a higher fence.
     Fenced {
-        /// The highest.
+        /// The highest fence seen.
         highest: u64,
     },
 }
 
-/// An engine as an entry instance sees it, for the controller beside it.
+/// An entry instance's view of an engine, sent to the controller next to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetEngine {
-    /// What it says about itself.
+    /// The engine's description of itself.
     pub info: EngineInfo,
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the engine.
     pub failure_domain: DomainId,
-    /// Whether it answers.
+    /// Whether the engine is currently not responding.
     pub is_lost: bool,
-    /// Streams of all instances on it, as estimated.
+    /// Estimated number of streams on the engine, over all instances.
     pub streams: u32,
 }
--- a/crates/rookferry_wire/src/lib.rs
+++ b/crates/rookferry_wire/src/lib.rs
@@ -1,9 +1,8 @@
-//! Messages between rookferry's processes, and between them and the outside
-//! systems they meet.
+//! Message types exchanged between rookferry's processes and with external systems.
 //!
-//! The platform's objects, the engine protocol and the callers' protocol are
-//! JSON. Messages between our own processes are `postcard`. Nothing here
-//! decides anything; the types only carry what the parts tell each other.
+//! The platform's objects, the engine protocol and the client protocol are encoded as
+//! JSON, messages between entry instances as `postcard`. The crate contains message
+//! types and their encoding, no decisions.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/rookferry_wire/src/peer.rs
+++ b/crates/rookferry_wire/src/peer.rs
@@ -1,5 +1,6 @@
-//! Messages between entry instances: authenticated datagrams for heartbeats,
-//! and requests over TCP for what doesn't fit one.
+//! Messages between entry instances, encoded by `postcard`: heartbeats in
+//! authenticated datagrams, and requests over TCP for content that doesn't fit into
+//! a datagram.
 
 use std::net::SocketAddr;
 
@@ -18,176 +19,176 @@
 use crate::ObjectVersion;
 use crate::RequestId;
 
-/// Largest datagram that is sent or taken, in bytes.
+/// Largest datagram that is sent or accepted, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Kind of the configuration's object.
+/// Kind of the platform object that contains the configuration.
 pub const CONFIG_KIND: &str = "config";
-/// Name of the configuration's object.
+/// Name of the platform object that contains the configuration.
 pub const CONFIG_NAME: &str = "site";
 
 const TAG_BYTES: usize = 16;
 
-/// One engine in few bytes, as the instance saw it that asks it.
+/// Compact state of one engine, as observed by the instance that polls it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineDigest {
-    /// Hash of its name.
+    /// Hash of the engine's name.
     pub engine: u32,
-    /// Streams that it held.
+    /// Number of streams on the engine.
     pub streams: u16,
-    /// Its step time.
+    /// Step time, in microseconds.
     pub step_us: u32,
-    /// Age of these figures at the sending.
+    /// Age of these figures when they were sent, in milliseconds.
     pub age_ms: u16,
-    /// Tells apart what the engine says about itself at different times.
+    /// Hash of the engine's [`EngineInfo`](crate::EngineInfo); shows when it has changed.
     pub info_tag: u16,
-    /// Whether it answers.
+    /// Whether the engine is not responding.
     pub is_lost: bool,
-    /// Whether it leaves.
+    /// Whether the engine is leaving.
     pub is_leaving: bool,
 }
 
-/// What an entry instance tells the others, several times a second.
+/// State that an entry instance sends to its peers several times a second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// Name of the sender.
     pub instance: InstanceId,
-    /// This run of it.
+    /// Current incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Rises with each heartbeat of an incarnation.
+    /// Sequence number; increases with each heartbeat of an incarnation.
     pub seq: u64,
-    /// The sender's failure domain.
+    /// Failure domain of the sender.
     pub failure_domain: DomainId,
-    /// Where it takes requests from peers, over TCP.
+    /// TCP address on which the sender accepts peer requests.
     pub peer_addr: SocketAddr,
-    /// Version of the configuration in force there.
+    /// Version of the sender's active configuration.
     pub config_version: ObjectVersion,
-    /// Whether it is leaving.
+    /// Whether the sender is leaving.
     pub leaving: bool,
-    /// How long its rounds last now, for whoever waits for the next one.
+    /// Current heartbeat interval in milliseconds; receivers expect the next one by it.
     pub interval_ms: u16,
-    /// The engines that the sender asks, or some of them in turn.
+    /// Engines that the sender polls; a rotating subset if not all fit.
     pub engines: Vec<EngineDigest>,
 }
 
 /// A request from one entry instance to another, over TCP.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// The configuration, if newer than a version.
+    /// Read the configuration if it is newer than a version.
     Config {
-        /// The version that the asker has.
+        /// The version that the requester has.
         above: ObjectVersion,
     },
-    /// The platform's list of instances as the asked one last read it.
+    /// Read the platform's list of instances as the receiver last read it.
     Instances,
-    /// The record of a decision.
+    /// Read the record of a routing decision.
     Decision {
-        /// The request.
+        /// Id of the request that was decided on.
         request_id: RequestId,
     },
-    /// Write a claim: the asked instance writes its object for all instances.
+    /// Write a claim; the receiver writes this object on behalf of all instances.
     Claim {
-        /// The object.
+        /// Name of the object that the claim is written to.
         object: String,
-        /// Digest of the key.
+        /// Digest of the idempotency key.
         digest: String,
-        /// The asker's claim.
+        /// The requester's claim.
         claim: Claim,
-        /// How long claims are kept.
+        /// How long claims are retained, in milliseconds.
         window_ms: u64,
     },
-    /// Serve a call whose key only the asked instance may dispatch: it owns
-    /// the key's claim, or minted it as a ticket.
+    /// Serve a call whose key only the receiver may dispatch, because the receiver owns
+    /// the key's claim or issued the key as a ticket.
     Run(KeyedCall),
 }
 
-/// A call that may run once, passed on to the owner of its key.
+/// A call that may run only once, forwarded to the owner of its idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedCall {
-    /// The key.
+    /// The idempotency key.
     pub key: String,
-    /// The caller's account.
+    /// Name of the client account.
     pub account: String,
-    /// The plain service and the path within it; `None` for a model call.
+    /// Name of the plain service and path within it; `None` for a model call.
     pub service: Option<(String, String)>,
-    /// The method, for plain services.
+    /// HTTP method, for plain services.
     pub method: String,
-    /// The caller's labels for the request, as it sent them.
+    /// Request labels as sent by the client.
     pub labels: String,
-    /// The body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
-/// What became of a claim that a peer asked for.
+/// Result of a claim that a peer requested.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// It is written: dispatch.
+    /// The claim is written; the requester may dispatch the work.
     Granted,
-    /// Another claim holds the key.
+    /// The key already has another claim.
     Taken(Claim),
-    /// Not claimed.
+    /// The claim was not written.
     Refused(ClaimRefusal),
 }
 
-/// The answer to a [`PeerRequest`].
+/// Response to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerAnswer {
     /// A newer configuration.
     Config {
-        /// Its version.
+        /// Version of the configuration.
         version: ObjectVersion,
-        /// Its JSON.
+        /// The configuration as JSON.
         body: String,
     },
-    /// Nothing newer, or nothing known.
+    /// There is no newer configuration, or the requested item is unknown.
     Nothing,
-    /// The list of instances.
+    /// The platform's list of instances.
     Instances(InstanceList),
-    /// A decision's record as JSON.
+    /// Record of a routing decision.
     Decision {
-        /// The record.
+        /// The record as JSON.
         record: String,
     },
-    /// What became of a claim.
+    /// Result of a claim.
     Claim(ClaimReply),
-    /// What the call's caller is to get.
+    /// The response to return to the client.
     Ran {
         /// HTTP status.
         status: u16,
-        /// Content type.
+        /// Value of the `Content-Type` header.
         content_type: String,
-        /// The request's id at the owner.
+        /// Id of the request at the key's owner.
         request_id: RequestId,
-        /// Body.
+        /// Response body.
         body: Vec<u8>,
     },
 }
 
-/// Why a datagram was dropped.
+/// Error of encoding or decoding a datagram.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum DatagramError {
-    /// Over or under the size limits.
+    /// The datagram is too large or too small.
     #[snafu(display("datagram of {bytes} bytes is outside the limits"))]
     Size {
-        /// Its size.
+        /// Size of the datagram, in bytes.
         bytes: usize,
     },
-    /// The keyed hash doesn't match.
+    /// The authentication tag doesn't match.
     #[snafu(display("datagram's tag does not match the site's key"))]
     Tag,
-    /// Not a message.
-    #[snafu(display("datagram is no heartbeat: {message}"))]
+    /// The message could not be encoded or decoded.
+    #[snafu(display("datagram could not be encoded or decoded: {message}"))]
     Format {
-        /// The codec's words.
+        /// Error message of the codec.
         message: String,
     },
 }
 
-/// The site's key for datagrams and peer connections.
+/// Symmetric key of a site that authenticates datagrams and peer connections.
 #[derive(Clone)]
 pub struct DatagramKey([u8; 32]);
 
 impl DatagramKey {
-    /// Derives the key from the shared secret in the settings.
+    /// Derives the key from the site secret in the settings.
     #[must_use]
     pub fn from_secret(secret: &str) -> Self {
         Self(blake3::derive_key(
@@ -196,20 +197,20 @@
         ))
     }
 
-    /// Encodes and signs a heartbeat.
+    /// Encodes a heartbeat and appends its authentication tag.
     ///
     /// # Errors
     ///
-    /// If it doesn't fit [`MAX_DATAGRAM_BYTES`].
+    /// If the datagram exceeds [`MAX_DATAGRAM_BYTES`] or encoding fails.
     pub fn seal(&self, heartbeat: &Heartbeat) -> Result<Vec<u8>, DatagramError> {
         self.seal_message(heartbeat)
     }
 
-    /// Encodes and signs a message.
+    /// Encodes a message and appends its authentication tag.
     ///
     /// # Errors
     ///
-    /// If it doesn't fit [`MAX_DATAGRAM_BYTES`].
+    /// If the datagram exceeds [`MAX_DATAGRAM_BYTES`] or encoding fails.
     pub fn seal_message(&self, message: &impl Serialize) -> Result<Vec<u8>, DatagramError> {
         let mut bytes = postcard::to_stdvec(message).map_err(|error| DatagramError::Format {
             message: error.to_string(),
@@ -223,20 +224,20 @@
         Ok(bytes)
     }
 
-    /// Checks and decodes a heartbeat.
+    /// Verifies and decodes a heartbeat.
     ///
     /// # Errors
     ///
-    /// If size, tag or encoding is wrong; the datagram is then to be dropped.
+    /// If size, tag or encoding is invalid; the caller must drop the datagram.
     pub fn open(&self, datagram: &[u8]) -> Result<Heartbeat, DatagramError> {
         self.open_message(datagram)
     }
 
-    /// Checks and decodes a message.
+    /// Verifies and decodes a message.
     ///
     /// # Errors
     ///
-    /// If size, tag or encoding is wrong; the datagram is then to be dropped.
+    /// If size, tag or encoding is invalid; the caller must drop the datagram.
     pub fn open_message<T: DeserializeOwned>(&self, datagram: &[u8]) -> Result<T, DatagramError> {
         let bytes = datagram.len();
         ensure!(
@@ -253,13 +254,13 @@
         })
     }
 
-    /// The proof that a peer connection's opener holds the key.
+    /// Computes the proof that the opener of a peer connection has the key.
     #[must_use]
     pub fn connection_proof(&self, nonce: &[u8]) -> [u8; 32] {
         *blake3::keyed_hash(&self.0, nonce).as_bytes()
     }
 
-    /// Whether a proof was made with this key, compared in constant time.
+    /// Whether `proof` was computed with this key for `nonce`; compares in constant time.
     #[must_use]
     pub fn is_proof(&self, nonce: &[u8], proof: &[u8; 32]) -> bool {
         blake3::keyed_hash(&self.0, nonce) == blake3::Hash::from_bytes(*proof)
@@ -276,6 +277,6 @@
 fn constant_time_eq(left: [u8; TAG_BYTES], right: [u8; TAG_BYTES]) -> bool {
     left.iter()
         .zip(right)
-        .fold(0, |seen, (a, b)| seen | (a ^ b))
+        .fold(0, |difference, (a, b)| difference | (a ^ b))
         == 0
 }
--- a/crates/rookferry_wire/src/platform.rs
+++ b/crates/rookferry_wire/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's objects: versions, conditional updates, watches, and the
-//! lagging list of instances.
+//! JSON messages of the platform's API: versioned objects, conditional updates,
+//! watches, and the list of instances, which lags behind the actual state.
 
 use std::net::SocketAddr;
 
@@ -14,43 +14,43 @@
 use crate::ObjectVersion;
 use crate::StreamId;
 
-/// Kind of the objects that hold claims.
+/// Kind of the objects that contain claims.
 pub const CLAIMS_KIND: &str = "claims";
-/// Kind of the objects that hold leases.
+/// Kind of the objects that contain leases.
 pub const LEASES_KIND: &str = "leases";
 
-/// One object as the platform holds it.
+/// An object stored by the platform.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Object {
     /// Name within its kind.
     pub name: String,
-    /// Version, raised by each write of any object of the kind.
+    /// Version; each write of any object of the kind increases it.
     pub version: ObjectVersion,
-    /// The value; `null` once deleted.
+    /// The value; `null` if the object was deleted.
     pub value: serde_json::Value,
 }
 
 /// A conditional update.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PutRequest {
-    /// The version that must be current; 0 to create.
+    /// The expected current version; 0 to create the object.
     pub expected: ObjectVersion,
-    /// The new value; `null` deletes.
+    /// The new value; `null` deletes the object.
     pub value: serde_json::Value,
 }
 
-/// What became of a conditional update.
+/// Response to a [`PutRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum PutAnswer {
-    /// It took effect.
+    /// The update was applied.
     Written {
-        /// The new version.
+        /// The object's new version.
         version: ObjectVersion,
     },
-    /// Another write came first.
+    /// The current version is not the expected one.
     Conflict {
-        /// The object as it is now, if it exists.
+        /// The current object, if it exists.
         current: Option<Object>,
     },
 }
@@ -60,83 +60,83 @@
 pub struct WatchAnswer {
     /// Changed objects, oldest first.
     pub objects: Vec<Object>,
-    /// Where to watch from next.
+    /// Version to continue the watch from.
     pub version: ObjectVersion,
 }
 
-/// The platform's list of instances, which lags.
+/// The platform's list of instances, which lags behind the actual state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct InstanceList {
-    /// All known instances.
+    /// All instances known to the platform.
     pub instances: Vec<InstanceEntry>,
 }
 
-/// One instance of the list.
+/// An entry of the [`InstanceList`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstanceEntry {
-    /// Its name.
+    /// Name of the instance.
     pub name: InstanceId,
-    /// What it runs.
+    /// What the instance runs.
     pub kind: InstanceKind,
-    /// Where it listens.
+    /// Address on which the instance listens.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: DomainId,
-    /// Its labels.
+    /// Labels of the instance.
     #[serde(default)]
     pub labels: Labels,
-    /// Live or leaving.
+    /// Whether the instance accepts new work.
     pub state: InstanceState,
 }
 
-/// What an instance runs.
+/// Kind of process that an instance is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceKind {
-    /// A model engine.
+    /// An engine that runs layers of a model.
     ModelEngine,
-    /// A plain service.
+    /// A server of a plain service.
     AppEngine,
     /// An entry instance of this system.
     Entry,
 }
 
-/// Whether an instance is to get new work.
+/// Whether an instance accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// It takes work.
+    /// The instance accepts new work.
     Live,
-    /// It gets no new work.
+    /// The instance is shutting down and must get no new work.
     Leaving,
 }
 
-/// Who may dispatch a key's work, and where it runs.
+/// Exclusive right of one instance to dispatch the work of an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The instance that may dispatch it.
+    /// The instance that may dispatch the work.
     pub owner: InstanceId,
-    /// The run of that instance.
+    /// Incarnation of the owner.
     pub incarnation: Incarnation,
-    /// Tells this try at claiming from all others.
+    /// Random number that distinguishes this claim attempt from all others.
     pub nonce: u64,
-    /// Digest of the request's body.
+    /// Digest of the request body.
     pub body_digest: String,
-    /// The stream on the engines, for model calls.
+    /// Stream on the engines, for model calls.
     pub stream: Option<StreamId>,
-    /// The first chain, for whoever resumes it.
+    /// The first chain of engines, used to resume the stream.
     pub chain: Vec<EngineId>,
-    /// When it was claimed, in milliseconds since 1970.
+    /// Time of the claim, as Unix time in milliseconds.
     pub at_ms: u64,
 }
 
-/// Why a claim was refused; the work is then not dispatched.
+/// Reason why a claim was refused; the work is then not dispatched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimRefusal {
-    /// The platform doesn't answer.
+    /// The platform doesn't respond.
     Unavailable,
-    /// The object can take no more claims in its window.
+    /// The object has reached its maximum of claims in the retention window.
     Full,
-    /// Others write the object all the time.
+    /// Concurrent writes of the object kept causing conflicts.
     Contended,
 }
