--- a/crates/rookferry_net/src/retry_after.rs
+++ b/crates/rookferry_net/src/retry_after.rs
@@ -46,10 +46,10 @@
 /// Parses digits with at most one decimal point. Other forms that `f64` accepts, such as
 /// exponents or `inf`, are not valid here.
 fn seconds(text: &str) -> Option<Duration> {
-    let is_number = text.contains(|char: char| char.is_ascii_digit())
+    let is_number = text.contains(|c: char| c.is_ascii_digit())
         && text
             .chars()
-            .all(|char| char.is_ascii_digit() || char == '.');
+            .all(|c| c.is_ascii_digit() || c == '.');
     if !is_number {
         return None;
     }
