--- a/crates/rookferry_net/src/retry_after.rs
+++ b/crates/rookferry_net/src/retry_after.rs
@@ -47,9 +47,7 @@
 /// exponents or `inf`, are not valid here.
 fn seconds(text: &str) -> Option<Duration> {
     let is_number = text.contains(|c: char| c.is_ascii_digit())
-        && text
-            .chars()
-            .all(|c| c.is_ascii_digit() || c == '.');
+        && text.chars().all(|c| c.is_ascii_digit() || c == '.');
     if !is_number {
         return None;
     }
