--- a/crates/rookferry_controller/src/controller.rs
+++ b/crates/rookferry_controller/src/controller.rs
@@ -24,10 +24,10 @@
 use rookferry_wire::FleetEngine;
 use rookferry_wire::LEASES_KIND;
 use rookferry_wire::LoadReport;
-use rookferry_wire::OrderAnswer;
 use rookferry_wire::OrderRequest;
-use rookferry_wire::PutAnswer;
+use rookferry_wire::OrderResponse;
 use rookferry_wire::PutRequest;
+use rookferry_wire::PutResponse;
 use serde::Deserialize;
 use slog::Logger;
 use slog::debug;
@@ -120,11 +120,11 @@
             .put(LEASES_KIND, &domain, PutRequest { expected, value })
             .await
         {
-            Ok(PutAnswer::Written { version }) => {
+            Ok(PutResponse::Written { version }) => {
                 debug!(self.log, "Controller::look_at_lease: held"; "part" => "lease", "fence" => object.fence);
                 self.lease.written(sent_at, version, object);
             }
-            Ok(PutAnswer::Conflict { current }) => self.lease.observed(sent_at, current.as_ref()),
+            Ok(PutResponse::Conflict { current }) => self.lease.observed(sent_at, current.as_ref()),
             // A write that took effect unheard is seen at the next look.
             Err(error) => {
                 info!(self.log, "lease: not written"; "part" => "lease", "error" => %error);
@@ -163,9 +163,9 @@
             order: needed.order.clone(),
         };
         match self.engines.order(engine.addr, request).await {
-            Ok(OrderAnswer::Accepted) => info!(self.log, "orders: accepted";
+            Ok(OrderResponse::Accepted) => info!(self.log, "orders: accepted";
                 "part" => "orders", "engine" => %name, "rule" => rule, "order" => ?needed.order, "fence" => fence),
-            Ok(OrderAnswer::Fenced { highest }) => warn!(self.log, "orders: fenced off";
+            Ok(OrderResponse::Fenced { highest }) => warn!(self.log, "orders: fenced off";
                 "part" => "orders", "engine" => %name, "fence" => fence, "highest" => highest),
             Err(error) => warn!(self.log, "orders: no answer";
                 "part" => "orders", "engine" => %name, "error" => %error),
--- a/crates/rookferry_core/examples/embed.rs
+++ b/crates/rookferry_core/examples/embed.rs
@@ -26,7 +26,7 @@
 use rookferry_core::StreamDriver;
 use rookferry_core::StreamSpec;
 use rookferry_core::chooser_for;
-use rookferry_wire::AttemptAnswer;
+use rookferry_wire::AttemptResponse;
 use rookferry_wire::EngineId;
 use rookferry_wire::EngineInfo;
 use rookferry_wire::LayerRange;
@@ -71,7 +71,8 @@
                 }
                 StreamAction::Open { engine, request } => {
                     let gate = gates.entry(engine.clone()).or_default();
-                    if let AttemptAnswer::Opened { kept } = gate.open(request.attempt, request.keep)
+                    if let AttemptResponse::Opened { kept } =
+                        gate.open(request.attempt, request.keep)
                     {
                         let attempt = request.attempt;
                         events.push(StageEvent::Opened {
--- a/crates/rookferry_core/src/stream/gate.rs
+++ b/crates/rookferry_core/src/stream/gate.rs
@@ -1,7 +1,7 @@
 //! The guard of one stream on one stage.
 
 use rookferry_wire::Attempt;
-use rookferry_wire::AttemptAnswer;
+use rookferry_wire::AttemptResponse;
 use rookferry_wire::Position;
 use rookferry_wire::Refusal;
 use rookferry_wire::Step;
@@ -110,15 +110,15 @@
     ///
     /// The current attempt may be opened again: a driver whose answer was
     /// lost asks twice.
-    pub fn open(&mut self, attempt: Attempt, keep: Position) -> AttemptAnswer {
+    pub fn open(&mut self, attempt: Attempt, keep: Position) -> AttemptResponse {
         if attempt < self.attempt {
-            return AttemptAnswer::Refused {
+            return AttemptResponse::Refused {
                 newest: self.attempt,
             };
         }
         self.attempt = attempt;
         self.outputs.truncate(keep as usize);
-        AttemptAnswer::Opened { kept: self.next() }
+        AttemptResponse::Opened { kept: self.next() }
     }
 
     /// The newest attempt seen.
--- a/crates/rookferry_core/tests/support/mod.rs
+++ b/crates/rookferry_core/tests/support/mod.rs
@@ -12,8 +12,8 @@
 use rookferry_core::StreamAction;
 use rookferry_core::StreamDriver;
 use rookferry_core::StreamSpec;
-use rookferry_wire::AttemptAnswer;
 use rookferry_wire::AttemptRequest;
+use rookferry_wire::AttemptResponse;
 use rookferry_wire::EngineId;
 use rookferry_wire::LayerRange;
 use rookferry_wire::Refusal;
@@ -132,13 +132,13 @@
         Ok(held.gate.outputs(step.position, step.input.len()).to_vec())
     }
 
-    fn open(&mut self, request: AttemptRequest) -> AttemptAnswer {
+    fn open(&mut self, request: AttemptRequest) -> AttemptResponse {
         if request.must_exist && self.held.is_none() {
-            return AttemptAnswer::Refused { newest: 0 };
+            return AttemptResponse::Refused { newest: 0 };
         }
         let held = self.held.get_or_insert_default();
         let answer = held.gate.open(request.attempt, request.keep);
-        if let AttemptAnswer::Opened { kept } = answer {
+        if let AttemptResponse::Opened { kept } = answer {
             held.kv.truncate(kept as usize);
         }
         answer
@@ -291,12 +291,12 @@
             return StageEvent::Lost { engine, attempt };
         }
         match answer {
-            AttemptAnswer::Opened { kept } => StageEvent::Opened {
+            AttemptResponse::Opened { kept } => StageEvent::Opened {
                 engine,
                 attempt,
                 kept,
             },
-            AttemptAnswer::Refused { newest } => StageEvent::OpenRefused {
+            AttemptResponse::Refused { newest } => StageEvent::OpenRefused {
                 engine,
                 attempt,
                 newest,
--- a/crates/rookferry_ctl/src/apply.rs
+++ b/crates/rookferry_ctl/src/apply.rs
@@ -7,8 +7,8 @@
 use rookferry_wire::CONFIG_KIND;
 use rookferry_wire::CONFIG_NAME;
 use rookferry_wire::Object;
-use rookferry_wire::PutAnswer;
 use rookferry_wire::PutRequest;
+use rookferry_wire::PutResponse;
 use serde_json::Value;
 
 use crate::error::CtlError;
@@ -29,8 +29,8 @@
         value: value.clone(),
     };
     match platform.put(CONFIG_KIND, CONFIG_NAME, request).await {
-        Ok(PutAnswer::Written { version }) => Ok(format!("accepted as version {version}")),
-        Ok(PutAnswer::Conflict { current }) => {
+        Ok(PutResponse::Written { version }) => Ok(format!("accepted as version {version}")),
+        Ok(PutResponse::Conflict { current }) => {
             // Shown against what was there when the tool began, or, if that
             // is what was in the way, against the file.
             let before = base.filter(|object| object.version == expected);
--- a/crates/rookferry_entry/src/claims.rs
+++ b/crates/rookferry_entry/src/claims.rs
@@ -18,11 +18,11 @@
 use rookferry_wire::CLAIMS_KIND;
 use rookferry_wire::Claim;
 use rookferry_wire::ClaimRefusal;
-use rookferry_wire::ClaimReply;
-use rookferry_wire::PeerAnswer;
+use rookferry_wire::ClaimResponse;
 use rookferry_wire::PeerRequest;
-use rookferry_wire::PutAnswer;
+use rookferry_wire::PeerResponse;
 use rookferry_wire::PutRequest;
+use rookferry_wire::PutResponse;
 use slog::Logger;
 use slog::info;
 use slog::warn;
@@ -51,7 +51,7 @@
         digest: String,
         claim: Claim,
         is_forwarded: bool,
-        answer: oneshot::Sender<ClaimReply>,
+        answer: oneshot::Sender<ClaimResponse>,
     },
     Withdraw {
         nonce: u64,
@@ -76,7 +76,7 @@
     key: &ClaimKey,
     claim: Claim,
     window_ms: u64,
-) -> ClaimReply {
+) -> ClaimResponse {
     let Some(addr) = home_addr(entry, &key.object) else {
         return entry.claims.claim_here(key, claim, window_ms, false).await;
     };
@@ -87,11 +87,11 @@
         window_ms,
     };
     match peers::ask(entry, addr, &request).await {
-        Ok(PeerAnswer::Claim(ClaimReply::Refused(refusal))) => {
+        Ok(PeerResponse::Claim(ClaimResponse::Refused(refusal))) => {
             entry.claims.withdraw(&key.object, claim.nonce, window_ms);
-            ClaimReply::Refused(refusal)
+            ClaimResponse::Refused(refusal)
         }
-        Ok(PeerAnswer::Claim(reply)) => reply,
+        Ok(PeerResponse::Claim(reply)) => reply,
         Ok(_) | Err(_) => entry.claims.claim_here(key, claim, window_ms, false).await,
     }
 }
@@ -149,7 +149,7 @@
         claim: Claim,
         window_ms: u64,
         is_forwarded: bool,
-    ) -> ClaimReply {
+    ) -> ClaimResponse {
         let (answer, reply) = oneshot::channel();
         let message = Message::Ask {
             digest: key.digest.clone(),
@@ -159,9 +159,9 @@
         };
         let writer = self.writer(&key.object, window_ms);
         if writer.try_send(message).is_err() {
-            return ClaimReply::Refused(ClaimRefusal::Contended);
+            return ClaimResponse::Refused(ClaimRefusal::Contended);
         }
-        let refused = ClaimReply::Refused(ClaimRefusal::Unavailable);
+        let refused = ClaimResponse::Refused(ClaimRefusal::Unavailable);
         reply.await.unwrap_or(refused)
     }
 
@@ -200,7 +200,7 @@
     log: Logger,
     object: String,
     writer: ClaimWriter,
-    waiting: HashMap<AskId, oneshot::Sender<ClaimReply>>,
+    waiting: HashMap<AskId, oneshot::Sender<ClaimResponse>>,
     next_ask: AskId,
     next_write: Instant,
 }
@@ -237,12 +237,12 @@
             for action in actions.drain(..) {
                 match action {
                     ClaimAction::Put { .. } | ClaimAction::Get => call = Some(action),
-                    ClaimAction::Granted { ask } => self.answer(ask, ClaimReply::Granted),
+                    ClaimAction::Granted { ask } => self.answer(ask, ClaimResponse::Granted),
                     ClaimAction::Taken { ask, claim } => {
-                        self.answer(ask, ClaimReply::Taken(claim));
+                        self.answer(ask, ClaimResponse::Taken(claim));
                     }
                     ClaimAction::Refused { ask, refusal } => {
-                        self.answer(ask, ClaimReply::Refused(refusal));
+                        self.answer(ask, ClaimResponse::Refused(refusal));
                     }
                 }
             }
@@ -294,8 +294,8 @@
         };
         let request = PutRequest { expected, value };
         match self.platform.put(CLAIMS_KIND, &self.object, request).await {
-            Ok(PutAnswer::Written { version }) => ClaimEvent::Written { version },
-            Ok(PutAnswer::Conflict { current }) => ClaimEvent::Conflict { current },
+            Ok(PutResponse::Written { version }) => ClaimEvent::Written { version },
+            Ok(PutResponse::Conflict { current }) => ClaimEvent::Conflict { current },
             Err(PlatformError::Lost { message }) => {
                 warn!(self.log, "claims: answer lost, reading back";
                     "part" => "claims", "object" => &self.object, "error" => message);
@@ -309,7 +309,7 @@
         }
     }
 
-    fn answer(&mut self, ask: AskId, answer: ClaimReply) {
+    fn answer(&mut self, ask: AskId, answer: ClaimResponse) {
         if let Some(waiting) = self.waiting.remove(&ask) {
             // One that no longer waits never dispatches.
             let _ = waiting.send(answer);
--- a/crates/rookferry_entry/src/config_sync.rs
+++ b/crates/rookferry_entry/src/config_sync.rs
@@ -19,8 +19,8 @@
 use rookferry_wire::CONFIG_NAME;
 use rookferry_wire::InstanceId;
 use rookferry_wire::ObjectVersion;
-use rookferry_wire::PeerAnswer;
 use rookferry_wire::PeerRequest;
+use rookferry_wire::PeerResponse;
 use slog::error;
 use slog::info;
 
@@ -195,7 +195,7 @@
             && version > seen
         {
             let request = PeerRequest::Config { above: seen };
-            if let Ok(PeerAnswer::Config { version, body }) =
+            if let Ok(PeerResponse::Config { version, body }) =
                 peers::ask(&entry, addr, &request).await
             {
                 offer(&entry, "peer", version, &body);
--- a/crates/rookferry_entry/src/discovery.rs
+++ b/crates/rookferry_entry/src/discovery.rs
@@ -23,8 +23,8 @@
 use rookferry_wire::EngineDigest;
 use rookferry_wire::InstanceId;
 use rookferry_wire::InstanceList;
-use rookferry_wire::PeerAnswer;
 use rookferry_wire::PeerRequest;
+use rookferry_wire::PeerResponse;
 use slog::info;
 
 use crate::config_sync::jittered;
@@ -113,7 +113,7 @@
     let chosen = rand::rng().random_range(0..peers.len().max(1));
     let addr = *peers.get(chosen)?;
     match peers::ask(entry, addr, &PeerRequest::Instances).await {
-        Ok(PeerAnswer::Instances(list)) if !list.instances.is_empty() => Some(list),
+        Ok(PeerResponse::Instances(list)) if !list.instances.is_empty() => Some(list),
         _ => None,
     }
 }
--- a/crates/rookferry_entry/src/http/forward.rs
+++ b/crates/rookferry_entry/src/http/forward.rs
@@ -9,8 +9,8 @@
 use http_body_util::BodyExt;
 use rookferry_wire::InstanceId;
 use rookferry_wire::KeyedCall;
-use rookferry_wire::PeerAnswer;
 use rookferry_wire::PeerRequest;
+use rookferry_wire::PeerResponse;
 
 use super::call::Call;
 use super::call::log_refusal;
@@ -25,7 +25,7 @@
 use crate::peers;
 
 /// Serves a call that a peer passes on.
-pub(crate) async fn serve_keyed(entry: &Arc<EntryState>, keyed: KeyedCall) -> PeerAnswer {
+pub(crate) async fn serve_keyed(entry: &Arc<EntryState>, keyed: KeyedCall) -> PeerResponse {
     let response = match Call::forwarded(entry, &keyed) {
         Ok(call) => match &keyed.service {
             Some((name, path)) => service::serve(entry, call, &keyed.method, name, path).await,
@@ -38,13 +38,13 @@
     };
     let (head, body) = response.into_parts();
     let Ok(body) = body.collect().await else {
-        return PeerAnswer::Nothing;
+        return PeerResponse::Nothing;
     };
     let header = |name: &str| {
         let value = head.headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
     };
-    PeerAnswer::Ran {
+    PeerResponse::Ran {
         status: head.status.as_u16(),
         content_type: header("content-type"),
         request_id: header("rookferry-request-id").into(),
@@ -101,7 +101,7 @@
         body: whole_body(call),
     };
     match peers::ask(entry, addr, &PeerRequest::Run(keyed)).await {
-        Ok(PeerAnswer::Ran {
+        Ok(PeerResponse::Ran {
             status,
             content_type,
             request_id,
--- a/crates/rookferry_entry/src/http/keyed.rs
+++ b/crates/rookferry_entry/src/http/keyed.rs
@@ -22,7 +22,7 @@
 use rookferry_net::clock;
 use rookferry_wire::Claim;
 use rookferry_wire::ClaimRefusal;
-use rookferry_wire::ClaimReply;
+use rookferry_wire::ClaimResponse;
 use rookferry_wire::CompletionResponse;
 use rookferry_wire::EngineId;
 use rookferry_wire::InstanceId;
@@ -166,12 +166,12 @@
     let answer = claims::claim(entry, &keyed.key, claim, window_ms).await;
     match answer {
         // Begun before the mark goes, so that the key is never seen as absent.
-        ClaimReply::Granted => begin(entry, call, keyed, is_stream),
-        ClaimReply::Taken(claim) => {
+        ClaimResponse::Granted => begin(entry, call, keyed, is_stream),
+        ClaimResponse::Taken(claim) => {
             drop(claiming);
             settle_taken(entry, call, keyed, claim, is_stream).await
         }
-        ClaimReply::Refused(refusal) => KeyVerdict::Respond(refuse_claim(entry, call, refusal)),
+        ClaimResponse::Refused(refusal) => KeyVerdict::Respond(refuse_claim(entry, call, refusal)),
     }
 }
 
--- a/crates/rookferry_entry/src/http/operators.rs
+++ b/crates/rookferry_entry/src/http/operators.rs
@@ -13,8 +13,8 @@
 use rookferry_net::json_response;
 use rookferry_net::text_response;
 use rookferry_wire::FleetEngine;
-use rookferry_wire::PeerAnswer;
 use rookferry_wire::PeerRequest;
+use rookferry_wire::PeerResponse;
 use serde::Serialize;
 
 use crate::entry::EntryState;
@@ -129,7 +129,7 @@
         request_id: id.as_str().into(),
     };
     match peers::ask(&entry, addr, &request).await {
-        Ok(PeerAnswer::Decision { record }) => {
+        Ok(PeerResponse::Decision { record }) => {
             let value: serde_json::Value = serde_json::from_str(&record).unwrap_or_default();
             json_response(StatusCode::OK, &value)
         }
--- a/crates/rookferry_entry/src/peers/tcp.rs
+++ b/crates/rookferry_entry/src/peers/tcp.rs
@@ -11,8 +11,8 @@
 
 use rand::RngExt;
 use rookferry_core::ClaimKey;
-use rookferry_wire::PeerAnswer;
 use rookferry_wire::PeerRequest;
+use rookferry_wire::PeerResponse;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use slog::debug;
@@ -64,7 +64,7 @@
     entry: &EntryState,
     addr: SocketAddr,
     request: &PeerRequest,
-) -> Result<PeerAnswer, PeerError> {
+) -> Result<PeerResponse, PeerError> {
     let wait = match request {
         PeerRequest::Run(_) => RUN_TIMEOUT,
         _ => ASK_TIMEOUT,
@@ -79,7 +79,7 @@
     entry: &EntryState,
     addr: SocketAddr,
     request: &PeerRequest,
-) -> Result<PeerAnswer, PeerError> {
+) -> Result<PeerResponse, PeerError> {
     let mut stream = TcpStream::connect(addr).await.context(ConnectionSnafu)?;
     let mut nonce = [0; NONCE_BYTES];
     stream
@@ -129,30 +129,30 @@
         .read_exact(&mut proof)
         .await
         .context(ConnectionSnafu)?;
-    if !entry.peers.key.is_proof(&nonce, &proof) {
+    if !entry.peers.key.verify_proof(&nonce, &proof) {
         let denied = io::Error::from(io::ErrorKind::PermissionDenied);
         return Err(denied).context(ConnectionSnafu);
     }
     read_message(stream).await
 }
 
-async fn answer(entry: &Arc<EntryState>, request: PeerRequest) -> PeerAnswer {
+async fn answer(entry: &Arc<EntryState>, request: PeerRequest) -> PeerResponse {
     match request {
         PeerRequest::Config { above } => {
             let (version, body) = entry.config.body();
             if version <= above {
-                return PeerAnswer::Nothing;
+                return PeerResponse::Nothing;
             }
-            PeerAnswer::Config {
+            PeerResponse::Config {
                 version,
                 body: body.to_string(),
             }
         }
-        PeerRequest::Instances => PeerAnswer::Instances(entry.known.list()),
+        PeerRequest::Instances => PeerResponse::Instances(entry.known.list()),
         PeerRequest::Decision { request_id } => {
             let record = entry.decisions.get(&request_id);
             let record = record.and_then(|record| serde_json::to_string(&*record).ok());
-            record.map_or(PeerAnswer::Nothing, |record| PeerAnswer::Decision {
+            record.map_or(PeerResponse::Nothing, |record| PeerResponse::Decision {
                 record,
             })
         }
@@ -164,7 +164,7 @@
         } => {
             let key = ClaimKey { digest, object };
             let reply = entry.claims.claim_here(&key, claim, window_ms, true).await;
-            PeerAnswer::Claim(reply)
+            PeerResponse::Claim(reply)
         }
         PeerRequest::Run(call) => serve_keyed(entry, call).await,
     }
--- a/crates/rookferry_entry/src/runner.rs
+++ b/crates/rookferry_entry/src/runner.rs
@@ -21,8 +21,8 @@
 use rookferry_core::StreamDriver;
 use rookferry_net::ClientError;
 use rookferry_net::clock;
-use rookferry_wire::AttemptAnswer;
 use rookferry_wire::AttemptRequest;
+use rookferry_wire::AttemptResponse;
 use rookferry_wire::CancelRequest;
 use rookferry_wire::EngineId;
 use rookferry_wire::LayerRange;
@@ -279,12 +279,12 @@
         }
         let wait = self.step_timeout(&engine, 1);
         match self.entry.engines.open(addr, request, wait).await {
-            Ok(AttemptAnswer::Opened { kept }) => StageEvent::Opened {
+            Ok(AttemptResponse::Opened { kept }) => StageEvent::Opened {
                 engine,
                 attempt,
                 kept,
             },
-            Ok(AttemptAnswer::Refused { newest }) => StageEvent::OpenRefused {
+            Ok(AttemptResponse::Refused { newest }) => StageEvent::OpenRefused {
                 engine,
                 attempt,
                 newest,
--- a/crates/rookferry_entry/tests/configuration.rs
+++ b/crates/rookferry_entry/tests/configuration.rs
@@ -10,8 +10,8 @@
 use rookferry_standin::Ending;
 use rookferry_wire::CONFIG_KIND;
 use rookferry_wire::CONFIG_NAME;
-use rookferry_wire::PutAnswer;
 use rookferry_wire::PutRequest;
+use rookferry_wire::PutResponse;
 use rstest::rstest;
 use serde_json::json;
 use support::TestSite;
@@ -71,7 +71,7 @@
     let (one, two) = tokio::join!(put(1), put(2));
     let written = [&one, &two]
         .iter()
-        .filter(|answer| matches!(answer, PutAnswer::Written { .. }))
+        .filter(|answer| matches!(answer, PutResponse::Written { .. }))
         .count();
     assert_eq!(written, 1, "{one:?} {two:?}");
 }
--- a/crates/rookferry_entry/tests/support/mod.rs
+++ b/crates/rookferry_entry/tests/support/mod.rs
@@ -29,8 +29,8 @@
 use rookferry_wire::CONFIG_NAME;
 use rookferry_wire::CompletionRequest;
 use rookferry_wire::LayerRange;
-use rookferry_wire::PutAnswer;
 use rookferry_wire::PutRequest;
+use rookferry_wire::PutResponse;
 use rustix::process::Pid;
 use rustix::process::Signal;
 use rustix::process::kill_process;
@@ -339,7 +339,7 @@
         let expected = current.map_or(0, |object| object.version);
         let request = PutRequest { expected, value };
         match platform.put(CONFIG_KIND, CONFIG_NAME, request).await {
-            Ok(PutAnswer::Written { version }) => version,
+            Ok(PutResponse::Written { version }) => version,
             other => panic!("not applied: {other:?}"),
         }
     }
--- a/crates/rookferry_experiment/src/bench.rs
+++ b/crates/rookferry_experiment/src/bench.rs
@@ -24,8 +24,8 @@
 use rookferry_wire::CONFIG_KIND;
 use rookferry_wire::CONFIG_NAME;
 use rookferry_wire::LayerRange;
-use rookferry_wire::PutAnswer;
 use rookferry_wire::PutRequest;
+use rookferry_wire::PutResponse;
 use serde_json::Value;
 use serde_json::json;
 use sha2::Digest;
@@ -260,7 +260,7 @@
             value,
         };
         match platform.put(CONFIG_KIND, CONFIG_NAME, request).await {
-            Ok(PutAnswer::Written { version }) => version,
+            Ok(PutResponse::Written { version }) => version,
             other => panic!("not applied: {other:?}"),
         }
     }
--- a/crates/rookferry_net/src/engine.rs
+++ b/crates/rookferry_net/src/engine.rs
@@ -5,17 +5,17 @@
 
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
-use rookferry_wire::AttemptAnswer;
 use rookferry_wire::AttemptRequest;
+use rookferry_wire::AttemptResponse;
 use rookferry_wire::CacheEvents;
 use rookferry_wire::CancelRequest;
 use rookferry_wire::EngineInfo;
 use rookferry_wire::KvPages;
 use rookferry_wire::LoadReport;
-use rookferry_wire::OrderAnswer;
 use rookferry_wire::OrderRequest;
+use rookferry_wire::OrderResponse;
 use rookferry_wire::StepBatch;
-use rookferry_wire::StepBatchAnswer;
+use rookferry_wire::StepBatchResponse;
 
 use crate::ClientError;
 use crate::HttpClient;
@@ -45,7 +45,7 @@
         addr: SocketAddr,
         batch: StepBatch,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<StepBatchAnswer, ClientError>>;
+    ) -> BoxFuture<'_, Result<StepBatchResponse, ClientError>>;
 
     /// Opens an attempt of a stream, within `wait`.
     fn open(
@@ -53,7 +53,7 @@
         addr: SocketAddr,
         request: AttemptRequest,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<AttemptAnswer, ClientError>>;
+    ) -> BoxFuture<'_, Result<AttemptResponse, ClientError>>;
 
     /// Cancels a stream and frees its KV cache.
     fn cancel(
@@ -74,14 +74,14 @@
         &self,
         addr: SocketAddr,
         pages: KvPages,
-    ) -> BoxFuture<'_, Result<AttemptAnswer, ClientError>>;
+    ) -> BoxFuture<'_, Result<AttemptResponse, ClientError>>;
 
     /// Sends a fenced order.
     fn order(
         &self,
         addr: SocketAddr,
         request: OrderRequest,
-    ) -> BoxFuture<'_, Result<OrderAnswer, ClientError>>;
+    ) -> BoxFuture<'_, Result<OrderResponse, ClientError>>;
 }
 
 /// An [`EngineTransport`] over HTTP with JSON bodies.
@@ -124,7 +124,7 @@
         addr: SocketAddr,
         batch: StepBatch,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<StepBatchAnswer, ClientError>> {
+    ) -> BoxFuture<'_, Result<StepBatchResponse, ClientError>> {
         async move { self.client.post(addr, "/v1/steps", &batch, wait).await }.boxed()
     }
 
@@ -133,7 +133,7 @@
         addr: SocketAddr,
         request: AttemptRequest,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<AttemptAnswer, ClientError>> {
+    ) -> BoxFuture<'_, Result<AttemptResponse, ClientError>> {
         async move { self.client.post(addr, "/v1/attempts", &request, wait).await }.boxed()
     }
 
@@ -167,7 +167,7 @@
         &self,
         addr: SocketAddr,
         pages: KvPages,
-    ) -> BoxFuture<'_, Result<AttemptAnswer, ClientError>> {
+    ) -> BoxFuture<'_, Result<AttemptResponse, ClientError>> {
         async move {
             self.client
                 .post(addr, "/v1/kv/import", &pages, CALL_TIMEOUT)
@@ -180,7 +180,7 @@
         &self,
         addr: SocketAddr,
         request: OrderRequest,
-    ) -> BoxFuture<'_, Result<OrderAnswer, ClientError>> {
+    ) -> BoxFuture<'_, Result<OrderResponse, ClientError>> {
         async move {
             self.client
                 .post(addr, "/v1/orders", &request, CALL_TIMEOUT)
--- a/crates/rookferry_net/src/paced_engines.rs
+++ b/crates/rookferry_net/src/paced_engines.rs
@@ -7,17 +7,17 @@
 
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
-use rookferry_wire::AttemptAnswer;
 use rookferry_wire::AttemptRequest;
+use rookferry_wire::AttemptResponse;
 use rookferry_wire::CacheEvents;
 use rookferry_wire::CancelRequest;
 use rookferry_wire::EngineInfo;
 use rookferry_wire::KvPages;
 use rookferry_wire::LoadReport;
-use rookferry_wire::OrderAnswer;
 use rookferry_wire::OrderRequest;
+use rookferry_wire::OrderResponse;
 use rookferry_wire::StepBatch;
-use rookferry_wire::StepBatchAnswer;
+use rookferry_wire::StepBatchResponse;
 
 use crate::BackoffTable;
 use crate::ClientError;
@@ -85,7 +85,7 @@
         addr: SocketAddr,
         batch: StepBatch,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<StepBatchAnswer, ClientError>> {
+    ) -> BoxFuture<'_, Result<StepBatchResponse, ClientError>> {
         self.paced(addr, self.inner.steps(addr, batch, wait))
     }
 
@@ -94,7 +94,7 @@
         addr: SocketAddr,
         request: AttemptRequest,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<AttemptAnswer, ClientError>> {
+    ) -> BoxFuture<'_, Result<AttemptResponse, ClientError>> {
         self.paced(addr, self.inner.open(addr, request, wait))
     }
 
@@ -118,7 +118,7 @@
         &self,
         addr: SocketAddr,
         pages: KvPages,
-    ) -> BoxFuture<'_, Result<AttemptAnswer, ClientError>> {
+    ) -> BoxFuture<'_, Result<AttemptResponse, ClientError>> {
         self.paced(addr, self.inner.import(addr, pages))
     }
 
@@ -126,7 +126,7 @@
         &self,
         addr: SocketAddr,
         request: OrderRequest,
-    ) -> BoxFuture<'_, Result<OrderAnswer, ClientError>> {
+    ) -> BoxFuture<'_, Result<OrderResponse, ClientError>> {
         self.paced(addr, self.inner.order(addr, request))
     }
 }
--- a/crates/rookferry_net/src/platform.rs
+++ b/crates/rookferry_net/src/platform.rs
@@ -12,9 +12,9 @@
 use rookferry_wire::InstanceList;
 use rookferry_wire::Object;
 use rookferry_wire::ObjectVersion;
-use rookferry_wire::PutAnswer;
 use rookferry_wire::PutRequest;
-use rookferry_wire::WatchAnswer;
+use rookferry_wire::PutResponse;
+use rookferry_wire::WatchResponse;
 use snafu::Snafu;
 
 use crate::ClientError;
@@ -57,7 +57,7 @@
         kind: &'a str,
         name: &'a str,
         request: PutRequest,
-    ) -> BoxFuture<'a, Result<PutAnswer, PlatformError>>;
+    ) -> BoxFuture<'a, Result<PutResponse, PlatformError>>;
 
     /// Waits up to `wait` for changes of a kind after a version; counts as one read.
     fn watch<'a>(
@@ -65,7 +65,7 @@
         kind: &'a str,
         after: ObjectVersion,
         wait: Duration,
-    ) -> BoxFuture<'a, Result<WatchAnswer, PlatformError>>;
+    ) -> BoxFuture<'a, Result<WatchResponse, PlatformError>>;
 
     /// Reads the list of instances, which lags behind the actual state.
     fn instances(&self) -> BoxFuture<'_, Result<InstanceList, PlatformError>>;
@@ -111,7 +111,7 @@
         kind: &'a str,
         name: &'a str,
         request: PutRequest,
-    ) -> BoxFuture<'a, Result<PutAnswer, PlatformError>> {
+    ) -> BoxFuture<'a, Result<PutResponse, PlatformError>> {
         async move {
             let path = format!("/v1/objects/{kind}/{name}");
             let answer = self
@@ -128,7 +128,7 @@
         kind: &'a str,
         after: ObjectVersion,
         wait: Duration,
-    ) -> BoxFuture<'a, Result<WatchAnswer, PlatformError>> {
+    ) -> BoxFuture<'a, Result<WatchResponse, PlatformError>> {
         async move {
             let path = format!(
                 "/v1/watch/{kind}?after={after}&wait_ms={}",
--- a/crates/rookferry_standin/src/engine/server.rs
+++ b/crates/rookferry_standin/src/engine/server.rs
@@ -33,12 +33,12 @@
 use rookferry_wire::KvPages;
 use rookferry_wire::LoadReport;
 use rookferry_wire::Order;
-use rookferry_wire::OrderAnswer;
 use rookferry_wire::OrderRequest;
+use rookferry_wire::OrderResponse;
 use rookferry_wire::Refusal;
 use rookferry_wire::Step;
 use rookferry_wire::StepBatch;
-use rookferry_wire::StepBatchAnswer;
+use rookferry_wire::StepBatchResponse;
 use rookferry_wire::StepResult;
 use serde::Serialize;
 use tokio::sync::Notify;
@@ -263,7 +263,7 @@
     if app.faults.is_dead() || app.faults.loses_answer() {
         return broken_connection();
     }
-    json_response(StatusCode::OK, &StepBatchAnswer { results })
+    json_response(StatusCode::OK, &StepBatchResponse { results })
 }
 
 async fn open(app: Arc<App>, mut inbound: Inbound) -> Response<Body> {
@@ -340,9 +340,9 @@
         self.cache = PrefixCache::new(CACHED_PREFIXES, Duration::ZERO);
     }
 
-    fn obey(&mut self, request: OrderRequest, model_layers: u16) -> OrderAnswer {
+    fn obey(&mut self, request: OrderRequest, model_layers: u16) -> OrderResponse {
         if self.info.checks_fences && request.fence < self.highest_fence {
-            return OrderAnswer::Fenced {
+            return OrderResponse::Fenced {
                 highest: self.highest_fence,
             };
         }
@@ -368,7 +368,7 @@
                 self.info.labels.insert("role".to_owned(), role);
             }
         }
-        OrderAnswer::Accepted
+        OrderResponse::Accepted
     }
 
     /// Keeps the mean of the last few steps, for reports.
--- a/crates/rookferry_standin/src/engine/stage.rs
+++ b/crates/rookferry_standin/src/engine/stage.rs
@@ -5,8 +5,8 @@
 
 use rookferry_core::GateVerdict;
 use rookferry_core::StageGate;
-use rookferry_wire::AttemptAnswer;
 use rookferry_wire::AttemptRequest;
+use rookferry_wire::AttemptResponse;
 use rookferry_wire::CancelRequest;
 use rookferry_wire::KvPages;
 use rookferry_wire::LayerRange;
@@ -93,16 +93,16 @@
         }
     }
 
-    pub(super) fn open(&mut self, request: AttemptRequest) -> AttemptAnswer {
+    pub(super) fn open(&mut self, request: AttemptRequest) -> AttemptResponse {
         if self.ended.contains(&request.stream) {
-            return AttemptAnswer::Refused { newest: 0 };
+            return AttemptResponse::Refused { newest: 0 };
         }
         if request.must_exist && !self.streams.contains_key(&request.stream) {
-            return AttemptAnswer::Refused { newest: 0 };
+            return AttemptResponse::Refused { newest: 0 };
         }
         let state = self.streams.entry(request.stream).or_default();
         let answer = state.gate.open(request.attempt, request.keep);
-        if let AttemptAnswer::Opened { kept } = answer {
+        if let AttemptResponse::Opened { kept } = answer {
             state.kv.truncate(kept as usize);
         }
         answer
@@ -131,7 +131,7 @@
         })
     }
 
-    pub(super) fn import(&mut self, pages: KvPages) -> AttemptAnswer {
+    pub(super) fn import(&mut self, pages: KvPages) -> AttemptResponse {
         let newest = self
             .streams
             .get(&pages.stream)
@@ -140,7 +140,7 @@
             || newest > pages.attempt
             || self.ended.contains(&pages.stream)
         {
-            return AttemptAnswer::Refused { newest };
+            return AttemptResponse::Refused { newest };
         }
         let outputs = pages.positions.iter().filter_map(|values| values.last());
         let outputs: Vec<u64> = outputs.map(|value| self.output(*value)).collect();
@@ -150,7 +150,7 @@
             kv: pages.positions,
         };
         self.streams.insert(pages.stream, state);
-        AttemptAnswer::Opened { kept }
+        AttemptResponse::Opened { kept }
     }
 
     fn verdict(&self, step: &Step) -> GateVerdict {
--- a/crates/rookferry_standin/src/platform/server.rs
+++ b/crates/rookferry_standin/src/platform/server.rs
@@ -25,8 +25,8 @@
 use rookferry_net::json_response;
 use rookferry_net::text_response;
 use rookferry_wire::InstanceEntry;
-use rookferry_wire::PutAnswer;
 use rookferry_wire::PutRequest;
+use rookferry_wire::PutResponse;
 use serde::Deserialize;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -215,7 +215,7 @@
         );
     };
     let answer = app.lock().put(kind, name, request);
-    if matches!(answer, PutAnswer::Written { .. }) {
+    if matches!(answer, PutResponse::Written { .. }) {
         app.changed.notify_waiters();
     }
     if app.faults.loses_answer() {
--- a/crates/rookferry_standin/src/platform/store.rs
+++ b/crates/rookferry_standin/src/platform/store.rs
@@ -9,9 +9,9 @@
 use rookferry_wire::InstanceList;
 use rookferry_wire::Object;
 use rookferry_wire::ObjectVersion;
-use rookferry_wire::PutAnswer;
 use rookferry_wire::PutRequest;
-use rookferry_wire::WatchAnswer;
+use rookferry_wire::PutResponse;
+use rookferry_wire::WatchResponse;
 
 /// What the platform keeps.
 #[derive(Debug, Default)]
@@ -37,11 +37,11 @@
     }
 
     /// Writes an object if its version is the expected one.
-    pub fn put(&mut self, kind: &str, name: &str, request: PutRequest) -> PutAnswer {
+    pub fn put(&mut self, kind: &str, name: &str, request: PutRequest) -> PutResponse {
         let current = self.get(kind, name).cloned();
         let current_version = current.as_ref().map_or(0, |object| object.version);
         if current_version != request.expected {
-            return PutAnswer::Conflict { current };
+            return PutResponse::Conflict { current };
         }
         self.version += 1;
         let object = Object {
@@ -51,14 +51,14 @@
         };
         self.objects
             .insert((kind.to_owned(), name.to_owned()), object);
-        PutAnswer::Written {
+        PutResponse::Written {
             version: self.version,
         }
     }
 
     /// Objects of a kind that changed after a version.
     #[must_use]
-    pub fn changes(&self, kind: &str, after: ObjectVersion) -> WatchAnswer {
+    pub fn changes(&self, kind: &str, after: ObjectVersion) -> WatchResponse {
         let all = self
             .objects
             .iter()
@@ -69,7 +69,7 @@
             .collect();
         objects.sort_by_key(|object| object.version);
         let version = objects.last().map_or(after, |object| object.version);
-        WatchAnswer { objects, version }
+        WatchResponse { objects, version }
     }
 
     /// How many objects of a kind exist.
--- a/crates/rookferry_wire/src/engine.rs
+++ b/crates/rookferry_wire/src/engine.rs
@@ -103,7 +103,7 @@
 
 /// Response to a [`StepBatch`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct StepBatchAnswer {
+pub struct StepBatchResponse {
     /// One result per step, in the order of the batch.
     pub results: Vec<StepResult>,
 }
@@ -164,7 +164,7 @@
 /// Response to an [`AttemptRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
-pub enum AttemptAnswer {
+pub enum AttemptResponse {
     /// The attempt is open.
     Opened {
         /// Number of positions that the stage has cached.
@@ -269,7 +269,7 @@
 /// Response to an [`OrderRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// The engine accepted the order.
     Accepted,
     /// The engine has seen a higher fence.
--- a/crates/rookferry_wire/src/peer.rs
+++ b/crates/rookferry_wire/src/peer.rs
@@ -120,7 +120,7 @@
 
 /// Result of a claim that a peer requested.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClaimReply {
+pub enum ClaimResponse {
     /// The claim is written; the requester may dispatch the work.
     Granted,
     /// The key already has another claim.
@@ -131,7 +131,7 @@
 
 /// Response to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum PeerAnswer {
+pub enum PeerResponse {
     /// A newer configuration.
     Config {
         /// Version of the configuration.
@@ -149,7 +149,7 @@
         record: String,
     },
     /// Result of a claim.
-    Claim(ClaimReply),
+    Claim(ClaimResponse),
     /// The response to return to the client.
     Ran {
         /// HTTP status.
@@ -262,7 +262,7 @@
 
     /// Whether `proof` was computed with this key for `nonce`; compares in constant time.
     #[must_use]
-    pub fn is_proof(&self, nonce: &[u8], proof: &[u8; 32]) -> bool {
+    pub fn verify_proof(&self, nonce: &[u8], proof: &[u8; 32]) -> bool {
         blake3::keyed_hash(&self.0, nonce) == blake3::Hash::from_bytes(*proof)
     }
 
--- a/crates/rookferry_wire/src/platform.rs
+++ b/crates/rookferry_wire/src/platform.rs
@@ -42,7 +42,7 @@
 /// Response to a [`PutRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
-pub enum PutAnswer {
+pub enum PutResponse {
     /// The update was applied.
     Written {
         /// The object's new version.
@@ -57,7 +57,7 @@
 
 /// Changes of one kind since a version.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct WatchAnswer {
+pub struct WatchResponse {
     /// Changed objects, oldest first.
     pub objects: Vec<Object>,
     /// Version to continue the watch from.
