--- a/crates/rookferry_controller/src/controller.rs
+++ b/crates/rookferry_controller/src/controller.rs
@@ -14,11 +14,11 @@
 use rookferry_core::PlacementPlanner;
 use rookferry_core::SiteConfig;
 use rookferry_net::BackoffTable;
+use rookferry_net::BackoffTransport;
 use rookferry_net::EngineTransport;
 use rookferry_net::HttpClient;
-use rookferry_net::HttpEngines;
+use rookferry_net::HttpEngineTransport;
 use rookferry_net::HttpPlatform;
-use rookferry_net::PacedEngines;
 use rookferry_net::Platform;
 use rookferry_net::clock;
 use rookferry_wire::FleetEngine;
@@ -66,11 +66,11 @@
         let client = HttpClient::new();
         let since = clock::unix_now();
         let backoffs = Arc::new(BackoffTable::new(log.clone()));
-        let engines = Arc::new(HttpEngines::new(client.clone()));
+        let engines = Arc::new(HttpEngineTransport::new(client.clone()));
         let incarnation = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
         Self {
             platform: Arc::new(HttpPlatform::new(client.clone(), settings.platform)),
-            engines: Arc::new(PacedEngines::new(engines, backoffs)),
+            engines: Arc::new(BackoffTransport::new(engines, backoffs)),
             lease: Lease::new(
                 settings.instance.as_str().into(),
                 incarnation,
--- a/crates/rookferry_entry/src/discovery.rs
+++ b/crates/rookferry_entry/src/discovery.rs
@@ -171,7 +171,7 @@
 async fn ask_one(entry: &Arc<EntryState>, ask: Ask, round: u64, is_describing: bool) -> bool {
     let Ask { engine, addr, .. } = ask;
     // That it isn't asked says nothing against it.
-    if entry.backoffs.left(addr).is_some() {
+    if entry.backoffs.remaining(addr).is_some() {
         return false;
     }
     let Ok(load) = entry.engines.load(addr).await else {
--- a/crates/rookferry_entry/src/entry.rs
+++ b/crates/rookferry_entry/src/entry.rs
@@ -14,12 +14,12 @@
 use rookferry_core::RetryBudget;
 use rookferry_core::TicketBook;
 use rookferry_net::BackoffTable;
+use rookferry_net::BackoffTransport;
 use rookferry_net::ConnectionLimits;
 use rookferry_net::EngineTransport;
 use rookferry_net::HttpClient;
-use rookferry_net::HttpEngines;
+use rookferry_net::HttpEngineTransport;
 use rookferry_net::HttpPlatform;
-use rookferry_net::PacedEngines;
 use rookferry_net::Platform;
 use rookferry_net::Server;
 use rookferry_net::clock;
@@ -213,20 +213,20 @@
         let limits = &self.state.settings.limits;
         self.state.leaving.store(true, Ordering::SeqCst);
         self.state.peers.wake.notify_waiters();
-        info!(self.state.log, "entry: leaving"; "part" => "entry", "requests" => self.callers.requests());
+        info!(self.state.log, "entry: leaving"; "part" => "entry", "requests" => self.callers.active_requests());
         tokio::time::sleep(Duration::from_millis(limits.leave_wait_ms)).await;
         let _ = self.stop.send(true);
         let drain = Duration::from_millis(limits.drain_timeout_ms);
         let is_drained = tokio::time::timeout(drain, self.drained()).await.is_ok();
         if !is_drained {
             warn!(self.state.log, "entry: left with requests under way";
-                "part" => "entry", "requests" => self.callers.requests());
+                "part" => "entry", "requests" => self.callers.active_requests());
         }
         is_drained
     }
 
     async fn drained(&self) {
-        self.callers.quiet().await;
+        self.callers.wait_idle().await;
         while self.state.answers.running() > 0 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -241,9 +241,9 @@
     let incarnation = now_ms();
     let client = HttpClient::new();
     let backoffs = Arc::new(BackoffTable::new(log.clone()));
-    let http_engines = Arc::new(HttpEngines::new(client.clone()));
+    let http_engines = Arc::new(HttpEngineTransport::new(client.clone()));
     let engines: Arc<dyn EngineTransport> =
-        Arc::new(PacedEngines::new(http_engines, backoffs.clone()));
+        Arc::new(BackoffTransport::new(http_engines, backoffs.clone()));
     let platform: Arc<dyn Platform> =
         Arc::new(HttpPlatform::new(client.clone(), settings.platform));
     let snapshot = Arc::new(ArcSwap::from_pointee(Snapshot::empty()));
--- a/crates/rookferry_entry/src/http/call.rs
+++ b/crates/rookferry_entry/src/http/call.rs
@@ -13,7 +13,7 @@
 use rookferry_core::RequestSignature;
 use rookferry_core::Undispatched;
 use rookferry_net::BodyError;
-use rookferry_net::Inbound;
+use rookferry_net::InboundRequest;
 use rookferry_net::clock;
 use rookferry_wire::AccountId;
 use rookferry_wire::KeyedCall;
@@ -70,7 +70,7 @@
     /// Reads a call from a caller.
     pub(super) async fn receive(
         entry: &Arc<EntryState>,
-        inbound: &mut Inbound,
+        inbound: &mut InboundRequest,
     ) -> Result<Self, Refusal> {
         let received_at = clock::now();
         let (request_id, number) = entry.new_request();
@@ -366,7 +366,7 @@
 }
 
 /// The name after `/apps/` and the path after that, query included.
-fn service_of(inbound: &Inbound) -> Option<(String, String)> {
+fn service_of(inbound: &InboundRequest) -> Option<(String, String)> {
     let path = inbound
         .uri
         .path_and_query()?
@@ -382,13 +382,13 @@
     Some((service.to_owned(), rest))
 }
 
-fn bearer(inbound: &Inbound) -> Option<&str> {
+fn bearer(inbound: &InboundRequest) -> Option<&str> {
     inbound.header("authorization")?.strip_prefix("Bearer ")
 }
 
 async fn read_body(
     entry: &EntryState,
-    inbound: &mut Inbound,
+    inbound: &mut InboundRequest,
 ) -> Result<Bytes, (ReasonCode, String)> {
     let limits = &entry.settings.limits;
     let wait = Duration::from_millis(limits.body_timeout_ms);
--- a/crates/rookferry_entry/src/http/model.rs
+++ b/crates/rookferry_entry/src/http/model.rs
@@ -15,7 +15,7 @@
 use rookferry_core::StreamSpec;
 use rookferry_core::Verdict;
 use rookferry_core::prefix_hash;
-use rookferry_net::Inbound;
+use rookferry_net::InboundRequest;
 use rookferry_net::clock;
 use rookferry_net::json_response;
 use rookferry_wire::CompletionRequest;
@@ -70,7 +70,10 @@
 }
 
 /// Serves `POST /v1/completions`.
-pub(super) async fn complete(entry: Arc<EntryState>, mut inbound: Inbound) -> Response<Body> {
+pub(super) async fn complete(
+    entry: Arc<EntryState>,
+    mut inbound: InboundRequest,
+) -> Response<Body> {
     let call = match Call::receive(&entry, &mut inbound).await {
         Ok(call) => call,
         Err(refusal) => {
--- a/crates/rookferry_entry/src/http/operators.rs
+++ b/crates/rookferry_entry/src/http/operators.rs
@@ -8,7 +8,7 @@
 use http::StatusCode;
 use rookferry_core::EngineState;
 use rookferry_core::MemberState;
-use rookferry_net::Inbound;
+use rookferry_net::InboundRequest;
 use rookferry_net::clock;
 use rookferry_net::json_response;
 use rookferry_net::text_response;
@@ -55,26 +55,26 @@
     failures: u32,
 }
 
-pub(super) async fn healthy(_entry: Arc<EntryState>, _inbound: Inbound) -> Response<Body> {
+pub(super) async fn healthy(_entry: Arc<EntryState>, _inbound: InboundRequest) -> Response<Body> {
     text_response(StatusCode::OK, "ok\n".to_owned())
 }
 
-pub(super) async fn ready(entry: Arc<EntryState>, _inbound: Inbound) -> Response<Body> {
+pub(super) async fn ready(entry: Arc<EntryState>, _inbound: InboundRequest) -> Response<Body> {
     match entry.readiness() {
         Ok(()) => text_response(StatusCode::OK, "ready\n".to_owned()),
         Err(reason) => text_response(StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n")),
     }
 }
 
-pub(super) async fn metrics(entry: Arc<EntryState>, _inbound: Inbound) -> Response<Body> {
+pub(super) async fn metrics(entry: Arc<EntryState>, _inbound: InboundRequest) -> Response<Body> {
     text_response(StatusCode::OK, entry.metrics.render())
 }
 
-pub(super) async fn objectives(entry: Arc<EntryState>, _inbound: Inbound) -> Response<Body> {
+pub(super) async fn objectives(entry: Arc<EntryState>, _inbound: InboundRequest) -> Response<Body> {
     json_response(StatusCode::OK, &entry.counters.objectives())
 }
 
-pub(super) async fn config(entry: Arc<EntryState>, _inbound: Inbound) -> Response<Body> {
+pub(super) async fn config(entry: Arc<EntryState>, _inbound: InboundRequest) -> Response<Body> {
     let (version, body) = entry.config.body();
     let value: serde_json::Value = serde_json::from_str(&body).unwrap_or_default();
     json_response(
@@ -84,7 +84,7 @@
 }
 
 /// The engines, for the controller beside this instance.
-pub(super) async fn fleet(entry: Arc<EntryState>, _inbound: Inbound) -> Response<Body> {
+pub(super) async fn fleet(entry: Arc<EntryState>, _inbound: InboundRequest) -> Response<Body> {
     let snapshot = entry.snapshot.load();
     let engines = snapshot.fleet.engines().iter();
     let engines: Vec<FleetEngine> = engines
@@ -100,9 +100,9 @@
 }
 
 /// Any instance may be asked; the one named in the id answers.
-pub(super) async fn decision(entry: Arc<EntryState>, inbound: Inbound) -> Response<Body> {
+pub(super) async fn decision(entry: Arc<EntryState>, inbound: InboundRequest) -> Response<Body> {
     let id = inbound
-        .path_after("/v1/decisions/")
+        .strip_path_prefix("/v1/decisions/")
         .unwrap_or_default()
         .to_owned();
     if let Some(record) = entry.decisions.get(&id) {
@@ -142,7 +142,7 @@
     }
 }
 
-pub(super) async fn status(entry: Arc<EntryState>, _inbound: Inbound) -> Response<Body> {
+pub(super) async fn status(entry: Arc<EntryState>, _inbound: InboundRequest) -> Response<Body> {
     let readiness = entry.readiness();
     let status = Status {
         instance: entry.instance.to_string(),
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -31,9 +31,9 @@
 use rookferry_core::Verdict;
 use rookferry_core::choose_service;
 use rookferry_net::ClientError;
-use rookferry_net::Inbound;
+use rookferry_net::InboundRequest;
 use rookferry_net::clock;
-use rookferry_net::retry_after;
+use rookferry_net::parse_retry_after;
 use rookferry_wire::InstanceId;
 use rookferry_wire::ReasonCode;
 use rookferry_wire::RequestId;
@@ -58,7 +58,7 @@
 const MAX_TRIES: usize = 3;
 
 /// Serves `/apps/{service}/{path}`.
-pub(super) async fn call(entry: Arc<EntryState>, mut inbound: Inbound) -> Response<Body> {
+pub(super) async fn call(entry: Arc<EntryState>, mut inbound: InboundRequest) -> Response<Body> {
     let call = match Call::receive(&entry, &mut inbound).await {
         Ok(call) => call,
         Err(refusal) => {
@@ -348,8 +348,8 @@
         wait: Duration,
     ) -> Result<KeptAnswer, ClientError> {
         let addr = instance.addr;
-        if let Some(left) = entry.backoffs.left(addr) {
-            return Err(ClientError::BackedOff { addr, left });
+        if let Some(remaining) = entry.backoffs.remaining(addr) {
+            return Err(ClientError::BackedOff { addr, remaining });
         }
         let request = Request::builder()
             .method(self.method.clone())
@@ -360,12 +360,12 @@
         let request = request.map_err(|error| ClientError::NotConnected {
             addr,
             message: format!("the request could not be built: {error}"),
-            is_refused: false,
+            is_connection_refused: false,
         })?;
         let response = entry.client.send(addr, request, wait).await?;
         let (head, body) = response.into_parts();
-        let asked = retry_after(&head.headers);
-        entry.backoffs.note(addr, head.status, &asked);
+        let asked = parse_retry_after(&head.headers);
+        entry.backoffs.record_response(addr, head.status, &asked);
         let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
         let body = body.map_err(|error| ClientError::Broken {
             addr,
--- a/crates/rookferry_entry/src/quarantine.rs
+++ b/crates/rookferry_entry/src/quarantine.rs
@@ -20,7 +20,7 @@
 use rookferry_core::SuspectSeen;
 use rookferry_core::Suspicion;
 use rookferry_net::clock;
-use rookferry_net::until;
+use rookferry_net::wait_until;
 use rookferry_wire::EngineId;
 use rookferry_wire::Incarnation;
 use rookferry_wire::InstanceId;
@@ -118,7 +118,7 @@
 
     /// Waits until it is known of all servers at which a call's runs broke.
     async fn decided(&self, signature: RequestSignature) {
-        until(&self.decided, || !self.broken().is_undecided(signature)).await;
+        wait_until(&self.decided, || !self.broken().is_undecided(signature)).await;
     }
 
     fn server_answered(&self, server: ServerKey) {
@@ -188,7 +188,7 @@
                 incarnation, addr, ..
             } => match self.engines.info(*addr).await {
                 Ok(info) => Some(info.incarnation != *incarnation),
-                Err(error) => error.is_refused().then_some(true),
+                Err(error) => error.is_connection_refused().then_some(true),
             },
             Server::Plain { addr, .. } => match TcpStream::connect(addr).await {
                 Ok(_) => Some(false),
--- a/crates/rookferry_entry/src/runner.rs
+++ b/crates/rookferry_entry/src/runner.rs
@@ -222,7 +222,7 @@
                 }
                 info!(self.entry.log, "stream: step lost";
                     "part" => "stream", "stream" => %self.driver.stream(), "engine" => %engine, "error" => %error);
-                if matches!(error, ClientError::Broken { .. }) || error.is_refused() {
+                if matches!(error, ClientError::Broken { .. }) || error.is_connection_refused() {
                     self.broke_at(&engine);
                 }
                 StageEvent::Lost { engine, attempt }
--- a/crates/rookferry_experiment/src/overhead.rs
+++ b/crates/rookferry_experiment/src/overhead.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use rookferry_net::EngineTransport;
-use rookferry_net::HttpEngines;
+use rookferry_net::HttpEngineTransport;
 use rookferry_standin::CallKind;
 use rookferry_standin::EngineConfig;
 use rookferry_standin::LoadRun;
@@ -97,7 +97,7 @@
 
 /// Median time of one-position steps straight to an engine.
 async fn direct(bench: &Bench) -> f64 {
-    let transport = HttpEngines::new(bench.client.clone());
+    let transport = HttpEngineTransport::new(bench.client.clone());
     let addr = bench.site.addrs.engines["engine-00"];
     let stream = Uuid::now_v7();
     let mut times = Vec::new();
--- a/crates/rookferry_net/src/backoff_table.rs
+++ b/crates/rookferry_net/src/backoff_table.rs
@@ -34,7 +34,7 @@
 
     /// Records the backoff of a response. Only status 503 requests a backoff; a
     /// `Retry-After` header that can't be parsed is logged and requests none.
-    pub fn note(
+    pub fn record_response(
         &self,
         addr: SocketAddr,
         status: StatusCode,
@@ -45,11 +45,11 @@
         }
         match retry_after {
             Ok(None) => {}
-            Ok(Some(asked)) => {
-                let kept = self.lock().back_off(addr, *asked, clock::now());
+            Ok(Some(requested)) => {
+                let backoff = self.lock().back_off(addr, *requested, clock::now());
                 info!(self.log, "backoff: a server asked for a backoff";
                     "part" => "backoff", "server" => %addr,
-                    "asked_ms" => asked.as_millis(), "kept_ms" => kept.as_millis());
+                    "asked_ms" => requested.as_millis(), "kept_ms" => backoff.as_millis());
             }
             Err(error) => {
                 warn!(self.log, "backoff: a server sent an invalid Retry-After header";
@@ -59,7 +59,7 @@
     }
 
     /// Remaining backoff of a server; `None` without a backoff.
-    pub fn left(&self, addr: SocketAddr) -> Option<Duration> {
+    pub fn remaining(&self, addr: SocketAddr) -> Option<Duration> {
         self.lock().left(addr, clock::now())
     }
 
@@ -78,7 +78,7 @@
         let waiting =
             servers.filter_map(|(server, addr)| Some((server, backoffs.left(addr, now)?)));
         let mut waiting: Vec<(T, Duration)> = waiting.collect();
-        waiting.sort_by_key(|(_, left)| *left);
+        waiting.sort_by_key(|(_, remaining)| *remaining);
         waiting
     }
 
--- a/crates/rookferry_net/src/paced_engines.rs
+++ b/crates/rookferry_net/src/backoff_transport.rs
@@ -25,12 +25,12 @@
 
 /// Wraps a transport and refuses calls to engines that are in backoff. All kinds of
 /// calls are covered, since each of them costs the engine work.
-pub struct PacedEngines {
+pub struct BackoffTransport {
     inner: Arc<dyn EngineTransport>,
     backoffs: Arc<BackoffTable>,
 }
 
-impl PacedEngines {
+impl BackoffTransport {
     /// Wraps `inner` and records the backoffs that engines request in `backoffs`.
     #[must_use]
     pub fn new(inner: Arc<dyn EngineTransport>, backoffs: Arc<BackoffTable>) -> Self {
@@ -39,14 +39,14 @@
 
     /// Makes a call unless the engine is in backoff. `call` must send nothing before it is
     /// polled.
-    fn paced<'a, T: 'a>(
+    fn call_unless_backed_off<'a, T: 'a>(
         &'a self,
         addr: SocketAddr,
         call: BoxFuture<'a, Result<T, ClientError>>,
     ) -> BoxFuture<'a, Result<T, ClientError>> {
         async move {
-            if let Some(left) = self.backoffs.left(addr) {
-                return Err(ClientError::BackedOff { addr, left });
+            if let Some(remaining) = self.backoffs.remaining(addr) {
+                return Err(ClientError::BackedOff { addr, remaining });
             }
             let answer = call.await;
             if let Err(ClientError::Status {
@@ -55,7 +55,7 @@
                 ..
             }) = &answer
             {
-                self.backoffs.note(addr, *status, retry_after);
+                self.backoffs.record_response(addr, *status, retry_after);
             }
             answer
         }
@@ -63,13 +63,13 @@
     }
 }
 
-impl EngineTransport for PacedEngines {
+impl EngineTransport for BackoffTransport {
     fn info(&self, addr: SocketAddr) -> BoxFuture<'_, Result<EngineInfo, ClientError>> {
-        self.paced(addr, self.inner.info(addr))
+        self.call_unless_backed_off(addr, self.inner.info(addr))
     }
 
     fn load(&self, addr: SocketAddr) -> BoxFuture<'_, Result<LoadReport, ClientError>> {
-        self.paced(addr, self.inner.load(addr))
+        self.call_unless_backed_off(addr, self.inner.load(addr))
     }
 
     fn cache_events(
@@ -77,7 +77,7 @@
         addr: SocketAddr,
         from: u64,
     ) -> BoxFuture<'_, Result<CacheEvents, ClientError>> {
-        self.paced(addr, self.inner.cache_events(addr, from))
+        self.call_unless_backed_off(addr, self.inner.cache_events(addr, from))
     }
 
     fn steps(
@@ -86,7 +86,7 @@
         batch: StepBatch,
         wait: Duration,
     ) -> BoxFuture<'_, Result<StepBatchResponse, ClientError>> {
-        self.paced(addr, self.inner.steps(addr, batch, wait))
+        self.call_unless_backed_off(addr, self.inner.steps(addr, batch, wait))
     }
 
     fn open(
@@ -95,7 +95,7 @@
         request: AttemptRequest,
         wait: Duration,
     ) -> BoxFuture<'_, Result<AttemptResponse, ClientError>> {
-        self.paced(addr, self.inner.open(addr, request, wait))
+        self.call_unless_backed_off(addr, self.inner.open(addr, request, wait))
     }
 
     fn cancel(
@@ -103,7 +103,7 @@
         addr: SocketAddr,
         request: CancelRequest,
     ) -> BoxFuture<'_, Result<(), ClientError>> {
-        self.paced(addr, self.inner.cancel(addr, request))
+        self.call_unless_backed_off(addr, self.inner.cancel(addr, request))
     }
 
     fn export(
@@ -111,7 +111,7 @@
         addr: SocketAddr,
         request: AttemptRequest,
     ) -> BoxFuture<'_, Result<KvPages, ClientError>> {
-        self.paced(addr, self.inner.export(addr, request))
+        self.call_unless_backed_off(addr, self.inner.export(addr, request))
     }
 
     fn import(
@@ -119,7 +119,7 @@
         addr: SocketAddr,
         pages: KvPages,
     ) -> BoxFuture<'_, Result<AttemptResponse, ClientError>> {
-        self.paced(addr, self.inner.import(addr, pages))
+        self.call_unless_backed_off(addr, self.inner.import(addr, pages))
     }
 
     fn order(
@@ -127,6 +127,6 @@
         addr: SocketAddr,
         request: OrderRequest,
     ) -> BoxFuture<'_, Result<OrderResponse, ClientError>> {
-        self.paced(addr, self.inner.order(addr, request))
+        self.call_unless_backed_off(addr, self.inner.order(addr, request))
     }
 }
--- a/crates/rookferry_net/src/client.rs
+++ b/crates/rookferry_net/src/client.rs
@@ -23,14 +23,14 @@
 use snafu::Snafu;
 
 use crate::RetryAfterError;
-use crate::retry_after;
+use crate::parse_retry_after;
 
 /// Largest accepted response body, in bytes.
-const MAX_ANSWER_BYTES: usize = 32 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
 /// Timeout of a TCP connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Maximum number of pooled idle connections per backend server.
-const IDLE_PER_HOST: usize = 64;
+const MAX_IDLE_PER_HOST: usize = 64;
 
 /// Reason why a request has no successful response.
 #[derive(Debug, Snafu)]
@@ -43,7 +43,7 @@
         /// The cause.
         message: String,
         /// Whether the connection was refused: no process listens at the address.
-        is_refused: bool,
+        is_connection_refused: bool,
     },
     /// No response arrived in time; the server may have processed the request.
     #[snafu(display("no answer from {addr} within {} ms", wait.as_millis()))]
@@ -74,12 +74,12 @@
         retry_after: Result<Option<Duration>, RetryAfterError>,
     },
     /// The server requested a backoff that hasn't expired; no byte was sent.
-    #[snafu(display("backing off from {addr} for {} ms more", left.as_millis()))]
+    #[snafu(display("backing off from {addr} for {} ms more", remaining.as_millis()))]
     BackedOff {
         /// Address of the server.
         addr: SocketAddr,
         /// Remaining time of the backoff.
-        left: Duration,
+        remaining: Duration,
     },
     /// A request could not be encoded, or a response could not be decoded.
     #[snafu(display("could not encode the request to {addr} or decode its response: {message}"))]
@@ -100,11 +100,11 @@
 
     /// Whether the connection was refused because no process listens at the address.
     #[must_use]
-    pub const fn is_refused(&self) -> bool {
+    pub const fn is_connection_refused(&self) -> bool {
         matches!(
             self,
             Self::NotConnected {
-                is_refused: true,
+                is_connection_refused: true,
                 ..
             }
         )
@@ -113,14 +113,14 @@
 
 /// A successful response with its complete body.
 #[derive(Clone, Debug)]
-pub struct ClientAnswer {
+pub struct ClientResponse {
     /// Response headers.
     pub headers: HeaderMap,
     /// Response body.
     pub body: Bytes,
 }
 
-impl ClientAnswer {
+impl ClientResponse {
     /// Decodes the body as JSON; `addr` is the server's address, used in the error.
     ///
     /// # Errors
@@ -153,7 +153,7 @@
     /// turns out to be closed; the caller decides about retries.
     #[must_use]
     pub fn new() -> Self {
-        Self::with_idle_connections(IDLE_PER_HOST)
+        Self::with_idle_connections(MAX_IDLE_PER_HOST)
     }
 
     /// Creates a client that opens a new connection for each request.
@@ -162,12 +162,12 @@
         Self::with_idle_connections(0)
     }
 
-    fn with_idle_connections(most: usize) -> Self {
+    fn with_idle_connections(max_idle: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let inner = Client::builder(TokioExecutor::new())
-            .pool_max_idle_per_host(most)
+            .pool_max_idle_per_host(max_idle)
             .retry_canceled_requests(false)
             .build(connector);
         Self { inner }
@@ -184,17 +184,17 @@
         request: Request<Full<Bytes>>,
         wait: Duration,
     ) -> Result<Response<Incoming>, ClientError> {
-        let Ok(answer) = tokio::time::timeout(wait, self.inner.request(request)).await else {
+        let Ok(result) = tokio::time::timeout(wait, self.inner.request(request)).await else {
             return Err(ClientError::TimedOut { addr, wait });
         };
-        answer.map_err(|error| {
+        result.map_err(|error| {
             let message = error_chain(&error);
             if error.is_connect() {
-                let is_refused = is_refused(&error);
+                let is_connection_refused = is_connection_refused(&error);
                 return ClientError::NotConnected {
                     addr,
                     message,
-                    is_refused,
+                    is_connection_refused,
                 };
             }
             ClientError::Broken { addr, message }
@@ -235,13 +235,13 @@
     /// # Errors
     ///
     /// If there is no successful response within `wait`.
-    pub async fn get_answer(
+    pub async fn get_raw(
         &self,
         addr: SocketAddr,
         path: &str,
         wait: Duration,
-    ) -> Result<ClientAnswer, ClientError> {
-        self.call_answer(Method::GET, addr, path, None::<&()>, wait)
+    ) -> Result<ClientResponse, ClientError> {
+        self.call_raw(Method::GET, addr, path, None::<&()>, wait)
             .await
     }
 
@@ -256,8 +256,8 @@
         path: &str,
         wait: Duration,
     ) -> Result<String, ClientError> {
-        let answer = self.get_answer(addr, path, wait).await?;
-        Ok(String::from_utf8_lossy(&answer.body).into_owned())
+        let response = self.get_raw(addr, path, wait).await?;
+        Ok(String::from_utf8_lossy(&response.body).into_owned())
     }
 
     /// Sends a request with an optional JSON body and decodes a JSON response.
@@ -273,8 +273,8 @@
         body: Option<&Q>,
         wait: Duration,
     ) -> Result<T, ClientError> {
-        let answer = self.call_answer(method, addr, path, body, wait).await?;
-        answer.json(addr)
+        let response = self.call_raw(method, addr, path, body, wait).await?;
+        response.json(addr)
     }
 
     /// Sends a request with an optional JSON body and returns the response undecoded.
@@ -282,14 +282,14 @@
     /// # Errors
     ///
     /// If there is no successful response within `wait`.
-    pub async fn call_answer<Q: Serialize + Sync>(
+    pub async fn call_raw<Q: Serialize + Sync>(
         &self,
         method: Method,
         addr: SocketAddr,
         path: &str,
         body: Option<&Q>,
         wait: Duration,
-    ) -> Result<ClientAnswer, ClientError> {
+    ) -> Result<ClientResponse, ClientError> {
         let body = match body {
             Some(value) => serde_json::to_vec(value).map_err(|error| ClientError::Decode {
                 addr,
@@ -297,7 +297,7 @@
             })?,
             None => Vec::new(),
         };
-        let request = build(method, addr, path, body.into())?;
+        let request = build_request(method, addr, path, body.into())?;
         self.exchange(addr, request, wait).await
     }
 
@@ -306,16 +306,16 @@
         addr: SocketAddr,
         request: Request<Full<Bytes>>,
         wait: Duration,
-    ) -> Result<ClientAnswer, ClientError> {
+    ) -> Result<ClientResponse, ClientError> {
         let whole = async {
             let response = self.send(addr, request, wait).await?;
             let (head, body) = response.into_parts();
             let status = head.status;
-            let retry_after = retry_after(&head.headers);
-            let body = read_answer(addr, body).await?;
+            let retry_after = parse_retry_after(&head.headers);
+            let body = read_body(addr, body).await?;
             if status.is_success() {
                 let headers = head.headers;
-                return Ok(ClientAnswer { headers, body });
+                return Ok(ClientResponse { headers, body });
             }
             Err(ClientError::Status {
                 addr,
@@ -324,15 +324,15 @@
                 retry_after,
             })
         };
-        let Ok(answer) = tokio::time::timeout(wait, whole).await else {
+        let Ok(result) = tokio::time::timeout(wait, whole).await else {
             return Err(ClientError::TimedOut { addr, wait });
         };
-        answer
+        result
     }
 }
 
-async fn read_answer(addr: SocketAddr, body: Incoming) -> Result<Bytes, ClientError> {
-    let collected = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
+async fn read_body(addr: SocketAddr, body: Incoming) -> Result<Bytes, ClientError> {
+    let collected = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
     let collected = collected.map_err(|error| ClientError::Broken {
         addr,
         message: error.to_string(),
@@ -340,7 +340,7 @@
     Ok(collected.to_bytes())
 }
 
-fn build(
+fn build_request(
     method: Method,
     addr: SocketAddr,
     path: &str,
@@ -369,7 +369,7 @@
 }
 
 /// Whether an error was caused by a refused connection.
-fn is_refused(error: &(dyn std::error::Error + 'static)) -> bool {
+fn is_connection_refused(error: &(dyn std::error::Error + 'static)) -> bool {
     let causes = std::iter::successors(Some(error), |cause| cause.source());
     causes
         .filter_map(|cause| cause.downcast_ref::<std::io::Error>())
--- a/crates/rookferry_net/src/clock.rs
+++ b/crates/rookferry_net/src/clock.rs
@@ -20,7 +20,7 @@
 /// Longest sleep on the runtime's timers before the clock is checked again. These timers
 /// stop during a suspension like the monotonic clock, so a wait ends at most this long
 /// after the machine resumes.
-const LONGEST_SLEEP: Duration = Duration::from_millis(250);
+const MAX_SLEEP: Duration = Duration::from_millis(250);
 
 /// A source of instants that never goes backwards.
 pub trait Clock: Send + Sync {
@@ -72,7 +72,7 @@
         if left.is_zero() {
             return;
         }
-        tokio::time::sleep(left.min(LONGEST_SLEEP)).await;
+        tokio::time::sleep(left.min(MAX_SLEEP)).await;
     }
 }
 
@@ -97,18 +97,18 @@
     pub fn start() -> Self {
         Self {
             started_at: Instant::now(),
-            started_after_boot: since_boot(),
+            started_after_boot: time_since_boot(),
         }
     }
 }
 
 impl Clock for BootClock {
     fn now(&self) -> Instant {
-        self.started_at + since_boot().saturating_sub(self.started_after_boot)
+        self.started_at + time_since_boot().saturating_sub(self.started_after_boot)
     }
 }
 
-fn since_boot() -> Duration {
+fn time_since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     // Neither is negative, and the nanoseconds are below one second.
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
--- a/crates/rookferry_net/src/connection.rs
+++ b/crates/rookferry_net/src/connection.rs
@@ -30,7 +30,7 @@
 use tokio::time::Instant;
 use tokio::time::Sleep;
 
-use crate::until;
+use crate::wait_until;
 
 /// Number of separately locked parts of the table.
 const SHARDS: usize = 64;
@@ -72,7 +72,7 @@
     shards: Vec<Mutex<HashMap<SocketAddr, Arc<ConnectionState>>>>,
     open: AtomicUsize,
     requests: AtomicUsize,
-    quiet: Notify,
+    idle: Notify,
 }
 
 impl Default for ConnectionTable {
@@ -91,47 +91,47 @@
                 shards,
                 open: AtomicUsize::new(0),
                 requests: AtomicUsize::new(0),
-                quiet: Notify::new(),
+                idle: Notify::new(),
             }),
         }
     }
 
     /// Number of active requests; a request is active until its response body is dropped.
     #[must_use]
-    pub fn requests(&self) -> usize {
+    pub fn active_requests(&self) -> usize {
         self.inner.requests.load(Ordering::SeqCst)
     }
 
     /// Number of open connections.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.inner.open.load(Ordering::Relaxed)
     }
 
     /// Waits until no request is active.
-    pub async fn quiet(&self) {
-        until(&self.inner.quiet, || self.requests() == 0).await;
+    pub async fn wait_idle(&self) {
+        wait_until(&self.inner.idle, || self.active_requests() == 0).await;
     }
 
     /// Counts a request of the connection from `client_addr` until the guard is dropped.
     #[must_use]
-    pub fn enter(&self, client_addr: SocketAddr) -> ConnectionGuard {
+    pub fn start_request(&self, client_addr: SocketAddr) -> RequestGuard {
         self.inner.requests.fetch_add(1, Ordering::SeqCst);
         let state = self.inner.shard(client_addr).get(&client_addr).cloned();
         if let Some(state) = &state {
             state.requests.fetch_add(1, Ordering::SeqCst);
         }
-        ConnectionGuard {
+        RequestGuard {
             table: self.inner.clone(),
             state,
         }
     }
 
-    pub(crate) fn add(
+    pub(crate) fn register(
         &self,
         stream: TcpStream,
         limits: ConnectionLimits,
-    ) -> io::Result<GuardedStream> {
+    ) -> io::Result<TimedStream> {
         let client_addr = stream.peer_addr()?;
         let state = Arc::new(ConnectionState {
             requests: AtomicUsize::new(0),
@@ -141,7 +141,7 @@
             .shard(client_addr)
             .insert(client_addr, state.clone());
         self.inner.open.fetch_add(1, Ordering::Relaxed);
-        Ok(GuardedStream {
+        Ok(TimedStream {
             stream,
             client_addr,
             table: self.inner.clone(),
@@ -165,12 +165,12 @@
 
 /// Counts a request as active until it is dropped.
 #[derive(Debug)]
-pub struct ConnectionGuard {
+pub struct RequestGuard {
     table: Arc<TableInner>,
     state: Option<Arc<ConnectionState>>,
 }
 
-impl Drop for ConnectionGuard {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         if let Some(state) = &self.state {
             *state
@@ -180,14 +180,14 @@
             state.requests.fetch_sub(1, Ordering::SeqCst);
         }
         if self.table.requests.fetch_sub(1, Ordering::SeqCst) == 1 {
-            self.table.quiet.notify_waiters();
+            self.table.idle.notify_waiters();
         }
     }
 }
 
 /// A client connection with a timeout for idleness and slow request heads.
 #[derive(Debug)]
-pub(crate) struct GuardedStream {
+pub(crate) struct TimedStream {
     stream: TcpStream,
     client_addr: SocketAddr,
     table: Arc<TableInner>,
@@ -197,9 +197,9 @@
     is_closed: bool,
 }
 
-impl GuardedStream {
+impl TimedStream {
     /// Whether the connection has been idle, without a complete request, past the timeout.
-    fn is_overdue(&mut self, cx: &mut Context<'_>) -> bool {
+    fn poll_overdue(&mut self, cx: &mut Context<'_>) -> bool {
         while self.timer.as_mut().poll(cx).is_ready() {
             let idle_since = *self
                 .state
@@ -207,24 +207,24 @@
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
             let is_busy = self.state.requests.load(Ordering::SeqCst) > 0;
-            let due = if is_busy { Instant::now() } else { idle_since } + self.head_timeout;
-            if due <= Instant::now() {
+            let expires_at = if is_busy { Instant::now() } else { idle_since } + self.head_timeout;
+            if expires_at <= Instant::now() {
                 return true;
             }
-            self.timer.as_mut().reset(due);
+            self.timer.as_mut().reset(expires_at);
         }
         false
     }
 }
 
-impl Drop for GuardedStream {
+impl Drop for TimedStream {
     fn drop(&mut self) {
         self.table.shard(self.client_addr).remove(&self.client_addr);
         self.table.open.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl AsyncRead for GuardedStream {
+impl AsyncRead for TimedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -233,16 +233,16 @@
         if self.is_closed {
             return Poll::Ready(Ok(()));
         }
-        if self.is_overdue(cx) {
+        if self.poll_overdue(cx) {
             self.is_closed = true;
-            let _ = self.stream.try_write(&too_slow());
+            let _ = self.stream.try_write(&head_timeout_response());
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for GuardedStream {
+impl AsyncWrite for TimedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -262,8 +262,8 @@
 
 /// Raw response sent before a connection is closed by the head timeout; gotham has no
 /// means to send one.
-fn too_slow() -> Vec<u8> {
-    raw_problem(&Problem {
+fn head_timeout_response() -> Vec<u8> {
+    encode_problem_response(&Problem {
         title: "request head too slow".to_owned(),
         status: 408,
         detail: "the request's head did not arrive in time; send it at once".to_owned(),
@@ -276,8 +276,8 @@
 }
 
 /// Raw response sent before a connection beyond the limit is closed.
-pub(crate) fn too_many() -> Vec<u8> {
-    raw_problem(&Problem {
+pub(crate) fn connection_limit_response() -> Vec<u8> {
+    encode_problem_response(&Problem {
         title: "too many connections".to_owned(),
         status: 503,
         detail: "this instance's connections are used up; come back, or ask another instance"
@@ -290,7 +290,7 @@
     })
 }
 
-fn raw_problem(problem: &Problem) -> Vec<u8> {
+fn encode_problem_response(problem: &Problem) -> Vec<u8> {
     let body = serde_json::to_string(problem).unwrap_or_default();
     let head = format!(
         "HTTP/1.1 {} {}\r\ncontent-type: application/problem+json\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
--- a/crates/rookferry_net/src/endpoint.rs
+++ b/crates/rookferry_net/src/endpoint.rs
@@ -24,9 +24,9 @@
 use rookferry_wire::Problem;
 use rookferry_wire::ReasonCode;
 
-use crate::ConnectionGuard;
 use crate::ConnectionTable;
-use crate::Inbound;
+use crate::InboundRequest;
+use crate::RequestGuard;
 use crate::json_response_as;
 
 /// A gotham handler made of an async function and its application state.
@@ -66,7 +66,7 @@
 impl<A, F, R> NewHandler for Endpoint<A, F>
 where
     A: Send + Sync + 'static,
-    F: Fn(Arc<A>, Inbound) -> R + Clone + Send + Sync + RefUnwindSafe + 'static,
+    F: Fn(Arc<A>, InboundRequest) -> R + Clone + Send + Sync + RefUnwindSafe + 'static,
     R: Future<Output = Response<Body>> + Send + 'static,
 {
     type Instance = Self;
@@ -79,16 +79,16 @@
 impl<A, F, R> Handler for Endpoint<A, F>
 where
     A: Send + Sync + 'static,
-    F: Fn(Arc<A>, Inbound) -> R + Send + 'static,
+    F: Fn(Arc<A>, InboundRequest) -> R + Send + 'static,
     R: Future<Output = Response<Body>> + Send + 'static,
 {
     fn handle(self, mut state: State) -> Pin<Box<HandlerFuture>> {
-        let guard = client_addr(&state).map(|addr| self.connections.0.enter(addr));
-        let inbound = Inbound::take(&mut state);
+        let guard = client_addr(&state).map(|addr| self.connections.0.start_request(addr));
+        let inbound = InboundRequest::from_state(&mut state);
         async move {
             let response = (self.call)(self.app.0, inbound).await;
             let response = response.map(|inner| {
-                UnsyncBoxBody::new(GuardedBody {
+                UnsyncBoxBody::new(ActiveRequestBody {
                     inner,
                     _guard: guard,
                 })
@@ -100,12 +100,12 @@
 }
 
 /// A response body that keeps its request counted as active until it is dropped.
-struct GuardedBody {
+struct ActiveRequestBody {
     inner: Body,
-    _guard: Option<ConnectionGuard>,
+    _guard: Option<RequestGuard>,
 }
 
-impl http_body::Body for GuardedBody {
+impl http_body::Body for ActiveRequestBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
--- a/crates/rookferry_net/src/engine.rs
+++ b/crates/rookferry_net/src/engine.rs
@@ -86,11 +86,11 @@
 
 /// An [`EngineTransport`] over HTTP with JSON bodies.
 #[derive(Clone, Debug)]
-pub struct HttpEngines {
+pub struct HttpEngineTransport {
     client: HttpClient,
 }
 
-impl HttpEngines {
+impl HttpEngineTransport {
     /// Creates a transport that sends through `client`.
     #[must_use]
     pub const fn new(client: HttpClient) -> Self {
@@ -98,7 +98,7 @@
     }
 }
 
-impl EngineTransport for HttpEngines {
+impl EngineTransport for HttpEngineTransport {
     fn info(&self, addr: SocketAddr) -> BoxFuture<'_, Result<EngineInfo, ClientError>> {
         self.client.get(addr, "/v1/info", CALL_TIMEOUT).boxed()
     }
--- a/crates/rookferry_net/src/inbound.rs
+++ b/crates/rookferry_net/src/inbound_request.rs
@@ -39,7 +39,7 @@
 
 /// A request head with its unread body.
 #[derive(Debug)]
-pub struct Inbound {
+pub struct InboundRequest {
     /// HTTP method.
     pub method: Method,
     /// Path and query.
@@ -49,9 +49,9 @@
     body: Body,
 }
 
-impl Inbound {
+impl InboundRequest {
     /// Takes the request from gotham's state.
-    pub(crate) fn take(state: &mut State) -> Self {
+    pub(crate) fn from_state(state: &mut State) -> Self {
         Self {
             method: Method::borrow_from(state).clone(),
             uri: Uri::borrow_from(state).clone(),
@@ -68,13 +68,13 @@
 
     /// Rest of the path after a prefix; `None` if the path doesn't start with it.
     #[must_use]
-    pub fn path_after(&self, prefix: &str) -> Option<&str> {
+    pub fn strip_path_prefix(&self, prefix: &str) -> Option<&str> {
         self.uri.path().strip_prefix(prefix)
     }
 
     /// Value of a query parameter, without percent-decoding; `None` if it is absent.
     #[must_use]
-    pub fn query(&self, name: &str) -> Option<&str> {
+    pub fn query_param(&self, name: &str) -> Option<&str> {
         let pairs = self.uri.query()?.split('&');
         let mut pairs = pairs.filter_map(|pair| pair.split_once('='));
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
--- a/crates/rookferry_net/src/log.rs
+++ b/crates/rookferry_net/src/log.rs
@@ -12,7 +12,7 @@
 use slog::o;
 
 /// Capacity of the queue of unwritten records; records beyond it are dropped.
-const QUEUED_RECORDS: usize = 4_096;
+const MAX_QUEUED_RECORDS: usize = 4_096;
 
 /// Output format of logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -60,22 +60,25 @@
     match format {
         LogFormat::Json => {
             let json = slog_json::Json::default(io::stdout());
-            Logger::root(queued(Mutex::new(json).fuse(), level), values)
+            Logger::root(async_drain(Mutex::new(json).fuse(), level), values)
         }
         LogFormat::Terminal => {
             let decorator = slog_term::PlainSyncDecorator::new(io::stdout());
             let lines = slog_term::FullFormat::new(decorator).build();
-            Logger::root(queued(lines.fuse(), level), values)
+            Logger::root(async_drain(lines.fuse(), level), values)
         }
     }
 }
 
-fn queued<D>(drain: D, level: LogLevel) -> slog::Fuse<LevelFilter<slog::Fuse<slog_async::Async>>>
+fn async_drain<D>(
+    drain: D,
+    level: LogLevel,
+) -> slog::Fuse<LevelFilter<slog::Fuse<slog_async::Async>>>
 where
     D: Drain<Err = slog::Never, Ok = ()> + Send + 'static,
 {
     let queue = slog_async::Async::new(drain)
-        .chan_size(QUEUED_RECORDS)
+        .chan_size(MAX_QUEUED_RECORDS)
         .build()
         .fuse();
     LevelFilter::new(queue, level.level()).fuse()
--- a/crates/rookferry_net/src/retry_after.rs
+++ b/crates/rookferry_net/src/retry_after.rs
@@ -15,7 +15,7 @@
 
 /// Upper bound of a parsed backoff; longer ones are reduced to it. Callers apply far
 /// lower bounds of their own.
-const LONGEST: Duration = Duration::from_hours(24);
+const MAX_BACKOFF: Duration = Duration::from_hours(24);
 
 /// A `Retry-After` header that can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
@@ -31,38 +31,38 @@
 /// # Errors
 ///
 /// If the value is neither a number of seconds nor an HTTP date.
-pub fn retry_after(headers: &HeaderMap) -> Result<Option<Duration>, RetryAfterError> {
+pub fn parse_retry_after(headers: &HeaderMap) -> Result<Option<Duration>, RetryAfterError> {
     let Some(value) = headers.get(RETRY_AFTER) else {
         return Ok(None);
     };
     let text = value.to_str().unwrap_or_default().trim();
-    let wait = seconds(text).or_else(|| until_date(text, headers));
-    let wait = wait.ok_or_else(|| RetryAfterError {
+    let backoff = parse_seconds(text).or_else(|| parse_date(text, headers));
+    let backoff = backoff.ok_or_else(|| RetryAfterError {
         value: String::from_utf8_lossy(value.as_bytes()).into_owned(),
     })?;
-    Ok(Some(wait.min(LONGEST)))
+    Ok(Some(backoff.min(MAX_BACKOFF)))
 }
 
 /// Parses digits with at most one decimal point. Other forms that `f64` accepts, such as
 /// exponents or `inf`, are not valid here.
-fn seconds(text: &str) -> Option<Duration> {
+fn parse_seconds(text: &str) -> Option<Duration> {
     let is_number = text.contains(|c: char| c.is_ascii_digit())
         && text.chars().all(|c| c.is_ascii_digit() || c == '.');
     if !is_number {
         return None;
     }
     let seconds: f64 = text.parse().ok()?;
-    Some(Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST))
+    Some(Duration::try_from_secs_f64(seconds).unwrap_or(MAX_BACKOFF))
 }
 
-fn until_date(text: &str, headers: &HeaderMap) -> Option<Duration> {
+fn parse_date(text: &str, headers: &HeaderMap) -> Option<Duration> {
     let at = httpdate::parse_http_date(text).ok()?;
-    let now = date(headers, &DATE).unwrap_or_else(SystemTime::now);
+    let now = header_date(headers, &DATE).unwrap_or_else(SystemTime::now);
     // A date in the past requests no backoff.
     Some(at.duration_since(now).unwrap_or(Duration::ZERO))
 }
 
-fn date(headers: &HeaderMap, name: &HeaderName) -> Option<SystemTime> {
+fn header_date(headers: &HeaderMap, name: &HeaderName) -> Option<SystemTime> {
     let text = headers.get(name)?.to_str().ok()?;
     httpdate::parse_http_date(text).ok()
 }
--- a/crates/rookferry_net/src/server.rs
+++ b/crates/rookferry_net/src/server.rs
@@ -14,8 +14,8 @@
 
 use crate::ConnectionLimits;
 use crate::ConnectionTable;
-use crate::connection::GuardedStream;
-use crate::connection::too_many;
+use crate::connection::TimedStream;
+use crate::connection::connection_limit_response;
 
 /// A bound listener that is ready to serve.
 #[derive(Debug)]
@@ -61,7 +61,7 @@
             limits,
             connections,
         } = self;
-        let wrap = move |stream| future::ready(guard(&connections, limits, stream));
+        let wrap = move |stream| future::ready(admit(&connections, limits, stream));
         tokio::select! {
             () = stop => {}
             never = gotham::bind_server(listener, router, wrap) => never,
@@ -69,16 +69,16 @@
     }
 }
 
-fn guard(
+fn admit(
     connections: &ConnectionTable,
     limits: ConnectionLimits,
     stream: TcpStream,
-) -> Result<GuardedStream, ()> {
+) -> Result<TimedStream, ()> {
     // Responses are small and latency-sensitive.
     let _ = stream.set_nodelay(true);
-    if connections.open() >= limits.max_connections {
-        let _ = stream.try_write(&too_many());
+    if connections.open_connections() >= limits.max_connections {
+        let _ = stream.try_write(&connection_limit_response());
         return Err(());
     }
-    connections.add(stream, limits).map_err(drop)
+    connections.register(stream, limits).map_err(drop)
 }
--- a/crates/rookferry_net/tests/paced_engines.rs
+++ b/crates/rookferry_net/tests/backoff_transport.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use rookferry_net::BackoffTable;
+use rookferry_net::BackoffTransport;
 use rookferry_net::ClientError;
 use rookferry_net::EngineTransport;
 use rookferry_net::HttpClient;
-use rookferry_net::HttpEngines;
-use rookferry_net::PacedEngines;
+use rookferry_net::HttpEngineTransport;
 use rookferry_wire::AttemptRequest;
 use rookferry_wire::CancelRequest;
 use rookferry_wire::KvPages;
@@ -34,23 +34,23 @@
 }
 
 /// Starts an engine that refuses every call with `header` and counts the calls.
-async fn refusing(header: &'static str) -> (SocketAddr, Arc<AtomicUsize>) {
+async fn spawn_refusing_engine(header: &'static str) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let addr = listener.local_addr().expect("an address");
     let calls = Arc::new(AtomicUsize::new(0));
-    let counted = calls.clone();
+    let call_counter = calls.clone();
     tokio::spawn(async move {
-        while let Ok((mut caller, _)) = listener.accept().await {
-            counted.fetch_add(1, Ordering::Relaxed);
+        while let Ok((mut connection, _)) = listener.accept().await {
+            call_counter.fetch_add(1, Ordering::Relaxed);
             tokio::spawn(async move {
                 let mut head = [0; 4_096];
                 // Only the number of calls matters, not their content.
-                let _ = caller.read(&mut head).await;
-                let answer = format!(
+                let _ = connection.read(&mut head).await;
+                let response = format!(
                     "HTTP/1.1 503 Service Unavailable\r\n{header}\
                      Content-Length: 0\r\nConnection: close\r\n\r\n"
                 );
-                let _ = caller.write_all(answer.as_bytes()).await;
+                let _ = connection.write_all(response.as_bytes()).await;
             });
         }
     });
@@ -94,11 +94,11 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_asked_for_backoff_gets_no_call_of_any_kind() {
-    let (addr, calls) = refusing("Retry-After: 50\r\n").await;
+async fn no_call_of_any_kind_reaches_an_engine_in_backoff() {
+    let (addr, calls) = spawn_refusing_engine("Retry-After: 50\r\n").await;
     let backoffs = backoffs();
-    let engines = HttpEngines::new(HttpClient::new());
-    let engines = PacedEngines::new(Arc::new(engines), backoffs.clone());
+    let engines = HttpEngineTransport::new(HttpClient::new());
+    let engines = BackoffTransport::new(Arc::new(engines), backoffs.clone());
     let errors = call_all(&engines, addr).await;
     assert_eq!(calls.load(Ordering::Relaxed), 1);
     for error in &errors[1..] {
@@ -112,11 +112,11 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_refuses_without_a_time_is_called_on() {
+async fn an_engine_without_a_valid_retry_after_is_still_called() {
     for header in ["", "Retry-After: soon\r\n", "Retry-After: 0\r\n"] {
-        let (addr, calls) = refusing(header).await;
-        let engines = HttpEngines::new(HttpClient::new());
-        let engines = PacedEngines::new(Arc::new(engines), backoffs());
+        let (addr, calls) = spawn_refusing_engine(header).await;
+        let engines = HttpEngineTransport::new(HttpClient::new());
+        let engines = BackoffTransport::new(Arc::new(engines), backoffs());
         let errors = call_all(&engines, addr).await;
         assert_eq!(calls.load(Ordering::Relaxed), errors.len(), "{header:?}");
     }
--- a/crates/rookferry_net/tests/retry_after.rs
+++ b/crates/rookferry_net/tests/retry_after.rs
@@ -4,7 +4,7 @@
 
 use http::HeaderMap;
 use http::HeaderValue;
-use rookferry_net::retry_after;
+use rookferry_net::parse_retry_after;
 use rstest::rstest;
 
 const DAY: Duration = Duration::from_hours(24);
@@ -25,8 +25,11 @@
 #[case::more_than_a_number_holds("99999999999999999999999999", DAY)]
 #[case::a_date_gone_by("Sun, 06 Nov 1994 08:49:37 GMT", Duration::ZERO)]
 #[case::a_date_far_off("Tue, 01 Jan 2999 00:00:00 GMT", DAY)]
-fn a_time_reads_and_is_bounded(#[case] value: &str, #[case] wait: Duration) {
-    assert_eq!(retry_after(&headers(value.as_bytes())), Ok(Some(wait)));
+fn valid_values_are_parsed_and_bounded(#[case] value: &str, #[case] wait: Duration) {
+    assert_eq!(
+        parse_retry_after(&headers(value.as_bytes())),
+        Ok(Some(wait))
+    );
 }
 
 #[rstest]
@@ -41,19 +44,22 @@
 #[case::a_unit(b"3s")]
 #[case::a_list(b"3, 4")]
 #[case::bytes(b"\xff\xfe")]
-fn what_does_not_read_is_told(#[case] value: &[u8]) {
-    assert!(retry_after(&headers(value)).is_err());
+fn invalid_values_are_errors(#[case] value: &[u8]) {
+    assert!(parse_retry_after(&headers(value)).is_err());
 }
 
 #[test]
-fn an_answer_without_it_asks_for_nothing() {
-    assert_eq!(retry_after(&HeaderMap::new()), Ok(None));
+fn a_response_without_the_header_requests_no_backoff() {
+    assert_eq!(parse_retry_after(&HeaderMap::new()), Ok(None));
 }
 
 #[test]
-fn a_date_counts_from_the_answers_own_time() {
+fn a_date_is_relative_to_the_date_header() {
     let mut headers = headers(b"Sun, 06 Nov 1994 08:49:42 GMT");
     let date = HeaderValue::from_static("Sun, 06 Nov 1994 08:49:37 GMT");
     headers.insert(http::header::DATE, date);
-    assert_eq!(retry_after(&headers), Ok(Some(Duration::from_secs(5))));
+    assert_eq!(
+        parse_retry_after(&headers),
+        Ok(Some(Duration::from_secs(5)))
+    );
 }
--- a/crates/rookferry_relay/src/broken_runs.rs
+++ b/crates/rookferry_relay/src/broken_runs.rs
@@ -6,7 +6,7 @@
 use rookferry_core::BrokenRuns;
 use rookferry_core::RequestSignature;
 use rookferry_core::ServerKey;
-use rookferry_net::until;
+use rookferry_net::wait_until;
 use tokio::sync::Notify;
 
 use crate::mutex::lock;
@@ -38,6 +38,6 @@
 
     /// Waits until it is known of all servers at which a request's runs broke.
     pub(crate) async fn decided(&self, signature: RequestSignature) {
-        until(&self.decided, || !self.lock().is_undecided(signature)).await;
+        wait_until(&self.decided, || !self.lock().is_undecided(signature)).await;
     }
 }
--- a/crates/rookferry_relay/src/exchange.rs
+++ b/crates/rookferry_relay/src/exchange.rs
@@ -12,7 +12,7 @@
 use rookferry_core::RequestRate;
 use rookferry_core::ServerKey;
 use rookferry_net::clock;
-use rookferry_net::retry_after;
+use rookferry_net::parse_retry_after;
 use slog::info;
 use slog::warn;
 
@@ -162,7 +162,7 @@
         }
         // Other answers may have it for whoever sent the request.
         if status == StatusCode::SERVICE_UNAVAILABLE {
-            match retry_after(headers) {
+            match parse_retry_after(headers) {
                 Ok(backoff) => notice.backoff = backoff,
                 Err(error) => self.note_unreadable(server, &error),
             }
--- a/crates/rookferry_relay/src/front.rs
+++ b/crates/rookferry_relay/src/front.rs
@@ -13,7 +13,7 @@
 use rookferry_core::ServingIndex;
 use rookferry_core::Urgency;
 use rookferry_net::BodyError;
-use rookferry_net::Inbound;
+use rookferry_net::InboundRequest;
 use rookferry_net::clock;
 use slog::info;
 use slog::warn;
@@ -45,7 +45,7 @@
 }
 
 /// Answers a caller's request.
-pub(crate) async fn handle(relay: Arc<Relay>, mut inbound: Inbound) -> Response<Body> {
+pub(crate) async fn handle(relay: Arc<Relay>, mut inbound: InboundRequest) -> Response<Body> {
     let received_at = clock::now();
     let head = relay.protocol.caller_head(&inbound.headers);
     // Callers of plain services have less time, and are told at once when to come back.
@@ -101,7 +101,7 @@
     response
 }
 
-async fn read_body(relay: &Relay, inbound: &mut Inbound) -> Result<bytes::Bytes, Refusal> {
+async fn read_body(relay: &Relay, inbound: &mut InboundRequest) -> Result<bytes::Bytes, Refusal> {
     let view = relay.view.load_full();
     let Some(index) = &view.index else {
         return Err(relay.unknown_site());
@@ -118,7 +118,7 @@
 /// Lets a request in under the configuration in force.
 fn admit(
     relay: &Relay,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     head: &CallerHead,
     body: bytes::Bytes,
     received_at: Instant,
--- a/crates/rookferry_relay/src/node.rs
+++ b/crates/rookferry_relay/src/node.rs
@@ -16,7 +16,7 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use rookferry_net::ConnectionLimits;
 use rookferry_net::ConnectionTable;
-use rookferry_net::Inbound;
+use rookferry_net::InboundRequest;
 use rookferry_net::Server;
 use rookferry_net::clock;
 use rookferry_net::endpoint;
@@ -191,7 +191,7 @@
         self.relay.leave();
         if let Some(log) = self.relay.events.line(Weight::Notable) {
             info!(log, "instance: it stops"; "event" => "stopping",
-                "requests" => self.callers.requests());
+                "requests" => self.callers.active_requests());
         }
         let bound = self
             .relay
@@ -202,9 +202,9 @@
         let finish = async {
             tokio::time::sleep(QUIET_BEFORE_END).await;
             let accept_left = ACCEPT_WHILE_LEAVING.saturating_sub(clock::since(started));
-            let _ = tokio::time::timeout(accept_left, self.callers.quiet()).await;
+            let _ = tokio::time::timeout(accept_left, self.callers.wait_idle()).await;
             self.stop.notify_one();
-            self.callers.quiet().await;
+            self.callers.wait_idle().await;
         };
         let is_drained = tokio::time::timeout(bound, finish).await.is_ok();
         if let Some(log) = self.relay.events.line(Weight::Notable) {
@@ -244,14 +244,14 @@
     }
 }
 
-async fn tell_ready(relay: Arc<Relay>, _inbound: Inbound) -> Response<Body> {
+async fn tell_ready(relay: Arc<Relay>, _inbound: InboundRequest) -> Response<Body> {
     if relay.is_ready() {
         return text_response(StatusCode::OK, "ready\n".to_owned());
     }
     text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_owned())
 }
 
-async fn tell_figures(figures: Arc<Figures>, _inbound: Inbound) -> Response<Body> {
+async fn tell_figures(figures: Arc<Figures>, _inbound: InboundRequest) -> Response<Body> {
     let age = figures.relay.config_age();
     gauge!("rookferry_config_version").set(age.version() as f64);
     if let Some(age) = age.age(clock::now()) {
@@ -265,8 +265,8 @@
     gauge!("rookferry_store_era").set(figures.relay.store.era() as f64);
     gauge!("rookferry_build_info", "version" => env!("CARGO_PKG_VERSION")).set(1.0);
     gauge!("rookferry_uptime_seconds").set(clock::since(figures.started_at).as_secs_f64());
-    gauge!("rookferry_requests_under_way").set(figures.callers.requests() as f64);
-    gauge!("rookferry_connections").set(figures.callers.open() as f64);
+    gauge!("rookferry_requests_under_way").set(figures.callers.active_requests() as f64);
+    gauge!("rookferry_connections").set(figures.callers.open_connections() as f64);
     let instances = figures.relay.instances.load(Ordering::Relaxed);
     gauge!("rookferry_instances").set(instances as f64);
     let holds_lease = figures.relay.holds_lease.load(Ordering::Relaxed);
--- a/crates/rookferry_standin/src/app.rs
+++ b/crates/rookferry_standin/src/app.rs
@@ -17,7 +17,7 @@
 use http::StatusCode;
 use rookferry_net::ConnectionLimits;
 use rookferry_net::ConnectionTable;
-use rookferry_net::Inbound;
+use rookferry_net::InboundRequest;
 use rookferry_net::Server;
 use rookferry_net::endpoint;
 use rookferry_net::json_response;
@@ -139,7 +139,7 @@
     })
 }
 
-async fn serve(app: Arc<App>, mut inbound: Inbound) -> Response<Body> {
+async fn serve(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
     let body = match inbound.read_body(MAX_BODY_BYTES, BODY_TIMEOUT).await {
         Ok(body) => body,
         Err(error) => return text_response(StatusCode::BAD_REQUEST, error.to_string()),
@@ -176,7 +176,7 @@
     json_response(StatusCode::OK, &answer)
 }
 
-async fn fault(app: Arc<App>, mut inbound: Inbound) -> Response<Body> {
+async fn fault(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
     let fault: Fault = match read(&mut inbound).await {
         Ok(fault) => fault,
         Err(refused) => return refused,
@@ -185,11 +185,11 @@
     json_response(StatusCode::OK, &())
 }
 
-async fn calls_since_asked(app: Arc<App>, _inbound: Inbound) -> Response<Body> {
+async fn calls_since_asked(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
     json_response(StatusCode::OK, &app.faults.calls_since_asked())
 }
 
-async fn ledger(app: Arc<App>, _inbound: Inbound) -> Response<Body> {
+async fn ledger(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
     let ledger = app
         .ledger
         .lock()
--- a/crates/rookferry_standin/src/engine/server.rs
+++ b/crates/rookferry_standin/src/engine/server.rs
@@ -21,7 +21,7 @@
 use rookferry_core::prefix_hash;
 use rookferry_net::ConnectionLimits;
 use rookferry_net::ConnectionTable;
-use rookferry_net::Inbound;
+use rookferry_net::InboundRequest;
 use rookferry_net::Server;
 use rookferry_net::endpoint;
 use rookferry_net::json_response;
@@ -188,8 +188,8 @@
 
 /// Puts a refusal with a backoff before a call, where one is ordered.
 fn paced<R>(
-    handler: impl Fn(Arc<App>, Inbound) -> R + Copy,
-) -> impl Fn(Arc<App>, Inbound) -> BoxFuture<'static, Response<Body>> + Copy
+    handler: impl Fn(Arc<App>, InboundRequest) -> R + Copy,
+) -> impl Fn(Arc<App>, InboundRequest) -> BoxFuture<'static, Response<Body>> + Copy
 where
     R: Future<Output = Response<Body>> + Send + 'static,
 {
@@ -199,15 +199,15 @@
     }
 }
 
-async fn calls_since_asked(app: Arc<App>, _inbound: Inbound) -> Response<Body> {
+async fn calls_since_asked(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
     json_response(StatusCode::OK, &app.faults.calls_since_asked())
 }
 
-async fn get_info(app: Arc<App>, _inbound: Inbound) -> Response<Body> {
+async fn get_info(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
     app.answer(|inner| inner.info.clone()).await
 }
 
-async fn get_load(app: Arc<App>, _inbound: Inbound) -> Response<Body> {
+async fn get_load(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
     let lag = Duration::from_millis(app.config.report_lag_ms);
     app.answer(move |inner| {
         let now = Instant::now();
@@ -224,16 +224,16 @@
     .await
 }
 
-async fn cache_events(app: Arc<App>, inbound: Inbound) -> Response<Body> {
+async fn cache_events(app: Arc<App>, inbound: InboundRequest) -> Response<Body> {
     let from = inbound
-        .query("from")
+        .query_param("from")
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
     app.answer(move |inner| inner.cache.events(Instant::now(), from))
         .await
 }
 
-async fn steps(app: Arc<App>, mut inbound: Inbound) -> Response<Body> {
+async fn steps(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
     let batch: StepBatch = match read(&mut inbound).await {
         Ok(batch) => batch,
         Err(refused) => return refused,
@@ -266,7 +266,7 @@
     json_response(StatusCode::OK, &StepBatchResponse { results })
 }
 
-async fn open(app: Arc<App>, mut inbound: Inbound) -> Response<Body> {
+async fn open(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
     let request: AttemptRequest = match read(&mut inbound).await {
         Ok(request) => request,
         Err(refused) => return refused,
@@ -274,7 +274,7 @@
     app.answer(move |inner| inner.stage.open(request)).await
 }
 
-async fn cancel(app: Arc<App>, mut inbound: Inbound) -> Response<Body> {
+async fn cancel(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
     let request: CancelRequest = match read(&mut inbound).await {
         Ok(request) => request,
         Err(refused) => return refused,
@@ -282,7 +282,7 @@
     app.answer(move |inner| inner.stage.cancel(request)).await
 }
 
-async fn export(app: Arc<App>, mut inbound: Inbound) -> Response<Body> {
+async fn export(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
     let request: AttemptRequest = match read(&mut inbound).await {
         Ok(request) => request,
         Err(refused) => return refused,
@@ -296,7 +296,7 @@
     }
 }
 
-async fn import(app: Arc<App>, mut inbound: Inbound) -> Response<Body> {
+async fn import(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
     let pages: KvPages = match read(&mut inbound).await {
         Ok(pages) => pages,
         Err(refused) => return refused,
@@ -304,7 +304,7 @@
     app.answer(move |inner| inner.stage.import(pages)).await
 }
 
-async fn order(app: Arc<App>, mut inbound: Inbound) -> Response<Body> {
+async fn order(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
     let request: OrderRequest = match read(&mut inbound).await {
         Ok(request) => request,
         Err(refused) => return refused,
@@ -314,12 +314,12 @@
         .await
 }
 
-async fn ledger(app: Arc<App>, _inbound: Inbound) -> Response<Body> {
+async fn ledger(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
     let ledger = app.lock().stage.ledger.clone();
     json_response(StatusCode::OK, &ledger)
 }
 
-async fn fault(app: Arc<App>, mut inbound: Inbound) -> Response<Body> {
+async fn fault(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
     let fault: Fault = match read(&mut inbound).await {
         Ok(fault) => fault,
         Err(refused) => return refused,
--- a/crates/rookferry_standin/src/platform/server.rs
+++ b/crates/rookferry_standin/src/platform/server.rs
@@ -19,7 +19,7 @@
 use http::StatusCode;
 use rookferry_net::ConnectionLimits;
 use rookferry_net::ConnectionTable;
-use rookferry_net::Inbound;
+use rookferry_net::InboundRequest;
 use rookferry_net::Server;
 use rookferry_net::endpoint;
 use rookferry_net::json_response;
@@ -177,12 +177,12 @@
     })
 }
 
-async fn get_object(app: Arc<App>, inbound: Inbound) -> Response<Body> {
+async fn get_object(app: Arc<App>, inbound: InboundRequest) -> Response<Body> {
     if let Err(refused) = app.enter_read().await {
         return refused;
     }
     let Some((kind, name)) = inbound
-        .path_after("/v1/objects/")
+        .strip_path_prefix("/v1/objects/")
         .and_then(|path| path.split_once('/'))
     else {
         return text_response(
@@ -197,7 +197,7 @@
     }
 }
 
-async fn put_object(app: Arc<App>, mut inbound: Inbound) -> Response<Body> {
+async fn put_object(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
     let request: PutRequest = match read(&mut inbound).await {
         Ok(request) => request,
         Err(refused) => return refused,
@@ -206,7 +206,7 @@
         return refused;
     }
     let Some((kind, name)) = inbound
-        .path_after("/v1/objects/")
+        .strip_path_prefix("/v1/objects/")
         .and_then(|path| path.split_once('/'))
     else {
         return text_response(
@@ -224,12 +224,12 @@
     json_response(StatusCode::OK, &answer)
 }
 
-async fn watch(app: Arc<App>, inbound: Inbound) -> Response<Body> {
+async fn watch(app: Arc<App>, inbound: InboundRequest) -> Response<Body> {
     if let Err(refused) = app.enter_read().await {
         return refused;
     }
     let kind = inbound
-        .path_after("/v1/watch/")
+        .strip_path_prefix("/v1/watch/")
         .unwrap_or_default()
         .to_owned();
     let after = number(&inbound, "after");
@@ -249,12 +249,12 @@
     }
 }
 
-fn number(inbound: &Inbound, name: &str) -> u64 {
-    let text = inbound.query(name).unwrap_or_default();
+fn number(inbound: &InboundRequest, name: &str) -> u64 {
+    let text = inbound.query_param(name).unwrap_or_default();
     text.parse().unwrap_or(0)
 }
 
-async fn instances(app: Arc<App>, _inbound: Inbound) -> Response<Body> {
+async fn instances(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
     if let Err(refused) = app.enter_read().await {
         return refused;
     }
@@ -263,9 +263,9 @@
     json_response(StatusCode::OK, &list)
 }
 
-async fn set_instance(app: Arc<App>, mut inbound: Inbound) -> Response<Body> {
+async fn set_instance(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
     let name = inbound
-        .path_after("/admin/instances/")
+        .strip_path_prefix("/admin/instances/")
         .unwrap_or_default()
         .to_owned();
     let entry: Option<InstanceEntry> = if inbound.method == Method::DELETE {
@@ -280,7 +280,7 @@
     json_response(StatusCode::OK, &())
 }
 
-async fn fault(app: Arc<App>, mut inbound: Inbound) -> Response<Body> {
+async fn fault(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
     let fault: Fault = match read(&mut inbound).await {
         Ok(fault) => fault,
         Err(refused) => return refused,
@@ -290,7 +290,7 @@
     json_response(StatusCode::OK, &())
 }
 
-async fn calls(app: Arc<App>, _inbound: Inbound) -> Response<Body> {
+async fn calls(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
     let counts = CallCounts {
         writes: app.write_calls.load(Ordering::Relaxed),
         reads: app.read_calls.load(Ordering::Relaxed),
@@ -332,7 +332,9 @@
     }
 }
 
-pub(crate) async fn read<T: DeserializeOwned>(inbound: &mut Inbound) -> Result<T, Response<Body>> {
+pub(crate) async fn read<T: DeserializeOwned>(
+    inbound: &mut InboundRequest,
+) -> Result<T, Response<Body>> {
     let body = inbound.read_body(MAX_BODY_BYTES, BODY_TIMEOUT).await;
     let body = body.map_err(|error| text_response(StatusCode::BAD_REQUEST, error.to_string()))?;
     serde_json::from_slice(&body)
