--- a/crates/rookferry_net/src/backoff_table.rs
+++ b/crates/rookferry_net/src/backoff_table.rs
@@ -75,11 +75,11 @@
         }
         let now = clock::now();
         let servers = servers.into_iter();
-        let waiting =
+        let in_backoff =
             servers.filter_map(|(server, addr)| Some((server, backoffs.left(addr, now)?)));
-        let mut waiting: Vec<(T, Duration)> = waiting.collect();
-        waiting.sort_by_key(|(_, remaining)| *remaining);
-        waiting
+        let mut in_backoff: Vec<(T, Duration)> = in_backoff.collect();
+        in_backoff.sort_by_key(|(_, remaining)| *remaining);
+        in_backoff
     }
 
     /// Removes the backoff of an address, since another process now listens there.
--- a/crates/rookferry_net/src/backoff_transport.rs
+++ b/crates/rookferry_net/src/backoff_transport.rs
@@ -48,16 +48,16 @@
             if let Some(remaining) = self.backoffs.remaining(addr) {
                 return Err(ClientError::BackedOff { addr, remaining });
             }
-            let answer = call.await;
+            let result = call.await;
             if let Err(ClientError::Status {
                 status,
                 retry_after,
                 ..
-            }) = &answer
+            }) = &result
             {
                 self.backoffs.record_response(addr, *status, retry_after);
             }
-            answer
+            result
         }
         .boxed()
     }
--- a/crates/rookferry_net/src/connection.rs
+++ b/crates/rookferry_net/src/connection.rs
@@ -3,8 +3,8 @@
 //!
 //! The HTTP library doesn't limit the time that a client takes to send a request head.
 //! The stream below it therefore has a timeout: once a connection is idle, the next
-//! request must have arrived completely within the timeout, however often single bytes
-//! arrive.
+//! request head must have arrived completely within the timeout, even if the client
+//! keeps sending single bytes.
 
 use std::collections::HashMap;
 use std::io;
@@ -42,7 +42,7 @@
 pub struct ConnectionLimits {
     /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Maximum time from when a connection becomes idle until the next request has arrived.
+    /// Maximum time between a connection becoming idle and its next complete request head.
     pub head_timeout: Duration,
 }
 
@@ -198,7 +198,7 @@
 }
 
 impl TimedStream {
-    /// Whether the connection has been idle, without a complete request, past the timeout.
+    /// Whether the connection has been idle, without a complete request head, past the timeout.
     fn poll_overdue(&mut self, cx: &mut Context<'_>) -> bool {
         while self.timer.as_mut().poll(cx).is_ready() {
             let idle_since = *self
--- a/crates/rookferry_net/src/platform.rs
+++ b/crates/rookferry_net/src/platform.rs
@@ -94,13 +94,13 @@
     ) -> BoxFuture<'a, Result<Option<Object>, PlatformError>> {
         async move {
             let path = format!("/v1/objects/{kind}/{name}");
-            let answer = self.client.get(self.addr, &path, CALL_TIMEOUT).await;
-            match answer {
+            let result = self.client.get(self.addr, &path, CALL_TIMEOUT).await;
+            match result {
                 Ok(object) => Ok(Some(object)),
                 Err(ClientError::Status { status, .. }) if status == StatusCode::NOT_FOUND => {
                     Ok(None)
                 }
-                Err(error) => Err(classify(&error)),
+                Err(error) => Err(to_platform_error(&error)),
             }
         }
         .boxed()
@@ -114,11 +114,11 @@
     ) -> BoxFuture<'a, Result<PutResponse, PlatformError>> {
         async move {
             let path = format!("/v1/objects/{kind}/{name}");
-            let answer = self
+            let result = self
                 .client
                 .call(Method::PUT, self.addr, &path, Some(&request), CALL_TIMEOUT)
                 .await;
-            answer.map_err(|error| classify(&error))
+            result.map_err(|error| to_platform_error(&error))
         }
         .boxed()
     }
@@ -134,19 +134,19 @@
                 "/v1/watch/{kind}?after={after}&wait_ms={}",
                 wait.as_millis()
             );
-            let answer = self.client.get(self.addr, &path, wait + WATCH_GRACE).await;
-            answer.map_err(|error| classify(&error))
+            let result = self.client.get(self.addr, &path, wait + WATCH_GRACE).await;
+            result.map_err(|error| to_platform_error(&error))
         }
         .boxed()
     }
 
     fn instances(&self) -> BoxFuture<'_, Result<InstanceList, PlatformError>> {
         async move {
-            let answer = self
+            let result = self
                 .client
                 .get(self.addr, "/v1/instances", CALL_TIMEOUT)
                 .await;
-            answer.map_err(|error| classify(&error))
+            result.map_err(|error| to_platform_error(&error))
         }
         .boxed()
     }
@@ -154,7 +154,7 @@
 
 /// Converts a client error. Only a failed connect or a client error status (4xx), such as
 /// an exceeded rate limit, shows that a call can't have taken effect.
-fn classify(error: &ClientError) -> PlatformError {
+fn to_platform_error(error: &ClientError) -> PlatformError {
     let message = error.to_string();
     let is_rejected = match error {
         ClientError::NotConnected { .. } => true,
