--- a/crates/rookferry_net/src/backoff_table.rs
+++ b/crates/rookferry_net/src/backoff_table.rs
@@ -1,4 +1,4 @@
-//! The backoffs that backend servers asked this process for.
+//! Backoffs that backend servers requested from this process by `Retry-After`.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -15,7 +15,7 @@
 use crate::RetryAfterError;
 use crate::clock;
 
-/// Backoffs by the servers' addresses; shared by all that send.
+/// Backoffs by server address; shared by all senders of the process.
 #[derive(Debug)]
 pub struct BackoffTable {
     log: Logger,
@@ -23,7 +23,7 @@
 }
 
 impl BackoffTable {
-    /// No backoffs.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(log: Logger) -> Self {
         Self {
@@ -32,9 +32,9 @@
         }
     }
 
-    /// Takes in an answer's status and the time that it names; only one that
-    /// refuses for now asks for a backoff, and what doesn't read asks for none.
-    pub fn note(
+    /// Records the backoff of a response. Only status 503 requests a backoff; a
+    /// `Retry-After` header that can't be parsed is logged and requests none.
+    pub fn record_response(
         &self,
         addr: SocketAddr,
         status: StatusCode,
@@ -45,25 +45,25 @@
         }
         match retry_after {
             Ok(None) => {}
-            Ok(Some(asked)) => {
-                let kept = self.lock().back_off(addr, *asked, clock::now());
+            Ok(Some(requested)) => {
+                let backoff = self.lock().back_off(addr, *requested, clock::now());
                 info!(self.log, "backoff: a server asked for a backoff";
                     "part" => "backoff", "server" => %addr,
-                    "asked_ms" => asked.as_millis(), "kept_ms" => kept.as_millis());
+                    "asked_ms" => requested.as_millis(), "kept_ms" => backoff.as_millis());
             }
             Err(error) => {
-                warn!(self.log, "backoff: what a server asks for doesn't read";
+                warn!(self.log, "backoff: a server sent an invalid Retry-After header";
                     "part" => "backoff", "server" => %addr, "error" => %error);
             }
         }
     }
 
-    /// How much longer to back off from a server, if at all.
-    pub fn left(&self, addr: SocketAddr) -> Option<Duration> {
+    /// Remaining backoff of a server; `None` without a backoff.
+    pub fn remaining(&self, addr: SocketAddr) -> Option<Duration> {
         self.lock().left(addr, clock::now())
     }
 
-    /// Those of some servers to back off from, each with how much longer, the
+    /// Returns those of `servers` that are in backoff, each with the remaining time,
     /// shortest first.
     pub fn backed_off<T>(
         &self,
@@ -75,14 +75,14 @@
         }
         let now = clock::now();
         let servers = servers.into_iter();
-        let waiting =
+        let in_backoff =
             servers.filter_map(|(server, addr)| Some((server, backoffs.left(addr, now)?)));
-        let mut waiting: Vec<(T, Duration)> = waiting.collect();
-        waiting.sort_by_key(|(_, left)| *left);
-        waiting
+        let mut in_backoff: Vec<(T, Duration)> = in_backoff.collect();
+        in_backoff.sort_by_key(|(_, remaining)| *remaining);
+        in_backoff
     }
 
-    /// Another process is at the address.
+    /// Removes the backoff of an address, since another process now listens there.
     pub fn forget(&self, addr: SocketAddr) {
         self.lock().forget(addr);
     }
--- a/crates/rookferry_net/src/paced_engines.rs
+++ b/crates/rookferry_net/src/backoff_transport.rs
@@ -1,4 +1,5 @@
-//! Engines that get no call during a backoff that they asked for.
+//! An [`EngineTransport`] that makes no calls to an engine during a backoff that the
+//! engine requested by `Retry-After`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,68 +7,69 @@
 
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
-use rookferry_wire::AttemptAnswer;
 use rookferry_wire::AttemptRequest;
+use rookferry_wire::AttemptResponse;
 use rookferry_wire::CacheEvents;
 use rookferry_wire::CancelRequest;
 use rookferry_wire::EngineInfo;
 use rookferry_wire::KvPages;
 use rookferry_wire::LoadReport;
-use rookferry_wire::OrderAnswer;
 use rookferry_wire::OrderRequest;
+use rookferry_wire::OrderResponse;
 use rookferry_wire::StepBatch;
-use rookferry_wire::StepBatchAnswer;
+use rookferry_wire::StepBatchResponse;
 
 use crate::BackoffTable;
 use crate::ClientError;
 use crate::EngineTransport;
 
-/// Calls engines by another transport, but for those that asked for a backoff:
-/// every kind of call is work for them.
-pub struct PacedEngines {
+/// Wraps a transport and refuses calls to engines that are in backoff. All kinds of
+/// calls are covered, since each of them costs the engine work.
+pub struct BackoffTransport {
     inner: Arc<dyn EngineTransport>,
     backoffs: Arc<BackoffTable>,
 }
 
-impl PacedEngines {
-    /// Calls by `inner`, and keeps in `backoffs` what engines ask for.
+impl BackoffTransport {
+    /// Wraps `inner` and records the backoffs that engines request in `backoffs`.
     #[must_use]
     pub fn new(inner: Arc<dyn EngineTransport>, backoffs: Arc<BackoffTable>) -> Self {
         Self { inner, backoffs }
     }
 
-    /// Makes a call, which sends nothing before it is polled.
-    fn paced<'a, T: 'a>(
+    /// Makes a call unless the engine is in backoff. `call` must send nothing before it is
+    /// polled.
+    fn call_unless_backed_off<'a, T: 'a>(
         &'a self,
         addr: SocketAddr,
         call: BoxFuture<'a, Result<T, ClientError>>,
     ) -> BoxFuture<'a, Result<T, ClientError>> {
         async move {
-            if let Some(left) = self.backoffs.left(addr) {
-                return Err(ClientError::BackedOff { addr, left });
+            if let Some(remaining) = self.backoffs.remaining(addr) {
+                return Err(ClientError::BackedOff { addr, remaining });
             }
-            let answer = call.await;
+            let result = call.await;
             if let Err(ClientError::Status {
                 status,
                 retry_after,
                 ..
-            }) = &answer
+            }) = &result
             {
-                self.backoffs.note(addr, *status, retry_after);
+                self.backoffs.record_response(addr, *status, retry_after);
             }
-            answer
+            result
         }
         .boxed()
     }
 }
 
-impl EngineTransport for PacedEngines {
+impl EngineTransport for BackoffTransport {
     fn info(&self, addr: SocketAddr) -> BoxFuture<'_, Result<EngineInfo, ClientError>> {
-        self.paced(addr, self.inner.info(addr))
+        self.call_unless_backed_off(addr, self.inner.info(addr))
     }
 
     fn load(&self, addr: SocketAddr) -> BoxFuture<'_, Result<LoadReport, ClientError>> {
-        self.paced(addr, self.inner.load(addr))
+        self.call_unless_backed_off(addr, self.inner.load(addr))
     }
 
     fn cache_events(
@@ -75,7 +77,7 @@
         addr: SocketAddr,
         from: u64,
     ) -> BoxFuture<'_, Result<CacheEvents, ClientError>> {
-        self.paced(addr, self.inner.cache_events(addr, from))
+        self.call_unless_backed_off(addr, self.inner.cache_events(addr, from))
     }
 
     fn steps(
@@ -83,8 +85,8 @@
         addr: SocketAddr,
         batch: StepBatch,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<StepBatchAnswer, ClientError>> {
-        self.paced(addr, self.inner.steps(addr, batch, wait))
+    ) -> BoxFuture<'_, Result<StepBatchResponse, ClientError>> {
+        self.call_unless_backed_off(addr, self.inner.steps(addr, batch, wait))
     }
 
     fn open(
@@ -92,8 +94,8 @@
         addr: SocketAddr,
         request: AttemptRequest,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<AttemptAnswer, ClientError>> {
-        self.paced(addr, self.inner.open(addr, request, wait))
+    ) -> BoxFuture<'_, Result<AttemptResponse, ClientError>> {
+        self.call_unless_backed_off(addr, self.inner.open(addr, request, wait))
     }
 
     fn cancel(
@@ -101,7 +103,7 @@
         addr: SocketAddr,
         request: CancelRequest,
     ) -> BoxFuture<'_, Result<(), ClientError>> {
-        self.paced(addr, self.inner.cancel(addr, request))
+        self.call_unless_backed_off(addr, self.inner.cancel(addr, request))
     }
 
     fn export(
@@ -109,22 +111,22 @@
         addr: SocketAddr,
         request: AttemptRequest,
     ) -> BoxFuture<'_, Result<KvPages, ClientError>> {
-        self.paced(addr, self.inner.export(addr, request))
+        self.call_unless_backed_off(addr, self.inner.export(addr, request))
     }
 
     fn import(
         &self,
         addr: SocketAddr,
         pages: KvPages,
-    ) -> BoxFuture<'_, Result<AttemptAnswer, ClientError>> {
-        self.paced(addr, self.inner.import(addr, pages))
+    ) -> BoxFuture<'_, Result<AttemptResponse, ClientError>> {
+        self.call_unless_backed_off(addr, self.inner.import(addr, pages))
     }
 
     fn order(
         &self,
         addr: SocketAddr,
         request: OrderRequest,
-    ) -> BoxFuture<'_, Result<OrderAnswer, ClientError>> {
-        self.paced(addr, self.inner.order(addr, request))
+    ) -> BoxFuture<'_, Result<OrderResponse, ClientError>> {
+        self.call_unless_backed_off(addr, self.inner.order(addr, request))
     }
 }
--- a/crates/rookferry_net/src/engine.rs
+++ b/crates/rookferry_net/src/engine.rs
@@ -1,103 +1,104 @@
-//! The engine protocol over HTTP.
+//! Client of the engine protocol over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
-use rookferry_wire::AttemptAnswer;
 use rookferry_wire::AttemptRequest;
+use rookferry_wire::AttemptResponse;
 use rookferry_wire::CacheEvents;
 use rookferry_wire::CancelRequest;
 use rookferry_wire::EngineInfo;
 use rookferry_wire::KvPages;
 use rookferry_wire::LoadReport;
-use rookferry_wire::OrderAnswer;
 use rookferry_wire::OrderRequest;
+use rookferry_wire::OrderResponse;
 use rookferry_wire::StepBatch;
-use rookferry_wire::StepBatchAnswer;
+use rookferry_wire::StepBatchResponse;
 
 use crate::ClientError;
 use crate::HttpClient;
 
-/// How long calls that run no step may take.
+/// Timeout of calls that neither run steps nor open an attempt.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the daemons ask of engines.
+/// Calls of the engine protocol. Each fails with a [`ClientError`] if there is no
+/// successful response in time.
 pub trait EngineTransport: Send + Sync {
-    /// What the engine says about itself.
+    /// Reads the engine's description of itself.
     fn info(&self, addr: SocketAddr) -> BoxFuture<'_, Result<EngineInfo, ClientError>>;
 
-    /// Its load, as it saw it some time ago.
+    /// Reads the engine's latest load report.
     fn load(&self, addr: SocketAddr) -> BoxFuture<'_, Result<LoadReport, ClientError>>;
 
-    /// Its cache events from a sequence number.
+    /// Reads cache events from sequence number `from` on.
     fn cache_events(
         &self,
         addr: SocketAddr,
         from: u64,
     ) -> BoxFuture<'_, Result<CacheEvents, ClientError>>;
 
-    /// Runs steps.
+    /// Runs a batch of steps, within `wait`.
     fn steps(
         &self,
         addr: SocketAddr,
         batch: StepBatch,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<StepBatchAnswer, ClientError>>;
+    ) -> BoxFuture<'_, Result<StepBatchResponse, ClientError>>;
 
-    /// Opens an attempt.
+    /// Opens an attempt of a stream, within `wait`.
     fn open(
         &self,
         addr: SocketAddr,
         request: AttemptRequest,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<AttemptAnswer, ClientError>>;
+    ) -> BoxFuture<'_, Result<AttemptResponse, ClientError>>;
 
-    /// Ends a stream.
+    /// Cancels a stream and frees its KV cache.
     fn cancel(
         &self,
         addr: SocketAddr,
         request: CancelRequest,
     ) -> BoxFuture<'_, Result<(), ClientError>>;
 
-    /// Exports a stream's KV.
+    /// Exports the KV cache of a stream.
     fn export(
         &self,
         addr: SocketAddr,
         request: AttemptRequest,
     ) -> BoxFuture<'_, Result<KvPages, ClientError>>;
 
-    /// Imports a stream's KV.
+    /// Imports the KV cache of a stream.
     fn import(
         &self,
         addr: SocketAddr,
         pages: KvPages,
-    ) -> BoxFuture<'_, Result<AttemptAnswer, ClientError>>;
+    ) -> BoxFuture<'_, Result<AttemptResponse, ClientError>>;
 
-    /// Gives an order.
+    /// Sends a fenced order.
     fn order(
         &self,
         addr: SocketAddr,
         request: OrderRequest,
-    ) -> BoxFuture<'_, Result<OrderAnswer, ClientError>>;
+    ) -> BoxFuture<'_, Result<OrderResponse, ClientError>>;
 }
 
-/// Engines over HTTP.
+/// An [`EngineTransport`] over HTTP with JSON bodies.
 #[derive(Clone, Debug)]
-pub struct HttpEngines {
+pub struct HttpEngineTransport {
     client: HttpClient,
 }
 
-impl HttpEngines {
-    /// Engines reached with a client.
+impl HttpEngineTransport {
+    /// Creates a transport that sends through `client`.
     #[must_use]
     pub const fn new(client: HttpClient) -> Self {
         Self { client }
     }
 }
 
-impl EngineTransport for HttpEngines {
+impl EngineTransport for HttpEngineTransport {
     fn info(&self, addr: SocketAddr) -> BoxFuture<'_, Result<EngineInfo, ClientError>> {
         self.client.get(addr, "/v1/info", CALL_TIMEOUT).boxed()
     }
@@ -123,7 +124,7 @@
         addr: SocketAddr,
         batch: StepBatch,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<StepBatchAnswer, ClientError>> {
+    ) -> BoxFuture<'_, Result<StepBatchResponse, ClientError>> {
         async move { self.client.post(addr, "/v1/steps", &batch, wait).await }.boxed()
     }
 
@@ -132,7 +133,7 @@
         addr: SocketAddr,
         request: AttemptRequest,
         wait: Duration,
-    ) -> BoxFuture<'_, Result<AttemptAnswer, ClientError>> {
+    ) -> BoxFuture<'_, Result<AttemptResponse, ClientError>> {
         async move { self.client.post(addr, "/v1/attempts", &request, wait).await }.boxed()
     }
 
@@ -166,7 +167,7 @@
         &self,
         addr: SocketAddr,
         pages: KvPages,
-    ) -> BoxFuture<'_, Result<AttemptAnswer, ClientError>> {
+    ) -> BoxFuture<'_, Result<AttemptResponse, ClientError>> {
         async move {
             self.client
                 .post(addr, "/v1/kv/import", &pages, CALL_TIMEOUT)
@@ -179,7 +180,7 @@
         &self,
         addr: SocketAddr,
         request: OrderRequest,
-    ) -> BoxFuture<'_, Result<OrderAnswer, ClientError>> {
+    ) -> BoxFuture<'_, Result<OrderResponse, ClientError>> {
         async move {
             self.client
                 .post(addr, "/v1/orders", &request, CALL_TIMEOUT)
--- a/crates/rookferry_net/src/log.rs
+++ b/crates/rookferry_net/src/log.rs
@@ -1,4 +1,4 @@
-//! Structured logs with a fixed prefix for each part.
+//! Structured logging to standard output, as JSON or as text for a terminal.
 
 use std::io;
 use std::sync::Mutex;
@@ -11,32 +11,32 @@
 use slog::Logger;
 use slog::o;
 
-/// Records that may wait to be written before further ones are dropped.
-const QUEUED_RECORDS: usize = 4_096;
+/// Capacity of the queue of unwritten records; records beyond it are dropped.
+const MAX_QUEUED_RECORDS: usize = 4_096;
 
-/// How logs are written.
+/// Output format of logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     Json,
-    /// For people at a terminal.
+    /// Human-readable text.
     Terminal,
 }
 
-/// The least severity that is written.
+/// Minimum severity of records that are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// What stops a part from working.
+    /// A component can't work.
     Error,
-    /// What an operator should look at.
+    /// A condition that an operator should check.
     Warning,
-    /// What happens to instances, engines and requests without an answer.
+    /// State changes of instances and engines, and failed requests.
     #[default]
     Info,
-    /// Single messages.
+    /// Individual messages.
     Debug,
 }
 
@@ -51,32 +51,34 @@
     }
 }
 
-/// The logger of a process; parts derive theirs with `o!("part" => …)`.
+/// Creates the root logger of a process; components derive theirs with `o!("part" => …)`.
 ///
-/// Records are written to standard output by a thread of their own, so that a
-/// slow reader doesn't hold up requests; the thread drops and counts what it
-/// can't keep up with.
+/// A separate thread writes the records to standard output, so that a slow reader doesn't
+/// block requests. Records that exceed its queue are dropped and counted.
 pub fn root_logger(format: LogFormat, level: LogLevel, instance: &str) -> Logger {
     let values = o!("instance" => instance.to_owned());
     match format {
         LogFormat::Json => {
             let json = slog_json::Json::default(io::stdout());
-            Logger::root(queued(Mutex::new(json).fuse(), level), values)
+            Logger::root(async_drain(Mutex::new(json).fuse(), level), values)
         }
         LogFormat::Terminal => {
             let decorator = slog_term::PlainSyncDecorator::new(io::stdout());
             let lines = slog_term::FullFormat::new(decorator).build();
-            Logger::root(queued(lines.fuse(), level), values)
+            Logger::root(async_drain(lines.fuse(), level), values)
         }
     }
 }
 
-fn queued<D>(drain: D, level: LogLevel) -> slog::Fuse<LevelFilter<slog::Fuse<slog_async::Async>>>
+fn async_drain<D>(
+    drain: D,
+    level: LogLevel,
+) -> slog::Fuse<LevelFilter<slog::Fuse<slog_async::Async>>>
 where
     D: Drain<Err = slog::Never, Ok = ()> + Send + 'static,
 {
     let queue = slog_async::Async::new(drain)
-        .chan_size(QUEUED_RECORDS)
+        .chan_size(MAX_QUEUED_RECORDS)
         .build()
         .fuse();
     LevelFilter::new(queue, level.level()).fuse()
--- a/crates/rookferry_relay/src/broken_runs.rs
+++ b/crates/rookferry_relay/src/broken_runs.rs
@@ -6,7 +6,7 @@
 use rookferry_core::BrokenRuns;
 use rookferry_core::RequestSignature;
 use rookferry_core::ServerKey;
-use rookferry_net::until;
+use rookferry_net::wait_until;
 use tokio::sync::Notify;
 
 use crate::mutex::lock;
@@ -40,6 +40,6 @@
     /// Waits until each server at which the request's runs broke is known to have
     /// crashed or to be alive.
     pub(crate) async fn wait_decided(&self, signature: RequestSignature) {
-        until(&self.decided, || !self.lock().is_undecided(signature)).await;
+        wait_until(&self.decided, || !self.lock().is_undecided(signature)).await;
     }
 }
--- a/crates/rookferry_relay/src/exchange.rs
+++ b/crates/rookferry_relay/src/exchange.rs
@@ -16,7 +16,7 @@
 use rookferry_core::RequestRate;
 use rookferry_core::ServerKey;
 use rookferry_net::clock;
-use rookferry_net::retry_after;
+use rookferry_net::parse_retry_after;
 use slog::info;
 use slog::warn;
 
@@ -166,7 +166,7 @@
         }
         // With other statuses `Retry-After` may be meant for the caller.
         if status == StatusCode::SERVICE_UNAVAILABLE {
-            match retry_after(headers) {
+            match parse_retry_after(headers) {
                 Ok(backoff) => notice.backoff = backoff,
                 Err(error) => self.log_invalid_notice(server, &error),
             }
--- a/crates/rookferry_relay/src/node.rs
+++ b/crates/rookferry_relay/src/node.rs
@@ -20,7 +20,7 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use rookferry_net::ConnectionLimits;
 use rookferry_net::ConnectionTable;
-use rookferry_net::Inbound;
+use rookferry_net::InboundRequest;
 use rookferry_net::Server;
 use rookferry_net::clock;
 use rookferry_net::endpoint;
@@ -195,7 +195,7 @@
         self.relay.leave();
         if let Some(log) = self.relay.events.line(Weight::Notable) {
             info!(log, "instance: stopping"; "event" => "stopping",
-                "requests" => self.callers.requests());
+                "requests" => self.callers.active_requests());
         }
         let bound = self
             .relay
@@ -206,9 +206,9 @@
         let finish = async {
             tokio::time::sleep(ACCEPT_WHILE_IDLE).await;
             let accept_left = ACCEPT_WHILE_LEAVING.saturating_sub(clock::since(started));
-            let _ = tokio::time::timeout(accept_left, self.callers.quiet()).await;
+            let _ = tokio::time::timeout(accept_left, self.callers.wait_idle()).await;
             self.stop.notify_one();
-            self.callers.quiet().await;
+            self.callers.wait_idle().await;
         };
         let is_drained = tokio::time::timeout(bound, finish).await.is_ok();
         if let Some(log) = self.relay.events.line(Weight::Notable) {
@@ -248,7 +248,7 @@
     }
 }
 
-async fn serve_readiness(relay: Arc<Relay>, _inbound: Inbound) -> Response<Body> {
+async fn serve_readiness(relay: Arc<Relay>, _inbound: InboundRequest) -> Response<Body> {
     if relay.is_ready() {
         return text_response(StatusCode::OK, "ready\n".to_owned());
     }
@@ -257,7 +257,7 @@
 
 async fn serve_metrics(
     metrics_endpoint: Arc<MetricsEndpoint>,
-    _inbound: Inbound,
+    _inbound: InboundRequest,
 ) -> Response<Body> {
     let age = metrics_endpoint.relay.config_age();
     gauge!("rookferry_config_version").set(age.version() as f64);
@@ -272,8 +272,8 @@
     gauge!("rookferry_store_era").set(metrics_endpoint.relay.store.era() as f64);
     gauge!("rookferry_build_info", "version" => env!("CARGO_PKG_VERSION")).set(1.0);
     gauge!("rookferry_uptime_seconds").set(clock::since(metrics_endpoint.started_at).as_secs_f64());
-    gauge!("rookferry_requests_under_way").set(metrics_endpoint.callers.requests() as f64);
-    gauge!("rookferry_connections").set(metrics_endpoint.callers.open() as f64);
+    gauge!("rookferry_requests_under_way").set(metrics_endpoint.callers.active_requests() as f64);
+    gauge!("rookferry_connections").set(metrics_endpoint.callers.open_connections() as f64);
     let instances = metrics_endpoint.relay.instances.load(Ordering::Relaxed);
     gauge!("rookferry_instances").set(instances as f64);
     let holds_lease = metrics_endpoint.relay.holds_lease.load(Ordering::Relaxed);
--- a/crates/rookferry_wire/src/lib.rs
+++ b/crates/rookferry_wire/src/lib.rs
@@ -1,9 +1,8 @@
-//! Messages between rookferry's processes, and between them and the outside
-//! systems they meet.
+//! Message types exchanged between rookferry's processes and with external systems.
 //!
-//! The platform's objects, the engine protocol and the callers' protocol are
-//! JSON. Messages between our own processes are `postcard`. Nothing here
-//! decides anything; the types only carry what the parts tell each other.
+//! The platform's objects, the engine protocol and the client protocol are encoded as
+//! JSON, messages between entry instances as `postcard`. The crate contains message
+//! types and their encoding, no decisions.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -19,8 +18,8 @@
 pub use caller::Problem;
 pub use caller::ReasonCode;
 pub use caller::StreamEvent;
-pub use engine::AttemptAnswer;
 pub use engine::AttemptRequest;
+pub use engine::AttemptResponse;
 pub use engine::CacheEvent;
 pub use engine::CacheEvents;
 pub use engine::CancelRequest;
@@ -30,12 +29,12 @@
 pub use engine::LayerRange;
 pub use engine::LoadReport;
 pub use engine::Order;
-pub use engine::OrderAnswer;
 pub use engine::OrderRequest;
+pub use engine::OrderResponse;
 pub use engine::Refusal;
 pub use engine::Step;
 pub use engine::StepBatch;
-pub use engine::StepBatchAnswer;
+pub use engine::StepBatchResponse;
 pub use engine::StepResult;
 pub use id::AccountId;
 pub use id::Attempt;
@@ -54,15 +53,15 @@
 pub use id::StreamId;
 pub use peer::CONFIG_KIND;
 pub use peer::CONFIG_NAME;
-pub use peer::ClaimReply;
+pub use peer::ClaimResponse;
 pub use peer::DatagramError;
 pub use peer::DatagramKey;
 pub use peer::EngineDigest;
 pub use peer::Heartbeat;
 pub use peer::KeyedCall;
 pub use peer::MAX_DATAGRAM_BYTES;
-pub use peer::PeerAnswer;
 pub use peer::PeerRequest;
+pub use peer::PeerResponse;
 pub use platform::CLAIMS_KIND;
 pub use platform::Claim;
 pub use platform::ClaimRefusal;
@@ -72,6 +71,6 @@
 pub use platform::InstanceState;
 pub use platform::LEASES_KIND;
 pub use platform::Object;
-pub use platform::PutAnswer;
 pub use platform::PutRequest;
-pub use platform::WatchAnswer;
+pub use platform::PutResponse;
+pub use platform::WatchResponse;
