--- a/crates/rookferry_core/src/burn.rs
+++ b/crates/rookferry_core/src/burn.rs
@@ -1,35 +1,36 @@
-//! Error budgets and burn rates from counters over time.
+//! Error budgets and burn rates of service-level objectives, from samples of
+//! cumulative counters.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::Objective;
 
-/// Counts of one objective for one client account at a time.
+/// Cumulative counts of one objective for one client account.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObjectiveSample {
     /// The objective's name.
     pub objective: String,
     /// The client account.
     pub account: String,
-    /// Events within the objective since the instance started.
+    /// Events that met the objective since the instance started.
     pub good: u64,
-    /// All events that count.
+    /// All events that the objective counts since then.
     pub total: u64,
 }
 
-/// Good and all events within a window.
+/// Numbers of good and of all events within a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowCount {
-    /// Good ones.
+    /// Events that met the objective.
     pub good: u64,
-    /// All.
+    /// All events.
     pub total: u64,
 }
 
 impl WindowCount {
-    /// Events between two readings of a counter; a counter that went back was
-    /// started anew, and its later reading counts whole.
+    /// Events between two samples of a cumulative counter. If the counter decreased
+    /// it was reset by a restart, and all of the later sample counts.
     #[must_use]
     pub const fn between(before: Self, after: Self) -> Self {
         if after.total < before.total || after.good < before.good {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Adds another count.
+    /// Sum of both counts.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self {
@@ -50,14 +51,15 @@
         }
     }
 
-    /// Bad events.
+    /// Events that missed the objective.
     #[must_use]
     pub const fn bad(self) -> u64 {
         self.total.saturating_sub(self.good)
     }
 
-    /// How fast the error budget is used up: 1 uses it up just by the end of
-    /// the objective's period, `None` without events.
+    /// Share of bad events relative to the error budget of `target`, `None` without
+    /// events. A rate of 1 spends the budget exactly by the end of the objective's
+    /// period.
     ///
     /// ```
     /// use rookferry_core::WindowCount;
@@ -75,7 +77,7 @@
     }
 }
 
-/// Whether an objective concerns a request.
+/// Whether an objective counts the requests of a route and a client account.
 #[must_use]
 pub fn objective_applies(objective: &Objective, route: &str, account: &str) -> bool {
     let is_route = objective
--- a/crates/rookferry_core/src/claim/key.rs
+++ b/crates/rookferry_core/src/claim/key.rs
@@ -1,9 +1,10 @@
-//! Keys of requests that may run once, and the objects they live in.
+//! Idempotency keys, and the shard objects that store their claims.
 //!
-//! A `UUIDv7` key carries its own time and lives in that time's object, so that
-//! objects stay small and a key older than the window can be refused for good
-//! by anyone, whatever has been deleted. Any other key is opaque: its object
-//! isn't cut by time, and it is remembered for the window.
+//! A `UUIDv7` key carries a timestamp and is stored in an object of its time
+//! bucket. Objects therefore stay small, and any instance can refuse a key
+//! older than the window permanently, even after its object has been deleted.
+//! Any other key is opaque: its object isn't split by time, and its claim is
+//! remembered for the window.
 
 use sha2::Digest;
 use sha2::Sha256;
@@ -12,67 +13,69 @@
 use uuid::Uuid;
 use uuid::Version;
 
-/// Longest key taken, in bytes.
+/// Longest key accepted, in bytes.
 const MAX_KEY_BYTES: usize = 256;
-/// Time that one object of timed keys spans.
+/// Time span of one bucket of timed keys, in milliseconds.
 const BUCKET_MS: u64 = 10 * 60 * 1000;
-/// Shards of each span of time.
+/// Shards of each bucket of timed keys.
 const TIMED_SHARDS: u16 = 8;
 /// Shards of opaque keys.
 const OPAQUE_SHARDS: u16 = 64;
-/// How far a key's time may lie ahead of the instance's clock.
+/// How far a key's timestamp may be ahead of this instance's clock, in milliseconds.
 const MAX_AHEAD_MS: u64 = 60 * 1000;
-/// Buckets that an object is kept beyond its window, for clocks that differ.
+/// Buckets that an object is retained beyond its window, to allow for clock skew.
 const DELETE_MARGIN_BUCKETS: u64 = 2;
-/// Buckets that are looked at for deletion.
+/// Expired buckets listed for deletion at a time.
 const DELETE_BUCKETS: u64 = 6;
-/// Hex digits kept of a digest, 128 bits.
+/// Hex digits retained of a digest (128 bits).
 const DIGEST_DIGITS: usize = 32;
 
-/// Why a key can't be used.
+/// Why an idempotency key is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum KeyFault {
     /// Empty or too long.
-    #[snafu(display("a key of {bytes} bytes; use 1 to {MAX_KEY_BYTES}, best a new UUIDv7"))]
+    #[snafu(display(
+        "key length is {bytes} bytes; use 1 to {MAX_KEY_BYTES} bytes, preferably a new UUIDv7"
+    ))]
     Length {
-        /// Its length.
+        /// Length of the key.
         bytes: usize,
     },
-    /// Its time is older than the window.
+    /// Its timestamp is older than the window.
     #[snafu(display(
-        "the key's time is {age_ms} ms ago, more than the window of {window_ms} ms; it will never run"
+        "the key's timestamp is {age_ms} ms old, beyond the window of {window_ms} ms; it will never run"
     ))]
     Expired {
-        /// How old it is.
+        /// Age of the timestamp.
         age_ms: u64,
-        /// The window.
+        /// Longest age accepted.
         window_ms: u64,
     },
-    /// Its time lies ahead.
+    /// Its timestamp is too far in the future.
     #[snafu(display(
-        "the key's time is {ahead_ms} ms ahead of this site; check the caller's clock"
+        "the key's timestamp is {ahead_ms} ms ahead of this site's clock; check the caller's clock"
     ))]
     Ahead {
-        /// By how much.
+        /// How far it is ahead.
         ahead_ms: u64,
     },
 }
 
-/// A key, and where its claim lives.
+/// An idempotency key and the object that stores its claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ClaimKey {
-    /// Digest of account and key.
+    /// Truncated hex SHA-256 of account and key.
     pub digest: String,
-    /// Name of the object.
+    /// Name of the shard object.
     pub object: String,
 }
 
 impl ClaimKey {
-    /// Reads a key of an account at a time given in milliseconds since 1970.
+    /// Checks a key of a client account; `now_ms` counts from the Unix epoch.
     ///
     /// # Errors
     ///
-    /// If its length or its time is out of bounds.
+    /// If the key's length or its timestamp is out of bounds.
     pub fn parse(account: &str, key: &str, now_ms: u64, window_ms: u64) -> Result<Self, KeyFault> {
         let bytes = key.len();
         ensure!((1..=MAX_KEY_BYTES).contains(&bytes), LengthSnafu { bytes });
@@ -95,8 +98,10 @@
         })
     }
 
-    /// Objects whose keys have all left the window a while ago, for whoever
-    /// deletes them; some earlier ones as well, should they have been missed.
+    /// Names of the objects whose keys are all older than the window and its margin.
+    ///
+    /// They can be deleted. The last few buckets are listed, not only the newest
+    /// one, so that an object missed by earlier deletions is found again.
     #[must_use]
     pub fn expired_objects(now_ms: u64, window_ms: u64) -> Vec<String> {
         let oldest_kept_ms = now_ms.saturating_sub(window_ms + MAX_AHEAD_MS);
@@ -111,8 +116,8 @@
             .collect()
     }
 
-    /// Whether a timed object can hold no key of the window any more, so that
-    /// it may be deleted.
+    /// Whether no key of a timed object is accepted any more, so that the object
+    /// can be deleted; `false` for objects of opaque keys.
     #[must_use]
     pub fn is_object_expired(object: &str, now_ms: u64, window_ms: u64) -> bool {
         let mut parts = object.split('-');
@@ -130,6 +135,7 @@
     }
 }
 
+/// Unix time of a `UUIDv7` in milliseconds, `None` for other keys.
 fn uuid_time_ms(key: &str) -> Option<u64> {
     let uuid = Uuid::parse_str(key).ok()?;
     if uuid.get_version() != Some(Version::SortRand) {
--- a/crates/rookferry_core/src/claim/mod.rs
+++ b/crates/rookferry_core/src/claim/mod.rs
@@ -1,10 +1,13 @@
-//! Claims: how a request that may run once is kept from running twice,
-//! without a store of our own.
+//! Claims: at-most-once dispatch of requests that carry an idempotency key.
 //!
-//! Before dispatch its key is written into a platform object by conditional
-//! update. Keys are grouped into shard objects, and all that wait for one
-//! object share a write. Whoever finds a key taken may resume or report the
-//! work, never start it.
+//! Before such a request is dispatched, its claim is written by conditional
+//! update into an object of the platform's store; the router keeps no store of
+//! its own. Keys are hashed into shard objects, and all claims that wait for
+//! one object share a write. An instance that finds a key already claimed may
+//! resume the work or report it, but never starts it.
+//!
+//! While the platform is unavailable, an instance issues tickets instead: keys
+//! of its own that it can check from memory.
 
 mod key;
 mod object;
--- a/crates/rookferry_core/src/claim/object.rs
+++ b/crates/rookferry_core/src/claim/object.rs
@@ -1,4 +1,4 @@
-//! The platform object that holds a shard's claims.
+//! The platform object that stores the claims of one shard.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +6,15 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A shard's claims by digest of key.
+/// The claims of one shard object.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimObject {
-    /// The claims.
+    /// Claims by digest of account and key.
     pub claims: BTreeMap<String, Claim>,
 }
 
 impl ClaimObject {
-    /// Drops claims older than the window.
+    /// Removes claims older than `window_ms`; `now_ms` counts from the Unix epoch.
     pub fn prune(&mut self, now_ms: u64, window_ms: u64) {
         self.claims
             .retain(|_, claim| claim.at_ms.saturating_add(window_ms) >= now_ms);
--- a/crates/rookferry_core/src/claim/ticket.rs
+++ b/crates/rookferry_core/src/claim/ticket.rs
@@ -1,8 +1,9 @@
-//! Tickets: keys that an instance mints for itself while the platform is out.
+//! Tickets: idempotency keys that an instance mints while the platform is
+//! unavailable and no claim can be written.
 //!
-//! Only the run of the instance that minted a ticket may dispatch it, so that
-//! its own memory suffices to run it at most once. If that run is gone, the
-//! ticket's outcome is unknown and it never runs again.
+//! Only the incarnation that minted a ticket may dispatch it, so its memory
+//! suffices to run the request at most once. After that process has exited the
+//! ticket's outcome is unknown, and it never runs again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,43 +16,46 @@
 use snafu::Snafu;
 use subtle::ConstantTimeEq;
 
+/// Prefix of all tickets; names their format version.
 const PREFIX: &str = "rft1";
-/// Hex digits of the tag, 128 bits.
+/// Hex digits of the authentication tag (128 bits).
 const TAG_DIGITS: usize = 32;
-/// How long a ticket can be redeemed.
+/// How long a ticket can be redeemed after it was minted.
 const LIFETIME: Duration = Duration::from_hours(1);
-/// Tickets remembered by one run.
+/// Most unexpired tickets of one incarnation.
 const MAX_TICKETS: usize = 100_000;
 
-/// Why a ticket isn't dispatched.
+/// Why a ticket is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum TicketFault {
-    /// Not a ticket of this site.
-    #[snafu(display("no ticket of this site"))]
+    /// Its format or tag is invalid, so this site didn't mint it.
+    #[snafu(display("not a valid ticket of this site"))]
     Foreign,
     /// Another instance minted it.
-    #[snafu(display("minted by {instance}, which alone may run it"))]
+    #[snafu(display("the ticket was issued by {instance}; only that instance may run it"))]
     Elsewhere {
-        /// The instance.
+        /// The instance that minted it.
         instance: InstanceId,
     },
-    /// An earlier run of this instance minted it.
-    #[snafu(display("minted by an earlier run of this instance; what became of it is unknown"))]
+    /// An earlier incarnation of this instance minted it.
+    #[snafu(display(
+        "the ticket was issued by an earlier incarnation of this instance; its outcome is unknown"
+    ))]
     EarlierRun,
-    /// It is too old, or was never minted.
+    /// It has expired, or was never minted.
     #[snafu(display("the ticket has expired and will never run"))]
     Expired,
-    /// It was used with another body.
-    #[snafu(display("the ticket was used for another body"))]
+    /// It was redeemed before for a different body.
+    #[snafu(display("the ticket was already used with a different body"))]
     OtherBody,
 }
 
-/// What a redeemed ticket allows.
+/// Result of redeeming a valid ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TicketState {
-    /// Dispatch it; it will not be allowed again.
+    /// The first redemption: dispatch the request; this is returned only once.
     Dispatch,
-    /// It was dispatched before.
+    /// The request was dispatched before: report or resume it.
     Dispatched,
 }
 
@@ -61,7 +65,7 @@
     body_digest: Option<String>,
 }
 
-/// The tickets of one run of an instance.
+/// Mints and redeems the tickets of one incarnation of an instance.
 #[derive(Debug)]
 pub struct TicketBook {
     instance: InstanceId,
@@ -72,7 +76,7 @@
 }
 
 impl TicketBook {
-    /// An empty book; `secret` is the site's.
+    /// No tickets yet; `secret` is the site's, and authenticates tickets.
     #[must_use]
     pub const fn new(instance: InstanceId, incarnation: Incarnation, secret: String) -> Self {
         Self {
@@ -84,7 +88,7 @@
         }
     }
 
-    /// Mints a ticket, `None` while too many are open.
+    /// A new ticket, `None` while too many are unexpired.
     pub fn mint(&mut self, now: Instant) -> Option<String> {
         self.expire(now);
         if self.minted.len() >= MAX_TICKETS {
@@ -105,17 +109,18 @@
         Some(format!("{body}.{}", self.tag(&body)))
     }
 
-    /// Whether a key looks like a ticket of any site.
+    /// Whether a key has the format of a ticket; its tag isn't checked.
     #[must_use]
     pub fn is_ticket(key: &str) -> bool {
         key.starts_with(PREFIX) && key.matches('.').count() == 4
     }
 
-    /// Redeems a ticket for a body.
+    /// Redeems a ticket for a request body.
     ///
     /// # Errors
     ///
-    /// If this run may not dispatch it.
+    /// If the ticket is invalid or expired, belongs to another incarnation, or was
+    /// used with a different body.
     pub fn redeem(
         &mut self,
         now: Instant,
@@ -167,7 +172,8 @@
         }
     }
 
-    /// The secret goes before and after, so that no suffix can be added.
+    /// Authentication tag. The secret is hashed before and after the body, which
+    /// prevents length extension.
     fn tag(&self, body: &str) -> String {
         let digest = Sha256::digest(format!("{}\0{body}\0{}", self.secret, self.secret));
         hex::encode(digest)[..TAG_DIGITS].to_owned()
--- a/crates/rookferry_core/src/claim/writer.rs
+++ b/crates/rookferry_core/src/claim/writer.rs
@@ -1,11 +1,15 @@
-//! Writes one shard object: groups what waits, and settles lost answers.
+//! Writes the claims of one shard object, batching pending requests.
 //!
-//! One write is under way at a time. A conflict shows the object as it is and
-//! is merged and tried again. A lost answer is settled by reading: a claim
-//! with this writer's own nonce means that the write took effect, however its
-//! answer fared. Where nothing can be read, those who wait are refused; their
-//! claims may have been written, and since they are never dispatched they are
-//! withdrawn with the next write.
+//! The caller feeds platform results and claim requests in as events, and runs
+//! the platform calls that the actions ask for. One call is in flight at a
+//! time; requests that arrive meanwhile share the next write.
+//!
+//! After a conflict the claims are merged into the current object and written
+//! again. After a lost response the object is read back: a claim with the
+//! writer's own nonce means that the write took effect. If the platform refuses
+//! the write or the object can't be read, all pending requests are refused.
+//! Their claims may have been written; since they are never dispatched, the next
+//! write withdraws them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,37 +22,38 @@
 use super::ClaimObject;
 use super::ClaimRefusal;
 
-/// Names one who waits for a claim.
+/// Identifies a claim request within one writer.
 pub type AskId = u64;
 
-/// Bytes of an object beyond which no claim is added.
+/// Estimated object size beyond which no claim is added, in bytes.
 const MAX_OBJECT_BYTES: usize = 900_000;
-/// Bytes that a claim takes at most, for a bound that needs no encoding.
+/// Largest encoded claim, in bytes; bounds an object's size without encoding it.
 const CLAIM_BYTES: usize = 640;
-/// Conflicts in a row before those who wait are refused.
+/// Consecutive conflicts after which all pending requests are refused.
 const MAX_CONFLICTS: u32 = 8;
 
-/// What the writer is told.
+/// Input of a [`ClaimWriter`].
 #[derive(Clone, Debug)]
 pub enum ClaimEvent {
-    /// Someone asks for a claim; it waits for the next flush.
+    /// A claim is requested; it waits for the next flush.
     Ask {
-        /// Who.
+        /// Identifies the request in the actions that answer it.
         ask: AskId,
-        /// Digest of the key.
+        /// Digest of account and key.
         digest: String,
-        /// The claim.
+        /// The claim to write.
         claim: Claim,
-        /// Whether a peer asks. Its claim is never withdrawn here: when the
-        /// answer is lost the peer settles it itself, and may have dispatched.
+        /// Whether a peer sent the request. Its claim is never withdrawn here:
+        /// if the reply is lost the peer claims the key itself with the same
+        /// nonce, and may have dispatched.
         is_forwarded: bool,
     },
-    /// All who wait may be written now.
+    /// All pending requests may be written now.
     Flush,
-    /// A claim of this instance that a peer refused; it may be written yet
-    /// and is never dispatched.
+    /// A peer refused a claim of this instance, which is never dispatched; it may
+    /// still have been written and is removed with the next write.
     Withdraw {
-        /// Its nonce.
+        /// The claim's nonce.
         nonce: u64,
     },
     /// The write took effect.
@@ -56,53 +61,53 @@
         /// The new version.
         version: ObjectVersion,
     },
-    /// Another write came first.
+    /// The expected version was not current.
     Conflict {
-        /// The object as it is.
+        /// The current object, if it exists.
         current: Option<Object>,
     },
-    /// The write's answer was lost; it may have taken effect.
+    /// The response to the write was lost; it may have taken effect.
     WriteLost,
-    /// The write can't have reached the platform, or was turned away.
+    /// The write never reached the platform, or was refused by it.
     WriteRejected,
     /// The object was read.
     Read {
-        /// The object, if it exists.
+        /// The current object, if it exists.
         current: Option<Object>,
     },
-    /// It can't be read.
+    /// The object couldn't be read.
     ReadFailed,
 }
 
-/// What the writer asks for, or tells those who wait.
+/// Output of a [`ClaimWriter`]: a platform call, or the answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimAction {
-    /// Write the object.
+    /// Write the object, and report the result as an event.
     Put {
         /// The version that must be current.
         expected: ObjectVersion,
-        /// The value.
+        /// The object's new value.
         value: Value,
     },
-    /// Read the object.
+    /// Read the object, and report the result as an event.
     Get,
-    /// The claim is written: dispatch.
+    /// The claim is written: the request may be dispatched.
     Granted {
-        /// To whom.
+        /// The request.
         ask: AskId,
     },
-    /// Another claim holds the key: resume or report.
+    /// Another claim has the key: its work may be resumed or reported.
     Taken {
-        /// To whom.
+        /// The request.
         ask: AskId,
-        /// The other claim.
+        /// The existing claim.
         claim: Claim,
     },
-    /// Not claimed: don't dispatch.
+    /// The key isn't claimed: the request must not be dispatched.
     Refused {
-        /// To whom.
+        /// The request.
         ask: AskId,
-        /// Why.
+        /// The reason.
         refusal: ClaimRefusal,
     },
 }
@@ -122,24 +127,25 @@
     Reading,
 }
 
-/// The state of one shard object's writer.
+/// Writer of one shard object; driven by [`ClaimWriter::on_event`].
 #[derive(Debug)]
 pub struct ClaimWriter {
     window_ms: u64,
     phase: Phase,
-    /// The object as last seen, `None` before the first read.
+    /// The object as last read or written, `None` before the first read and after
+    /// a failed call.
     known: Option<(ObjectVersion, ClaimObject)>,
-    /// What is being written.
+    /// Value of the write in flight.
     proposed: ClaimObject,
     waiting: Vec<Ask>,
     in_flight: Vec<Ask>,
-    /// Nonces that were refused and must not stay.
+    /// Nonces of refused claims, which the next write removes.
     withdrawn: BTreeSet<u64>,
     conflicts: u32,
 }
 
 impl ClaimWriter {
-    /// A writer that has read nothing.
+    /// Creates a writer that hasn't read its object; claims expire after `window_ms`.
     #[must_use]
     pub const fn new(window_ms: u64) -> Self {
         Self {
@@ -156,7 +162,10 @@
         }
     }
 
-    /// Takes an event at a time given in milliseconds since 1970.
+    /// Handles an event; `now_ms` counts from the Unix epoch.
+    ///
+    /// At most one of the actions is a platform call, and none while another is
+    /// in flight. Events that don't fit the current phase are ignored.
     pub fn on_event(&mut self, now_ms: u64, event: ClaimEvent) -> Vec<ClaimAction> {
         match event {
             ClaimEvent::Ask {
@@ -245,6 +254,7 @@
         self.advance(now_ms)
     }
 
+    /// Stores the object that was read; one that can't be parsed counts as empty.
     fn learn(&mut self, current: Option<Object>) {
         let Some(object) = current else {
             self.known = Some((0, ClaimObject::default()));
@@ -257,6 +267,7 @@
             .map(|claims| (version, claims));
     }
 
+    /// Puts the requests of the last write back in front of the pending ones.
     fn requeue(&mut self) {
         let mut asks = std::mem::take(&mut self.in_flight);
         asks.append(&mut self.waiting);
@@ -280,7 +291,7 @@
             .collect()
     }
 
-    /// Starts a read or a write if someone waits and nothing is under way.
+    /// Starts a read or a write if requests are pending and no call is in flight.
     fn advance(&mut self, now_ms: u64) -> Vec<ClaimAction> {
         if self.phase != Phase::Idle || self.waiting.is_empty() {
             return Vec::new();
@@ -312,6 +323,7 @@
         actions
     }
 
+    /// Adds a request's claim to the object, or answers the request at once.
     fn merge(&mut self, ask: Ask, object: &mut ClaimObject, actions: &mut Vec<ClaimAction>) {
         if let Some(existing) = object.claims.get(&ask.digest) {
             let action = if existing.nonce == ask.claim.nonce {
--- a/crates/rookferry_core/src/config/diff.rs
+++ b/crates/rookferry_core/src/config/diff.rs
@@ -1,8 +1,11 @@
-//! What differs between two documents.
+//! Differences between two JSON documents.
 
 use serde_json::Value;
 
 /// Paths at which two documents differ, such as `routes[2].pool`.
+///
+/// Object keys are compared in sorted order, a missing key as `null`. Arrays of
+/// different lengths yield only the path of the array.
 #[must_use]
 pub fn changed_paths(before: &Value, after: &Value) -> Vec<String> {
     let mut paths = Vec::new();
--- a/crates/rookferry_core/src/config/fault.rs
+++ b/crates/rookferry_core/src/config/fault.rs
@@ -1,30 +1,30 @@
-//! What is wrong in a document, where, and the likely fix.
+//! Errors in a configuration document: path, problem and likely correction.
 
 use std::fmt;
 
 use snafu::Snafu;
 
-/// One fault of a document.
+/// One error in a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigFault {
-    /// Path of the fault, such as `routes[2].pool`.
+    /// Path of the value, such as `routes[2].pool`.
     pub path: String,
-    /// What is wrong, with the value.
+    /// What is wrong, with the value where it helps.
     pub message: String,
-    /// What would likely mend it.
+    /// The likely correction.
     pub fix: String,
 }
 
-/// All faults of a document.
+/// All errors found in a document; displayed one per line.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Snafu)]
 #[snafu(display("{}", render(faults)))]
 pub struct ConfigFaults {
-    /// The faults, in the document's order where known.
+    /// The errors, in the order of the checks.
     pub faults: Vec<ConfigFault>,
 }
 
 impl ConfigFaults {
-    /// Adds a fault.
+    /// Adds an error.
     pub fn push(
         &mut self,
         path: impl Into<String>,
@@ -38,11 +38,11 @@
         });
     }
 
-    /// Passes `value` on if nothing is wrong.
+    /// Returns `value` if there are no errors.
     ///
     /// # Errors
     ///
-    /// Itself, if it holds any fault.
+    /// Itself, if it contains any error.
     pub fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.faults.is_empty() {
             return Ok(value);
--- a/crates/rookferry_core/src/config/mod.rs
+++ b/crates/rookferry_core/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! The site's configuration: its types, how it is read, and its checks.
+//! The site configuration: its types, parsing and validation.
 //!
-//! The same document is in force on every instance. It is checked whole
-//! before it is written to the platform, and once more by each instance that
-//! adopts it, so that a bad one never takes effect.
+//! All instances run the same document. It is validated as a whole before it is
+//! written to the platform, and again by each instance that adopts it, so that
+//! an invalid document never becomes active.
 
 mod diff;
 mod fault;
--- a/crates/rookferry_core/src/config/read.rs
+++ b/crates/rookferry_core/src/config/read.rs
@@ -1,14 +1,15 @@
-//! Reads JSON documents with the path of each fault.
+//! Parses JSON documents and reports errors with their paths.
 
 use serde::de::DeserializeOwned;
 
 use super::ConfigFaults;
 
-/// Reads a document; unknown keys are faults, each with its path.
+/// Parses a document; each unknown key is an error.
 ///
 /// # Errors
 ///
-/// All unknown keys, or the first place where a value doesn't fit.
+/// All unknown keys and trailing text; if a value has the wrong type or the JSON is
+/// malformed, the first such place and the unknown keys before it.
 pub fn read_json<T: DeserializeOwned>(text: &str) -> Result<T, ConfigFaults> {
     let mut faults = ConfigFaults::default();
     let mut track = serde_path_to_error::Track::new();
@@ -27,13 +28,13 @@
             faults.push(
                 track.path().to_string(),
                 error.to_string(),
-                "give a value of the type that docs/OPERATIONS.md names",
+                "use a value of the type given in docs/OPERATIONS.md",
             );
             return Err(faults);
         }
     };
     if let Err(error) = json.end() {
-        faults.push(".", error.to_string(), "remove what follows the document");
+        faults.push(".", error.to_string(), "remove the text after the document");
     }
     faults.into_result(value)
 }
--- a/crates/rookferry_core/src/config/site.rs
+++ b/crates/rookferry_core/src/config/site.rs
@@ -1,4 +1,7 @@
-//! The types of the site's configuration.
+//! Types of the site configuration.
+//!
+//! Operators write them as JSON, so the names of fields and variants are the
+//! configuration's keys and values. Defaults apply to keys that are left out.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +12,7 @@
 
 use crate::Selector;
 
-/// The whole configuration of a site.
+/// The configuration of a site.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SiteConfig {
     /// Models by name.
@@ -21,30 +24,30 @@
     /// Pools by name.
     #[serde(default)]
     pub pools: BTreeMap<String, PoolConfig>,
-    /// Routes; the first whose selector matches a request is taken.
+    /// Routes; the first one whose selector matches a request applies.
     #[serde(default)]
     pub routes: Vec<RouteConfig>,
-    /// Plain services by name.
+    /// Plain HTTP services by name.
     #[serde(default)]
     pub services: BTreeMap<String, ServiceConfig>,
-    /// Which engines load what.
+    /// Which engines load which layers of which model.
     #[serde(default)]
     pub placement: Vec<PlacementRule>,
-    /// Engines and services that match any of these get no new work.
+    /// Backend servers that match any of these selectors get no new work.
     #[serde(default)]
     pub leaving: Vec<Selector>,
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Weights of the policy.
+    /// Parameters of routing and admission.
     #[serde(default)]
     pub policy: PolicyConfig,
 }
 
-/// A model.
+/// A model that engines can run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelConfig {
-    /// How many layers it has.
+    /// Number of layers.
     pub layers: u16,
     /// The token that ends an answer early, if any.
     #[serde(default)]
@@ -56,47 +59,48 @@
 pub struct AccountConfig {
     /// SHA-256 of its bearer key, in hex; the key itself is never stored.
     pub key_sha256: String,
-    /// Its labels, seen by selectors as `account.{name}`.
+    /// Its labels, available to selectors as `account.{name}`.
     #[serde(default)]
     pub labels: Labels,
-    /// Its share against other accounts when there isn't enough.
+    /// Its weight relative to other accounts under contention.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Its requests in flight on one instance at most.
+    /// Most requests in flight on one instance.
     #[serde(default = "default_max_concurrent")]
     pub max_concurrent: u32,
 }
 
-/// A set of engines or services.
+/// A set of backend servers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolConfig {
     /// Which backend servers belong to it.
     pub selector: Selector,
 }
 
-/// Where requests go.
+/// Sends the requests that match a selector to a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteConfig {
-    /// Its name, for records of decisions.
+    /// Its name, shown in decision records.
     pub name: String,
-    /// Which requests take it.
+    /// Which requests it applies to.
     #[serde(default)]
     pub selector: Selector,
     /// The pool whose engines run them.
     pub pool: String,
-    /// Higher goes first, 0 to 9.
+    /// Priority from 0 to 9; higher values are served first.
     #[serde(default)]
     pub priority: u8,
-    /// How long a request may take from its arrival.
+    /// Longest time from a request's arrival to its end, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// How long of that it may wait for its turn; all of it if absent.
+    /// Longest part of that time spent in the queue, in milliseconds; all of it if
+    /// absent.
     #[serde(default)]
     pub max_wait_ms: Option<u64>,
 }
 
 impl RouteConfig {
-    /// How long a request may wait for its turn, in milliseconds.
+    /// Longest time in the queue, in milliseconds: `max_wait_ms`, at most the deadline.
     #[must_use]
     pub fn turn_ms(&self) -> u64 {
         self.max_wait_ms
@@ -105,15 +109,15 @@
     }
 }
 
-/// A plain service.
+/// A plain HTTP service, whose calls are proxied as they are.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceConfig {
     /// The pool whose instances serve it.
     pub pool: String,
-    /// How long a call may take.
+    /// Timeout of a call, in milliseconds.
     #[serde(default = "default_call_timeout_ms")]
     pub timeout_ms: u64,
-    /// Whether its `GET` and `HEAD` calls may be repeated.
+    /// Whether its `GET` and `HEAD` calls may be retried.
     #[serde(default = "default_true")]
     pub reads_repeatable: bool,
 }
@@ -121,17 +125,17 @@
 /// Which engines load a model's layers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementRule {
-    /// Its name, for records of decisions.
+    /// Its name, shown in decision records.
     pub name: String,
-    /// Which engines it covers.
+    /// Which engines it applies to.
     pub selector: Selector,
     /// The model to load.
     pub model: String,
     /// The model's version.
     pub version: String,
-    /// The layers to hold.
+    /// The layers to load.
     pub layers: LayerRange,
-    /// The role to take, if any.
+    /// The role to assign to the engines, if any.
     #[serde(default)]
     pub role: Option<String>,
 }
@@ -140,11 +144,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ObjectiveKind {
-    /// Requests answered whole, of those that callers may count on.
+    /// Requests answered completely; failures that the caller caused don't count.
     Availability,
-    /// First tokens within the limit.
+    /// Requests whose first token arrives within the limit.
     FirstToken,
-    /// Gaps between tokens within the limit.
+    /// Intervals between consecutive tokens that are within the limit.
     BetweenTokens,
 }
 
@@ -153,56 +157,58 @@
 pub struct Objective {
     /// Its name.
     pub name: String,
-    /// What it counts.
+    /// The events it counts.
     pub kind: ObjectiveKind,
-    /// The share that must be good, above 0 and below 1.
+    /// Required fraction of good events, above 0 and below 1.
     pub target: f64,
-    /// The limit, for the kinds that have one.
+    /// Latency limit in milliseconds; unused for availability.
     #[serde(default)]
     pub limit_ms: u64,
-    /// Only this route's requests.
+    /// Counts only this route's requests, if set.
     #[serde(default)]
     pub route: Option<String>,
-    /// Only this account's requests.
+    /// Counts only this client account's requests, if set.
     #[serde(default)]
     pub account: Option<String>,
 }
 
-/// How a chain of engines is chosen.
+/// Algorithm that chooses a chain of engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChooserKind {
-    /// The chain with the lowest expected time a token.
+    /// The chain with the lowest expected time per token.
     #[default]
     ExpectedFinish,
-    /// Any chain; a baseline.
+    /// A random chain; a baseline for comparisons.
     Random,
-    /// Each engine in turn; a baseline.
+    /// Engines in rotation; a baseline for comparisons.
     RoundRobin,
-    /// The engines with the fewest own streams; a baseline.
+    /// The engines with the fewest streams of this instance; a baseline for comparisons.
     LeastOutstanding,
 }
 
-/// Weights of the policy, the same on every instance.
+/// Parameters of routing and admission, the same on every instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PolicyConfig {
-    /// How chains are chosen.
+    /// Algorithm that chooses chains.
     pub chooser: ChooserKind,
-    /// Streams an engine may hold, as a multiple of those that keep it busy.
+    /// Most streams on an engine, as a multiple of those that keep it fully busy.
     pub overcommit: f64,
-    /// Requests that may wait on one instance.
+    /// Most requests in the queue of one instance.
     pub queue_limit: usize,
-    /// Retries as a share of fresh requests.
+    /// Most retries, as a fraction of new requests.
     pub retry_share: f64,
-    /// How long a step may take before its engine is taken for lost, as a
-    /// multiple of the learned step time.
+    /// Step timeout after which an engine counts as lost, as a multiple of its
+    /// measured step time.
     pub step_timeout_factor: f64,
-    /// The least and first value of that timeout.
+    /// Lower bound of that timeout, and its value before the first measurement, in
+    /// milliseconds.
     pub step_timeout_floor_ms: u64,
-    /// How much longer a chain may be for the sake of a cached prefix.
+    /// How much higher a chain's expected time may be to reuse a cached prefix, as a
+    /// fraction (0.25: 25 %).
     pub affinity_bound: f64,
-    /// How long keys of requests that may run once are remembered.
+    /// How long idempotency keys are remembered, in milliseconds.
     pub key_window_ms: u64,
 }
 
--- a/crates/rookferry_core/src/config/validate.rs
+++ b/crates/rookferry_core/src/config/validate.rs
@@ -1,4 +1,6 @@
-//! Checks that concern more than one value of the configuration.
+//! Validation of the site configuration: limits, and references between its parts.
+//!
+//! All checks run, so that one pass reports every error.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,13 +12,13 @@
 
 /// Hex digits of a SHA-256 digest.
 const DIGEST_HEX_DIGITS: usize = 64;
-/// The highest priority that engines honour.
+/// The highest priority that engines support.
 const MAX_PRIORITY: u8 = 9;
-/// The largest value that the platform holds, in bytes.
+/// The largest value that the platform stores, in bytes.
 const MAX_OBJECT_BYTES: usize = 1_000_000;
 
 impl SiteConfig {
-    /// Reads and checks a configuration.
+    /// Parses and validates a configuration.
     ///
     /// ```
     /// use rookferry_core::SiteConfig;
@@ -27,17 +29,17 @@
     ///
     /// # Errors
     ///
-    /// Every fault found, each with its path and the likely fix.
+    /// All errors found, each with its path and the likely correction.
     pub fn from_json(text: &str) -> Result<Self, ConfigFaults> {
         if text.len() > MAX_OBJECT_BYTES {
             let mut faults = ConfigFaults::default();
             faults.push(
                 ".",
                 format!(
-                    "{} bytes are more than the platform's {MAX_OBJECT_BYTES}",
+                    "{} bytes exceed the platform's limit of {MAX_OBJECT_BYTES} bytes",
                     text.len()
                 ),
-                "share labels and selectors between rules to make it shorter",
+                "shorten the document, for example by sharing labels and selectors between rules",
             );
             return Err(faults);
         }
@@ -62,8 +64,8 @@
             if model.layers == 0 {
                 faults.push(
                     format!("models.{name}.layers"),
-                    "0 layers",
-                    "give the model's number of layers",
+                    "a model must have at least 1 layer",
+                    "set the model's number of layers",
                 );
             }
         }
@@ -80,7 +82,7 @@
                 faults.push(
                     format!("{path}.key_sha256"),
                     format!(
-                        "{} characters that are no SHA-256 digest in hex",
+                        "a value of {} characters is not a SHA-256 digest in hex",
                         digest.len()
                     ),
                     "use the output of `rookferryctl digest`",
@@ -89,22 +91,22 @@
             if let Some(other) = owners.insert(digest.to_ascii_lowercase(), name) {
                 faults.push(
                     format!("{path}.key_sha256"),
-                    format!("the same key as account {other}"),
-                    "give each account a key of its own",
+                    format!("this key is already used by account {other}"),
+                    "use a different key for each account",
                 );
             }
             if !(account.weight.is_finite() && account.weight > 0.0) {
                 faults.push(
                     format!("{path}.weight"),
-                    format!("weight {} is not above 0", account.weight),
+                    format!("weight {} is not greater than 0", account.weight),
                     "use 1 for an ordinary account",
                 );
             }
             if account.max_concurrent == 0 {
                 faults.push(
                     format!("{path}.max_concurrent"),
-                    "0 admits nothing",
-                    "remove the account to shut it out",
+                    "a limit of 0 refuses every request",
+                    "remove the account to disable it",
                 );
             }
         }
@@ -118,22 +120,22 @@
             if !names.insert(&route.name) {
                 faults.push(
                     format!("{path}.name"),
-                    format!("{:?} is taken by an earlier route", route.name),
-                    "give each route its own name",
+                    format!("{:?} is already used by an earlier route", route.name),
+                    "use a unique name for each route",
                 );
             }
             if route.priority > MAX_PRIORITY {
                 faults.push(
                     format!("{path}.priority"),
-                    format!("{} is above {MAX_PRIORITY}", route.priority),
-                    "use 0 to 9, higher first",
+                    format!("priority {} is greater than {MAX_PRIORITY}", route.priority),
+                    "use 0 to 9; higher values are served first",
                 );
             }
             if route.deadline_ms == 0 {
                 faults.push(
                     format!("{path}.deadline_ms"),
-                    "0 refuses everything",
-                    "leave it out for 30000",
+                    "a deadline of 0 refuses every request",
+                    "omit it for the default of 30000",
                 );
             }
         }
@@ -151,7 +153,7 @@
             let Some(model) = self.models.get(&rule.model) else {
                 faults.push(
                     format!("{path}.model"),
-                    format!("no model {:?}", rule.model),
+                    format!("unknown model {:?}", rule.model),
                     "add it under models",
                 );
                 continue;
@@ -160,10 +162,10 @@
                 faults.push(
                     format!("{path}.layers"),
                     format!(
-                        "{}..{} is no range within {} layers",
+                        "{}..{} is not a valid range within {} layers",
                         rule.layers.start, rule.layers.end, model.layers
                     ),
-                    "start must be below end, and end at most the model's layers",
+                    "use a start below the end, and an end of at most the model's number of layers",
                 );
             }
         }
@@ -175,18 +177,15 @@
             if !(objective.target > 0.0 && objective.target < 1.0) {
                 faults.push(
                     format!("{path}.target"),
-                    format!(
-                        "{} leaves no error budget between 0 and 1",
-                        objective.target
-                    ),
-                    "use a share such as 0.95",
+                    format!("target {} is not between 0 and 1", objective.target),
+                    "use a fraction such as 0.95",
                 );
             }
             if objective.kind != ObjectiveKind::Availability && objective.limit_ms == 0 {
                 faults.push(
                     format!("{path}.limit_ms"),
-                    "a time objective without a limit",
-                    "give the limit in ms",
+                    "a latency objective requires a limit",
+                    "set the limit in milliseconds",
                 );
             }
             if let Some(route) = &objective.route
@@ -194,8 +193,8 @@
             {
                 faults.push(
                     format!("{path}.route"),
-                    format!("no route {route:?}"),
-                    "name a route of this document",
+                    format!("unknown route {route:?}"),
+                    "use the name of a route in this document",
                 );
             }
             if let Some(account) = &objective.account
@@ -203,7 +202,7 @@
             {
                 faults.push(
                     format!("{path}.account"),
-                    format!("no account {account:?}"),
+                    format!("unknown account {account:?}"),
                     "add it under accounts",
                 );
             }
@@ -227,16 +226,16 @@
             if !(least..=most).contains(&value) {
                 faults.push(
                     format!("policy.{name}"),
-                    format!("{value} is outside {least} to {most}"),
-                    "leave it out for the default",
+                    format!("{value} is not in the range {least} to {most}"),
+                    "omit it for the default",
                 );
             }
         }
         if policy.queue_limit == 0 {
             faults.push(
                 "policy.queue_limit",
-                "0 lets nothing wait",
-                "leave it out for 512",
+                "a limit of 0 refuses every request that would have to wait",
+                "omit it for the default of 512",
             );
         }
     }
@@ -248,8 +247,8 @@
         let known: Vec<&str> = self.pools.keys().map(String::as_str).collect();
         faults.push(
             path,
-            format!("no pool {pool:?}"),
-            format!("add it under pools, or use one of [{}]", known.join(", ")),
+            format!("unknown pool {pool:?}"),
+            format!("add it under pools, or use one of: {}", known.join(", ")),
         );
     }
 }
--- a/crates/rookferry_core/src/decision.rs
+++ b/crates/rookferry_core/src/decision.rs
@@ -1,5 +1,8 @@
-//! The record of what was decided about a request, in the terms that
-//! operators configure it with.
+//! Decision records: how each request was routed or refused, in the terms of the
+//! operators' configuration.
+//!
+//! An instance fills a record while it handles a request and keeps the newest ones
+//! in a [`DecisionLog`], from which operators and peers read them by request id.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -18,65 +21,65 @@
 use crate::Candidate;
 use crate::RouteTrial;
 
-/// Why a request went where it did, or was refused.
+/// Why a request was routed as it was, or refused.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DecisionRecord {
-    /// The request.
+    /// The request's id; a record without one isn't stored.
     pub request_id: Option<RequestId>,
-    /// The instance that decided.
+    /// The instance that handled the request.
     pub instance: Option<InstanceId>,
-    /// When it arrived, in milliseconds since 1970.
+    /// Arrival time, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The configuration in force.
+    /// Version of the active configuration.
     pub config_version: ObjectVersion,
-    /// The labels that selectors saw.
+    /// The request's labels that selectors were matched against.
     pub labels: Labels,
-    /// Routes in the order they were tried.
+    /// Routes in the order in which they were evaluated.
     pub routes: Vec<RouteTrial>,
-    /// The pool of the matched route, with its selector.
+    /// The pool of the matched route, if any matched.
     pub pool: Option<PoolUse>,
-    /// Engines considered at the first choice.
+    /// Engines considered when the first chain was chosen.
     pub candidates: Vec<Candidate>,
-    /// The chain at first, and each one after a stage was lost.
+    /// The first chain, then each chain that replaced a lost stage.
     pub chains: Vec<Vec<EngineId>>,
-    /// How long it waited for its turn.
+    /// Time spent in the queue, in microseconds.
     pub queued_us: u64,
-    /// What became of it.
+    /// The final result, `None` while the request is in flight.
     pub result: Option<DecisionResult>,
 }
 
-/// A pool and the selector that makes it.
+/// The pool of a matched route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolUse {
-    /// Its name.
+    /// The pool's name.
     pub pool: String,
-    /// Its selector.
+    /// The selector of its backend servers, as text.
     pub selector: String,
 }
 
-/// What became of a request.
+/// The final result of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum DecisionResult {
-    /// It was answered whole.
+    /// The whole response was delivered.
     Answered {
-        /// Tokens or bytes of the answer.
+        /// Size of the response, in tokens or in bytes.
         size: u64,
     },
-    /// It got no answer.
+    /// The request failed.
     Failed {
-        /// What is known about it.
+        /// Whether the request may have run.
         outcome: Outcome,
-        /// Why.
+        /// The reason.
         reason: ReasonCode,
-        /// In words.
+        /// The reason as text.
         detail: String,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// The newest records, up to a number.
+/// The newest decision records, up to a limit.
 #[derive(Debug)]
 pub struct DecisionLog {
     limit: usize,
@@ -85,7 +88,7 @@
 }
 
 impl DecisionLog {
-    /// A log of at most `limit` records.
+    /// Creates a log of at most `limit` records (at least 1).
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self {
@@ -95,7 +98,8 @@
         }
     }
 
-    /// Adds a record, and drops the oldest one if there are too many.
+    /// Adds a record, or replaces the one of the same request; the oldest record is
+    /// evicted above the limit.
     pub fn insert(&mut self, record: DecisionRecord) {
         let Some(request_id) = record.request_id.clone() else {
             return;
@@ -115,7 +119,7 @@
         }
     }
 
-    /// The record of a request, unless it is too old.
+    /// The record of a request, `None` if it is unknown or was evicted.
     #[must_use]
     pub fn get(&self, request_id: &str) -> Option<Arc<DecisionRecord>> {
         self.records.get(request_id).cloned()
--- a/crates/rookferry_core/src/lease.rs
+++ b/crates/rookferry_core/src/lease.rs
@@ -1,10 +1,15 @@
-//! A lease in a platform object: one holder a failure domain, with a fence.
+//! Lease in a platform object: a single holder with a fencing token.
 //!
-//! The platform's objects carry no clock. A holder counts its time from just
-//! before it sent the write that renewed the lease. Everyone else counts from
-//! when it first saw the object's version; a version that stays the same for
-//! the lease's duration may be taken over, with a higher fence. All times are
-//! monotonic and local, so that no clocks are compared.
+//! The holder's fence authorizes its orders to engines: one holder orders those of
+//! a failure domain or of the site. Callers read and write the object and feed the
+//! results in; [`Lease::next`] says when to write, [`Lease::fence_for`]
+//! whether an order may be sent.
+//!
+//! Platform objects carry no timestamps. A holder measures its lease from just
+//! before it sent the write that renewed it. Other instances measure from their
+//! first read of the object's current version; a version that hasn't changed for
+//! the lease's duration may be taken over with a higher fence. All times are
+//! local and monotonic, so no clocks are compared between instances.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -18,49 +23,50 @@
 
 use crate::millis::millis;
 
-/// The part of its time that a holder doesn't use.
+/// A holder stops using the lease this fraction (1/n) of its duration early.
 const SAFETY_PART: u32 = 4;
-/// The part of its time after which a holder renews.
+/// A holder renews after this fraction (1/n) of the duration.
 const RENEW_PART: u32 = 3;
 
-/// The lease's object.
+/// The lease as stored in its platform object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseObject {
-    /// The holder.
+    /// The instance that holds it.
     pub holder: InstanceId,
-    /// The holder's run.
+    /// The holder's incarnation.
     pub incarnation: Incarnation,
-    /// Rises with each change of holder.
+    /// Fencing token; increases with each change of holder.
     pub fence: u64,
-    /// How long it lasts from its last write.
+    /// How long it is valid after its last write; 0 once released.
     pub duration_ms: u64,
-    /// Rises with each write, so that a renewal is always a change: a
-    /// platform may keep the version of an object that is written as it was.
+    /// Increases with each write, so that every renewal changes the value: a
+    /// platform may keep an object's version when its value stays the same.
     #[serde(default)]
     pub renewals: u64,
 }
 
-/// How the holder and its rivals count time.
+/// Durations by which instances hold a lease and take it over.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTiming {
-    /// How long a lease lasts.
+    /// How long a lease is valid after its last write.
     pub duration: Duration,
-    /// How long a sender may be paused between its check and its sending; a
-    /// new holder waits it out before orders to engines that don't check
+    /// Longest pause of a sender between its lease check and its send. A new
+    /// holder waits this much longer before it orders engines that don't check
     /// fences.
     pub pause_bound: Duration,
 }
 
-/// What to do about the lease now.
+/// What the caller should do about the lease now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Nothing yet.
+    /// Nothing; read and ask again later.
     Wait,
-    /// Write this over this version; on success call [`Lease::written`].
+    /// Write the object by conditional update; on success call [`Lease::written`],
+    /// on a conflict [`Lease::observed`].
     Write {
         /// The version that must be current.
         expected: ObjectVersion,
-        /// The object.
+        /// The value to write.
         object: LeaseObject,
     },
 }
@@ -79,7 +85,7 @@
     renewed_at: Instant,
 }
 
-/// One instance's view of a lease.
+/// One instance's view of a lease, fed with the results of its reads and writes.
 #[derive(Clone, Debug)]
 pub struct Lease {
     own: InstanceId,
@@ -87,12 +93,12 @@
     timing: LeaseTiming,
     seen: Option<Seen>,
     held: Option<Held>,
-    /// The highest fence that was seen before what was seen became void.
+    /// The highest fence read or written before the last [`Lease::forget`].
     highest_fence: u64,
 }
 
 impl Lease {
-    /// A lease of which nothing is known.
+    /// Creates the view of the instance `own`, before its first read.
     #[must_use]
     pub const fn new(own: InstanceId, incarnation: Incarnation, timing: LeaseTiming) -> Self {
         Self {
@@ -105,8 +111,8 @@
         }
     }
 
-    /// The object was read, or came with a conflict; `asked_at` is when the
-    /// read was sent.
+    /// Records the object as read, or as returned with a conflict; `asked_at` is
+    /// when the call was sent.
     pub fn observed(&mut self, asked_at: Instant, current: Option<&Object>) {
         let version = current.map_or(0, |object| object.version);
         let object = current.and_then(|object| serde_json::from_value(object.value.clone()).ok());
@@ -127,8 +133,8 @@
         });
     }
 
-    /// What was read and written is void, as the platform was restored from a copy:
-    /// the lease isn't held until it is read and written again.
+    /// Discards what was read and written, because the platform was restored from a
+    /// backup: the lease isn't held until it is read and written again.
     pub fn forget(&mut self) {
         if let Some(seen) = self.seen.take()
             && let Some(object) = seen.object
@@ -138,7 +144,7 @@
         self.held = None;
     }
 
-    /// What to do now.
+    /// The action due now: takes over an expired lease, or renews its own.
     #[must_use]
     pub fn next(&self, now: Instant) -> LeaseAction {
         let Some(seen) = &self.seen else {
@@ -175,7 +181,7 @@
         }
     }
 
-    /// The write took effect; `sent_at` is from just before it was sent.
+    /// Records a successful write; `sent_at` is the time just before it was sent.
     pub fn written(&mut self, sent_at: Instant, version: ObjectVersion, object: LeaseObject) {
         let renewed = self.held.filter(|held| held.fence == object.fence);
         self.held = Some(Held {
@@ -190,8 +196,8 @@
         });
     }
 
-    /// The write that gives the lease up, so that a rival needn't wait; `None`
-    /// if it isn't held. The lease counts as lost from then on.
+    /// Gives the lease up and returns the write that lets a rival take it at once;
+    /// `None` if it isn't held. It counts as lost even if that write fails.
     #[must_use]
     pub fn release(&mut self) -> Option<(ObjectVersion, LeaseObject)> {
         let held = self.held.take()?;
@@ -207,11 +213,11 @@
         Some((seen.version, object))
     }
 
-    /// The fence, if an order may be sent at this moment.
+    /// The fence to send with an order, `None` if no order may be sent now.
     ///
-    /// To be called just before each sending. For an engine that doesn't
-    /// check fences the former holder's time and the pause bound must have
-    /// gone by first.
+    /// Call it just before each send. For an engine that doesn't check fences it
+    /// returns a fence only after the former holder's lease duration and the pause
+    /// bound have passed.
     #[must_use]
     pub fn fence_for(&self, now: Instant, checks_fences: bool) -> Option<u64> {
         let held = self.held?;
@@ -224,13 +230,13 @@
         (checks_fences || is_waited_out).then_some(held.fence)
     }
 
-    /// The holder as last seen.
+    /// The lease object as last read or written, whether or not it has expired.
     #[must_use]
     pub fn holder(&self) -> Option<&LeaseObject> {
         self.seen.as_ref()?.object.as_ref()
     }
 
-    /// The fence of the holder that follows one with another.
+    /// The fence of a new holder, above `fence` and all fences known before.
     fn fence_after(&self, fence: u64) -> u64 {
         fence.max(self.highest_fence) + 1
     }
--- a/crates/rookferry_core/src/lib.rs
+++ b/crates/rookferry_core/src/lib.rs
@@ -1,25 +1,25 @@
-//! Coordination parts of the rookferry router: pure decision code.
+//! Decision logic of the rookferry router, free of I/O.
 //!
-//! Nothing here opens a socket, starts a thread, reads a clock or draws a
-//! random number. Each part takes events, with the time where it matters, and
-//! returns actions. The daemons run these parts; others can embed them, and
-//! tests drive the very same code.
+//! No code in this crate opens a socket, starts a thread, reads a clock or draws a
+//! random number. Each type takes events, with the current time where it matters,
+//! and returns actions, which its caller carries out. The daemons run these types;
+//! other programs can embed them, and tests drive the same code.
 //!
-//! | part | question it answers |
+//! | types | question they answer |
 //! |---|---|
-//! | [`Selector`] | does this rule concern these labels? |
-//! | [`SiteConfig`], [`ConfigAdopter`] | is this configuration sound, and is it newer? |
+//! | [`Selector`] | does this rule match these labels? |
+//! | [`SiteConfig`], [`ConfigAdopter`] | is this configuration valid, and is it newer? |
 //! | [`RoutingTable`], [`Fleet`], [`ChainChooser`] | which engines run this request? |
-//! | [`StreamDriver`], [`StageGate`] | which token goes through which layers next? |
-//! | [`ClaimWriter`], [`TicketBook`] | may this request be dispatched? |
-//! | [`Undispatched`], [`Verdict`] | what may its caller be told? |
-//! | [`FairQueue`], [`DrainRate`], [`RetryBudget`] | whose turn is it, and who is turned away? |
-//! | [`MemberTable`], [`HeartbeatPlan`], [`Lease`] | who answers, and who gives orders? |
-//! | [`PathFinder`], [`LayoutPlanner`] | which engines run a pipeline that they forward themselves? |
-//! | [`PeerTable`], [`Fanout`] | who is there, and who is told what? |
-//! | [`ServerLimits`], [`PermitGranter`] | may all instances together send a server this much? |
-//! | [`ServingIndex`], [`Directory`], [`ServerHealth`] | where may this request go now? |
-//! | [`throughput_bound`], [`WindowCount`] | how good is it? |
+//! | [`StreamDriver`], [`StageGate`] | which token passes which layers next? |
+//! | [`ClaimWriter`], [`TicketBook`] | may this request be dispatched, at most once? |
+//! | [`Undispatched`], [`Verdict`] | which outcome may be reported to the caller? |
+//! | [`FairQueue`], [`DrainRate`], [`RetryBudget`] | which request runs next, and which are refused? |
+//! | [`MemberTable`], [`HeartbeatPlan`], [`Lease`] | which servers are alive, and which instance orders engines? |
+//! | [`PathFinder`], [`LayoutPlanner`] | which engines form a pipeline that forwards activations directly? |
+//! | [`PeerTable`], [`Fanout`] | which instances are alive, and what is sent to which of them? |
+//! | [`ServerLimits`], [`PermitGranter`] | do all instances together stay within a server's limit? |
+//! | [`ServingIndex`], [`Directory`], [`ServerHealth`] | to which server may this request go now? |
+//! | [`throughput_bound`], [`WindowCount`] | how close is throughput to its bound, and how fast are error budgets spent? |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
