--- a/crates/rookferry_controller/src/settings.rs
+++ b/crates/rookferry_controller/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use rookferry_core::ConfigFaults;
+use rookferry_core::ConfigErrors;
 use rookferry_core::LeaseTiming;
 use rookferry_core::PlacementLimits;
 use rookferry_core::read_json;
@@ -60,9 +60,9 @@
     /// # Errors
     ///
     /// Every fault found, each with its path and the likely fix.
-    pub fn from_json(text: &str) -> Result<Self, ConfigFaults> {
+    pub fn from_json(text: &str) -> Result<Self, ConfigErrors> {
         let settings: Self = read_json(text)?;
-        let mut faults = ConfigFaults::default();
+        let mut faults = ConfigErrors::default();
         if settings.lease_ms < MIN_LEASE_MS {
             faults.push(
                 "lease_ms",
--- a/crates/rookferry_core/src/config/fault.rs
+++ b/crates/rookferry_core/src/config/error.rs
@@ -6,7 +6,7 @@
 
 /// One error in a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ConfigFault {
+pub struct ConfigError {
     /// Path of the value, such as `routes[2].pool`.
     pub path: String,
     /// What is wrong, with the value where it helps.
@@ -17,13 +17,13 @@
 
 /// All errors found in a document; displayed one per line.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Snafu)]
-#[snafu(display("{}", render(faults)))]
-pub struct ConfigFaults {
+#[snafu(display("{}", render(errors)))]
+pub struct ConfigErrors {
     /// The errors, in the order of the checks.
-    pub faults: Vec<ConfigFault>,
+    pub errors: Vec<ConfigError>,
 }
 
-impl ConfigFaults {
+impl ConfigErrors {
     /// Adds an error.
     pub fn push(
         &mut self,
@@ -31,7 +31,7 @@
         message: impl Into<String>,
         fix: impl Into<String>,
     ) {
-        self.faults.push(ConfigFault {
+        self.errors.push(ConfigError {
             path: path.into(),
             message: message.into(),
             fix: fix.into(),
@@ -44,20 +44,20 @@
     ///
     /// Itself, if it contains any error.
     pub fn into_result<T>(self, value: T) -> Result<T, Self> {
-        if self.faults.is_empty() {
+        if self.errors.is_empty() {
             return Ok(value);
         }
         Err(self)
     }
 }
 
-impl fmt::Display for ConfigFault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}; {}", self.path, self.message, self.fix)
     }
 }
 
-fn render(faults: &[ConfigFault]) -> String {
-    let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
+fn render(errors: &[ConfigError]) -> String {
+    let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
--- a/crates/rookferry_core/src/config/mod.rs
+++ b/crates/rookferry_core/src/config/mod.rs
@@ -5,14 +5,14 @@
 //! an invalid document never becomes active.
 
 mod diff;
-mod fault;
+mod error;
 mod read;
 mod site;
 mod validate;
 
 pub use diff::changed_paths;
-pub use fault::ConfigFault;
-pub use fault::ConfigFaults;
+pub use error::ConfigError;
+pub use error::ConfigErrors;
 pub use read::read_json;
 pub use site::AccountConfig;
 pub use site::ChooserKind;
--- a/crates/rookferry_core/src/config/site.rs
+++ b/crates/rookferry_core/src/config/site.rs
@@ -102,7 +102,7 @@
 impl RouteConfig {
     /// Longest time in the queue, in milliseconds: `max_wait_ms`, at most the deadline.
     #[must_use]
-    pub fn turn_ms(&self) -> u64 {
+    pub fn max_queue_wait_ms(&self) -> u64 {
         self.max_wait_ms
             .unwrap_or(self.deadline_ms)
             .min(self.deadline_ms)
--- a/crates/rookferry_core/src/decision.rs
+++ b/crates/rookferry_core/src/decision.rs
@@ -37,7 +37,7 @@
     /// Routes in the order in which they were evaluated.
     pub routes: Vec<RouteTrial>,
     /// The pool of the matched route, if any matched.
-    pub pool: Option<PoolUse>,
+    pub pool: Option<MatchedPool>,
     /// Engines considered when the first chain was chosen.
     pub candidates: Vec<Candidate>,
     /// The first chain, then each chain that replaced a lost stage.
@@ -50,7 +50,7 @@
 
 /// The pool of a matched route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PoolUse {
+pub struct MatchedPool {
     /// The pool's name.
     pub pool: String,
     /// The selector of its backend servers, as text.
--- a/crates/rookferry_core/src/member/adopt.rs
+++ b/crates/rookferry_core/src/member/adopt.rs
@@ -4,7 +4,7 @@
 
 use rookferry_wire::ObjectVersion;
 
-use crate::ConfigFaults;
+use crate::ConfigErrors;
 use crate::SiteConfig;
 
 /// What became of an offered configuration.
@@ -15,7 +15,7 @@
     /// One as new or newer is in force.
     NotNewer,
     /// It is newer and has faults; the one in force stays.
-    Invalid(ConfigFaults),
+    Invalid(ConfigErrors),
 }
 
 /// Holds the version in force.
--- a/crates/rookferry_core/tests/config.rs
+++ b/crates/rookferry_core/tests/config.rs
@@ -56,7 +56,7 @@
     config.pointer_mut(parent).expect("its parent")[key] = value;
     let faults = SiteConfig::from_json(&config.to_string())
         .expect_err("a fault")
-        .faults;
+        .errors;
     assert!(faults.iter().any(|fault| fault.path == path), "{faults:?}");
 }
 
@@ -66,7 +66,7 @@
     config["routes"][0]["pool"] = json!("other");
     config["accounts"]["desk"]["weight"] = json!(-1);
     let faults = SiteConfig::from_json(&config.to_string()).expect_err("faults");
-    assert_eq!(faults.faults.len(), 2, "{faults}");
+    assert_eq!(faults.errors.len(), 2, "{faults}");
 }
 
 #[test]
--- a/crates/rookferry_ctl/src/error.rs
+++ b/crates/rookferry_ctl/src/error.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use rookferry_core::ConfigFaults;
+use rookferry_core::ConfigErrors;
 use rookferry_net::ClientError;
 use rookferry_net::PlatformError;
 use sha2::Digest;
@@ -25,7 +25,7 @@
     #[snafu(display("{}: {source}", path.display()))]
     File { path: PathBuf, source: io::Error },
     #[snafu(display("the configuration has faults, nothing was written\n{faults}"))]
-    Faults { faults: ConfigFaults },
+    Faults { faults: ConfigErrors },
     #[snafu(display("conflict: the platform holds version {version}, not {expected}; nothing was written\n\
         changed there: {}\nget it, merge, and apply again", changed.join(", ")))]
     Conflict {
--- a/crates/rookferry_entry/src/http/model.rs
+++ b/crates/rookferry_entry/src/http/model.rs
@@ -10,7 +10,7 @@
 use http::StatusCode;
 use rookferry_core::AbandonReason;
 use rookferry_core::Dispatched;
-use rookferry_core::PoolUse;
+use rookferry_core::MatchedPool;
 use rookferry_core::StreamDriver;
 use rookferry_core::StreamSpec;
 use rookferry_core::Verdict;
@@ -159,7 +159,7 @@
             return Err((ReasonCode::NoRoute, detail.to_owned()));
         };
         let pool = config.pools.get(&route.pool);
-        call.record.pool = pool.map(|pool| PoolUse {
+        call.record.pool = pool.map(|pool| MatchedPool {
             pool: route.pool.clone(),
             selector: pool.selector.text().to_owned(),
         });
@@ -180,7 +180,7 @@
             cost: f64::from(request.max_tokens),
             seed: call.number.as_u64_pair().1,
             cached: cached.unwrap_or_default(),
-            turn_by: call.received_at + Duration::from_millis(route.turn_ms()),
+            turn_by: call.received_at + Duration::from_millis(route.max_queue_wait_ms()),
             deadline: call.received_at + Duration::from_millis(route.deadline_ms),
         };
         Ok(Self {
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -21,7 +21,7 @@
 use rookferry_core::BrokenRun;
 use rookferry_core::Dispatched;
 use rookferry_core::EngineState;
-use rookferry_core::PoolUse;
+use rookferry_core::MatchedPool;
 use rookferry_core::RequestSignature;
 use rookferry_core::RunEnd;
 use rookferry_core::RunProgress;
@@ -91,7 +91,7 @@
     call.labels.insert("service".to_owned(), name.to_owned());
     call.record.labels.clone_from(&call.labels);
     let pool = config.pools.get(&service.pool);
-    call.record.pool = pool.map(|pool| PoolUse {
+    call.record.pool = pool.map(|pool| MatchedPool {
         pool: service.pool.clone(),
         selector: pool.selector.text().to_owned(),
     });
--- a/crates/rookferry_entry/src/settings.rs
+++ b/crates/rookferry_entry/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use rookferry_core::ConfigFaults;
+use rookferry_core::ConfigErrors;
 use rookferry_core::read_json;
 use rookferry_net::LogFormat;
 use rookferry_net::LogLevel;
@@ -105,14 +105,14 @@
     /// # Errors
     ///
     /// Every fault found, each with its path and the likely fix.
-    pub fn from_json(text: &str) -> Result<Self, ConfigFaults> {
+    pub fn from_json(text: &str) -> Result<Self, ConfigErrors> {
         let settings: Self = read_json(text)?;
-        let mut faults = ConfigFaults::default();
+        let mut faults = ConfigErrors::default();
         settings.check(&mut faults);
         faults.into_result(settings)
     }
 
-    fn check(&self, faults: &mut ConfigFaults) {
+    fn check(&self, faults: &mut ConfigErrors) {
         check_name("instance", &self.instance, faults);
         check_name("failure_domain", &self.failure_domain, faults);
         if self.site_secret.len() < MIN_SECRET_BYTES {
@@ -139,7 +139,7 @@
         self.check_limits(faults);
     }
 
-    fn check_limits(&self, faults: &mut ConfigFaults) {
+    fn check_limits(&self, faults: &mut ConfigErrors) {
         let limits = &self.limits;
         let positive = [
             ("body_bytes", limits.body_bytes as u64),
@@ -174,7 +174,7 @@
     }
 }
 
-fn check_name(path: &str, name: &str, faults: &mut ConfigFaults) {
+fn check_name(path: &str, name: &str, faults: &mut ConfigErrors) {
     let is_word = name
         .chars()
         .all(|c| c.is_ascii_alphanumeric() || matches!(c, '-' | '_'));
