--- a/crates/rookferry_core/src/claim/key.rs
+++ b/crates/rookferry_core/src/claim/key.rs
@@ -22,17 +22,17 @@
 /// Shards of opaque keys.
 const OPAQUE_SHARDS: u16 = 64;
 /// How far a key's timestamp may be ahead of this instance's clock, in milliseconds.
-const MAX_AHEAD_MS: u64 = 60 * 1000;
+const MAX_CLOCK_SKEW_MS: u64 = 60 * 1000;
 /// Buckets that an object is retained beyond its window, to allow for clock skew.
-const DELETE_MARGIN_BUCKETS: u64 = 2;
+const EXPIRY_MARGIN_BUCKETS: u64 = 2;
 /// Expired buckets listed for deletion at a time.
-const DELETE_BUCKETS: u64 = 6;
+const EXPIRED_BUCKETS_LISTED: u64 = 6;
 /// Hex digits retained of a digest (128 bits).
-const DIGEST_DIGITS: usize = 32;
+const DIGEST_HEX_DIGITS: usize = 32;
 
 /// Why an idempotency key is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum KeyFault {
+pub enum ClaimKeyError {
     /// Empty or too long.
     #[snafu(display(
         "key length is {bytes} bytes; use 1 to {MAX_KEY_BYTES} bytes, preferably a new UUIDv7"
@@ -55,7 +55,7 @@
     #[snafu(display(
         "the key's timestamp is {ahead_ms} ms ahead of this site's clock; check the caller's clock"
     ))]
-    Ahead {
+    InFuture {
         /// How far it is ahead.
         ahead_ms: u64,
     },
@@ -76,13 +76,18 @@
     /// # Errors
     ///
     /// If the key's length or its timestamp is out of bounds.
-    pub fn parse(account: &str, key: &str, now_ms: u64, window_ms: u64) -> Result<Self, KeyFault> {
+    pub fn parse(
+        account: &str,
+        key: &str,
+        now_ms: u64,
+        window_ms: u64,
+    ) -> Result<Self, ClaimKeyError> {
         let bytes = key.len();
         ensure!((1..=MAX_KEY_BYTES).contains(&bytes), LengthSnafu { bytes });
         let hash = Sha256::digest(format!("{account}\0{key}"));
         let shard = u16::from_be_bytes([hash[0], hash[1]]);
-        let digest = hex::encode(hash)[..DIGEST_DIGITS].to_owned();
-        let Some(key_ms) = uuid_time_ms(key) else {
+        let digest = hex::encode(hash)[..DIGEST_HEX_DIGITS].to_owned();
+        let Some(key_ms) = uuid_v7_time_ms(key) else {
             return Ok(Self {
                 digest,
                 object: format!("opaque-{}", shard % OPAQUE_SHARDS),
@@ -91,7 +96,7 @@
         let age_ms = now_ms.saturating_sub(key_ms);
         ensure!(age_ms <= window_ms, ExpiredSnafu { age_ms, window_ms });
         let ahead_ms = key_ms.saturating_sub(now_ms);
-        ensure!(ahead_ms <= MAX_AHEAD_MS, AheadSnafu { ahead_ms });
+        ensure!(ahead_ms <= MAX_CLOCK_SKEW_MS, InFutureSnafu { ahead_ms });
         Ok(Self {
             digest,
             object: format!("timed-{}-{}", key_ms / BUCKET_MS, shard % TIMED_SHARDS),
@@ -104,10 +109,10 @@
     /// one, so that an object missed by earlier deletions is found again.
     #[must_use]
     pub fn expired_objects(now_ms: u64, window_ms: u64) -> Vec<String> {
-        let oldest_kept_ms = now_ms.saturating_sub(window_ms + MAX_AHEAD_MS);
-        let oldest_kept = oldest_kept_ms / BUCKET_MS;
-        let newest = oldest_kept.saturating_sub(DELETE_MARGIN_BUCKETS);
-        let oldest = newest.saturating_sub(DELETE_BUCKETS);
+        let oldest_accepted_ms = now_ms.saturating_sub(window_ms + MAX_CLOCK_SKEW_MS);
+        let oldest_accepted = oldest_accepted_ms / BUCKET_MS;
+        let newest = oldest_accepted.saturating_sub(EXPIRY_MARGIN_BUCKETS);
+        let oldest = newest.saturating_sub(EXPIRED_BUCKETS_LISTED);
         let buckets = oldest..newest;
         buckets
             .flat_map(|bucket| {
@@ -130,13 +135,13 @@
         let end_ms = bucket.saturating_add(1).saturating_mul(BUCKET_MS);
         end_ms
             .saturating_add(window_ms)
-            .saturating_add(MAX_AHEAD_MS)
+            .saturating_add(MAX_CLOCK_SKEW_MS)
             < now_ms
     }
 }
 
 /// Unix time of a `UUIDv7` in milliseconds, `None` for other keys.
-fn uuid_time_ms(key: &str) -> Option<u64> {
+fn uuid_v7_time_ms(key: &str) -> Option<u64> {
     let uuid = Uuid::parse_str(key).ok()?;
     if uuid.get_version() != Some(Version::SortRand) {
         return None;
--- a/crates/rookferry_core/src/claim/mod.rs
+++ b/crates/rookferry_core/src/claim/mod.rs
@@ -18,11 +18,11 @@
 pub use rookferry_wire::ClaimRefusal;
 
 pub use key::ClaimKey;
-pub use key::KeyFault;
+pub use key::ClaimKeyError;
 pub use object::ClaimObject;
-pub use ticket::TicketBook;
-pub use ticket::TicketFault;
-pub use ticket::TicketState;
+pub use ticket::RedeemOutcome;
+pub use ticket::TicketError;
+pub use ticket::TicketIssuer;
 pub use writer::AskId;
 pub use writer::ClaimAction;
 pub use writer::ClaimEvent;
--- a/crates/rookferry_core/src/lib.rs
+++ b/crates/rookferry_core/src/lib.rs
@@ -11,7 +11,7 @@
 //! | [`SiteConfig`], [`ConfigAdopter`] | is this configuration valid, and is it newer? |
 //! | [`RoutingTable`], [`Fleet`], [`ChainChooser`] | which engines run this request? |
 //! | [`StreamDriver`], [`StageGate`] | which token passes which layers next? |
-//! | [`ClaimWriter`], [`TicketBook`] | may this request be dispatched, at most once? |
+//! | [`ClaimWriter`], [`TicketIssuer`] | may this request be dispatched, at most once? |
 //! | [`Undispatched`], [`Verdict`] | which outcome may be reported to the caller? |
 //! | [`FairQueue`], [`DrainRate`], [`RetryBudget`] | which request runs next, and which are refused? |
 //! | [`MemberTable`], [`HeartbeatPlan`], [`Lease`] | which servers are alive, and which instance orders engines? |
@@ -57,13 +57,13 @@
 pub use claim::ClaimAction;
 pub use claim::ClaimEvent;
 pub use claim::ClaimKey;
+pub use claim::ClaimKeyError;
 pub use claim::ClaimObject;
 pub use claim::ClaimRefusal;
 pub use claim::ClaimWriter;
-pub use claim::KeyFault;
-pub use claim::TicketBook;
-pub use claim::TicketFault;
-pub use claim::TicketState;
+pub use claim::RedeemOutcome;
+pub use claim::TicketError;
+pub use claim::TicketIssuer;
 pub use config::AccountConfig;
 pub use config::ChooserKind;
 pub use config::ConfigError;
--- a/crates/rookferry_core/tests/claims.rs
+++ b/crates/rookferry_core/tests/claims.rs
@@ -14,10 +14,10 @@
 use rookferry_core::ClaimAction;
 use rookferry_core::ClaimEvent;
 use rookferry_core::ClaimKey;
+use rookferry_core::ClaimKeyError;
 use rookferry_core::ClaimObject;
 use rookferry_core::ClaimRefusal;
 use rookferry_core::ClaimWriter;
-use rookferry_core::KeyFault;
 use rookferry_wire::Object;
 use rookferry_wire::ObjectVersion;
 use rstest::rstest;
@@ -436,11 +436,11 @@
 }
 
 #[rstest]
-#[case(uuid_at(NOW_MS - WINDOW_MS - 2_000), KeyFault::Expired { age_ms: WINDOW_MS + 2_000, window_ms: WINDOW_MS })]
-#[case(uuid_at(NOW_MS + 120_000), KeyFault::Ahead { ahead_ms: 120_000 })]
-#[case(String::new(), KeyFault::Length { bytes: 0 })]
-#[case("x".repeat(300), KeyFault::Length { bytes: 300 })]
-fn a_bad_key_is_refused(#[case] key: String, #[case] expected: KeyFault) {
+#[case(uuid_at(NOW_MS - WINDOW_MS - 2_000), ClaimKeyError::Expired { age_ms: WINDOW_MS + 2_000, window_ms: WINDOW_MS })]
+#[case(uuid_at(NOW_MS + 120_000), ClaimKeyError::InFuture { ahead_ms: 120_000 })]
+#[case(String::new(), ClaimKeyError::Length { bytes: 0 })]
+#[case("x".repeat(300), ClaimKeyError::Length { bytes: 300 })]
+fn a_bad_key_is_refused(#[case] key: String, #[case] expected: ClaimKeyError) {
     let fault = ClaimKey::parse("desk", &key, NOW_MS, WINDOW_MS);
     assert_eq!(fault, Err(expected));
 }
--- a/crates/rookferry_core/tests/tickets.rs
+++ b/crates/rookferry_core/tests/tickets.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use rookferry_core::TicketBook;
-use rookferry_core::TicketFault;
-use rookferry_core::TicketState;
+use rookferry_core::RedeemOutcome;
+use rookferry_core::TicketError;
+use rookferry_core::TicketIssuer;
 
-fn book(instance: &str, incarnation: u64) -> TicketBook {
-    TicketBook::new(
+fn book(instance: &str, incarnation: u64) -> TicketIssuer {
+    TicketIssuer::new(
         instance.into(),
         incarnation,
         "secret of the site".to_owned(),
@@ -20,15 +20,18 @@
     let now = Instant::now();
     let mut own = book("entry-1", 5);
     let ticket = own.mint(now).expect("a ticket");
-    assert!(TicketBook::is_ticket(&ticket));
-    assert_eq!(own.redeem(now, &ticket, "body"), Ok(TicketState::Dispatch));
+    assert!(TicketIssuer::is_ticket(&ticket));
     assert_eq!(
         own.redeem(now, &ticket, "body"),
-        Ok(TicketState::Dispatched)
+        Ok(RedeemOutcome::Dispatch)
+    );
+    assert_eq!(
+        own.redeem(now, &ticket, "body"),
+        Ok(RedeemOutcome::AlreadyDispatched)
     );
     assert_eq!(
         own.redeem(now, &ticket, "other"),
-        Err(TicketFault::OtherBody)
+        Err(TicketError::BodyMismatch)
     );
 }
 
@@ -36,7 +39,7 @@
 fn nobody_else_dispatches_it() {
     let now = Instant::now();
     let ticket = book("entry-1", 5).mint(now).expect("a ticket");
-    let elsewhere = TicketFault::Elsewhere {
+    let elsewhere = TicketError::OtherInstance {
         instance: "entry-1".into(),
     };
     assert_eq!(
@@ -45,7 +48,7 @@
     );
     assert_eq!(
         book("entry-1", 6).redeem(now, &ticket, "body"),
-        Err(TicketFault::EarlierRun)
+        Err(TicketError::EarlierIncarnation)
     );
 }
 
@@ -55,13 +58,13 @@
     let mut own = book("entry-1", 5);
     let ticket = own.mint(now).expect("a ticket");
     let changed = ticket.replacen(".1.", ".2.", 1);
-    assert_eq!(own.redeem(now, &changed, "body"), Err(TicketFault::Foreign));
-    let mut foreign = TicketBook::new("entry-1".into(), 5, "another secret".to_owned());
+    assert_eq!(own.redeem(now, &changed, "body"), Err(TicketError::Invalid));
+    let mut foreign = TicketIssuer::new("entry-1".into(), 5, "another secret".to_owned());
     assert_eq!(
         foreign.redeem(now, &ticket, "body"),
-        Err(TicketFault::Foreign)
+        Err(TicketError::Invalid)
     );
-    assert_eq!(own.redeem(now, "rft1", "body"), Err(TicketFault::Foreign));
+    assert_eq!(own.redeem(now, "rft1", "body"), Err(TicketError::Invalid));
 }
 
 #[test]
@@ -72,6 +75,6 @@
     let later = now + Duration::from_hours(2);
     assert_eq!(
         own.redeem(later, &ticket, "body"),
-        Err(TicketFault::Expired)
+        Err(TicketError::Expired)
     );
 }
--- a/crates/rookferry_entry/src/entry.rs
+++ b/crates/rookferry_entry/src/entry.rs
@@ -12,7 +12,7 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use rookferry_core::PrefixIndex;
 use rookferry_core::RetryBudget;
-use rookferry_core::TicketBook;
+use rookferry_core::TicketIssuer;
 use rookferry_net::BackoffTable;
 use rookferry_net::ConnectionLimits;
 use rookferry_net::EngineTransport;
@@ -107,7 +107,7 @@
     pub(crate) list_changed: Notify,
     pub(crate) prefixes: Mutex<PrefixIndex>,
     pub(crate) claims: Claims,
-    pub(crate) tickets: Mutex<TicketBook>,
+    pub(crate) tickets: Mutex<TicketIssuer>,
     pub(crate) answers: Answers,
     pub(crate) decisions: Decisions,
     pub(crate) retries: RetryBudget,
@@ -256,7 +256,7 @@
         list_changed: Notify::new(),
         prefixes: Mutex::new(PrefixIndex::new()),
         claims: Claims::new(platform.clone(), log.clone()),
-        tickets: Mutex::new(TicketBook::new(instance.clone(), incarnation, secret)),
+        tickets: Mutex::new(TicketIssuer::new(instance.clone(), incarnation, secret)),
         answers: Answers::new(settings.limits.answers),
         decisions: Decisions::new(settings.limits.decisions),
         retries: RetryBudget::new(),
--- a/crates/rookferry_entry/src/http/keyed.rs
+++ b/crates/rookferry_entry/src/http/keyed.rs
@@ -12,13 +12,13 @@
 use http::Response;
 use rand::RngExt;
 use rookferry_core::ClaimKey;
-use rookferry_core::KeyFault;
+use rookferry_core::ClaimKeyError;
 use rookferry_core::MemberState;
+use rookferry_core::RedeemOutcome;
 use rookferry_core::Stage;
 use rookferry_core::StreamDriver;
-use rookferry_core::TicketBook;
-use rookferry_core::TicketFault;
-use rookferry_core::TicketState;
+use rookferry_core::TicketError;
+use rookferry_core::TicketIssuer;
 use rookferry_net::clock;
 use rookferry_wire::Claim;
 use rookferry_wire::ClaimRefusal;
@@ -130,8 +130,10 @@
         }
         Err(fault) => {
             let reason = match fault {
-                KeyFault::Expired { .. } => ReasonCode::KeyExpired,
-                KeyFault::Length { .. } | KeyFault::Ahead { .. } => ReasonCode::BadRequest,
+                ClaimKeyError::Expired { .. } => ReasonCode::KeyExpired,
+                ClaimKeyError::Length { .. } | ClaimKeyError::InFuture { .. } => {
+                    ReasonCode::BadRequest
+                }
             };
             let refusal = call.refuse(entry, reason, fault.to_string());
             Err(Box::new(respond::refused(entry, &refusal)))
@@ -149,7 +151,7 @@
     is_stream: bool,
 ) -> KeyVerdict {
     let key = call.key.clone().unwrap_or_default();
-    if TicketBook::is_ticket(&key) {
+    if TicketIssuer::is_ticket(&key) {
         return settle_ticket(entry, call, &key, keyed, is_stream).await;
     }
     let claim = Claim {
@@ -250,8 +252,8 @@
         tickets.redeem(clock::now(), ticket, &keyed.body_digest)
     };
     let response = match redeemed {
-        Ok(TicketState::Dispatch) => return begin(entry, call, keyed, is_stream),
-        Ok(TicketState::Dispatched) => {
+        Ok(RedeemOutcome::Dispatch) => return begin(entry, call, keyed, is_stream),
+        Ok(RedeemOutcome::AlreadyDispatched) => {
             return settle_own(
                 entry,
                 call,
@@ -260,16 +262,16 @@
                 "the ticket's answer is no longer kept",
             );
         }
-        Err(TicketFault::Elsewhere { instance }) => {
+        Err(TicketError::OtherInstance { instance }) => {
             forward_ticket(entry, call, &instance, is_stream).await
         }
-        Err(fault @ (TicketFault::EarlierRun | TicketFault::Expired)) => {
+        Err(fault @ (TicketError::EarlierIncarnation | TicketError::Expired)) => {
             unknown(entry, call, &fault.to_string())
         }
-        Err(fault @ TicketFault::OtherBody) => {
+        Err(fault @ TicketError::BodyMismatch) => {
             refuse(entry, call, ReasonCode::KeyReused, &fault.to_string())
         }
-        Err(fault @ TicketFault::Foreign) => {
+        Err(fault @ TicketError::Invalid) => {
             refuse(entry, call, ReasonCode::BadRequest, &fault.to_string())
         }
     };
@@ -432,7 +434,7 @@
 
 impl KeyedBody {
     /// Reads the key of a call and digests its body.
-    pub(super) fn read(call: &Call) -> Result<Self, KeyFault> {
+    pub(super) fn read(call: &Call) -> Result<Self, ClaimKeyError> {
         let key = call.key.as_deref().unwrap_or_default();
         let window_ms = call.snapshot.table.config().policy.key_window_ms;
         let mut hash = Sha256::new();
