--- a/crates/rookferry_controller/src/controller.rs
+++ b/crates/rookferry_controller/src/controller.rs
@@ -104,13 +104,13 @@
         let asked_at = clock::now();
         let domain = self.settings.failure_domain.clone();
         match self.platform.get(LEASES_KIND, &domain).await {
-            Ok(current) => self.lease.observed(asked_at, current.as_ref()),
+            Ok(current) => self.lease.on_read(asked_at, current.as_ref()),
             Err(error) => {
                 debug!(self.log, "Controller::look_at_lease: not read"; "part" => "lease", "error" => %error);
                 return;
             }
         }
-        let LeaseAction::Write { expected, object } = self.lease.next(clock::now()) else {
+        let LeaseAction::Write { expected, object } = self.lease.next_action(clock::now()) else {
             return;
         };
         let value = serde_json::to_value(&object).unwrap_or_default();
@@ -122,9 +122,9 @@
         {
             Ok(PutAnswer::Written { version }) => {
                 debug!(self.log, "Controller::look_at_lease: held"; "part" => "lease", "fence" => object.fence);
-                self.lease.written(sent_at, version, object);
+                self.lease.on_written(sent_at, version, object);
             }
-            Ok(PutAnswer::Conflict { current }) => self.lease.observed(sent_at, current.as_ref()),
+            Ok(PutAnswer::Conflict { current }) => self.lease.on_read(sent_at, current.as_ref()),
             // A write that took effect unheard is seen at the next look.
             Err(error) => {
                 info!(self.log, "lease: not written"; "part" => "lease", "error" => %error);
--- a/crates/rookferry_core/src/lease.rs
+++ b/crates/rookferry_core/src/lease.rs
@@ -2,7 +2,7 @@
 //!
 //! The holder's fence authorizes its orders to engines: one holder orders those of
 //! a failure domain or of the site. Callers read and write the object and feed the
-//! results in; [`Lease::next`] says when to write, [`Lease::fence_for`]
+//! results in; [`Lease::next_action`] says when to write, [`Lease::fence_for`]
 //! whether an order may be sent.
 //!
 //! Platform objects carry no timestamps. A holder measures its lease from just
@@ -24,9 +24,9 @@
 use crate::millis::millis;
 
 /// A holder stops using the lease this fraction (1/n) of its duration early.
-const SAFETY_PART: u32 = 4;
+const SAFETY_DIVISOR: u32 = 4;
 /// A holder renews after this fraction (1/n) of the duration.
-const RENEW_PART: u32 = 3;
+const RENEWAL_DIVISOR: u32 = 3;
 
 /// The lease as stored in its platform object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -61,8 +61,8 @@
 pub enum LeaseAction {
     /// Nothing; read and ask again later.
     Wait,
-    /// Write the object by conditional update; on success call [`Lease::written`],
-    /// on a conflict [`Lease::observed`].
+    /// Write the object by conditional update; on success call [`Lease::on_written`],
+    /// on a conflict [`Lease::on_read`].
     Write {
         /// The version that must be current.
         expected: ObjectVersion,
@@ -72,40 +72,40 @@
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct LastKnown {
     version: ObjectVersion,
     object: Option<LeaseObject>,
-    first_at: Instant,
+    first_seen_at: Instant,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HeldLease {
     fence: u64,
-    since: Instant,
+    held_since: Instant,
     renewed_at: Instant,
 }
 
 /// One instance's view of a lease, fed with the results of its reads and writes.
 #[derive(Clone, Debug)]
 pub struct Lease {
-    own: InstanceId,
+    instance: InstanceId,
     incarnation: Incarnation,
     timing: LeaseTiming,
-    seen: Option<Seen>,
-    held: Option<Held>,
-    /// The highest fence read or written before the last [`Lease::forget`].
+    last_known: Option<LastKnown>,
+    held: Option<HeldLease>,
+    /// The highest fence read or written before the last [`Lease::reset`].
     highest_fence: u64,
 }
 
 impl Lease {
-    /// Creates the view of the instance `own`, before its first read.
+    /// Creates the view of an instance before its first read.
     #[must_use]
-    pub const fn new(own: InstanceId, incarnation: Incarnation, timing: LeaseTiming) -> Self {
+    pub const fn new(instance: InstanceId, incarnation: Incarnation, timing: LeaseTiming) -> Self {
         Self {
-            own,
+            instance,
             incarnation,
             timing,
-            seen: None,
+            last_known: None,
             held: None,
             highest_fence: 0,
         }
@@ -113,31 +113,31 @@
 
     /// Records the object as read, or as returned with a conflict; `asked_at` is
     /// when the call was sent.
-    pub fn observed(&mut self, asked_at: Instant, current: Option<&Object>) {
+    pub fn on_read(&mut self, asked_at: Instant, current: Option<&Object>) {
         let version = current.map_or(0, |object| object.version);
         let object = current.and_then(|object| serde_json::from_value(object.value.clone()).ok());
         if self
-            .seen
+            .last_known
             .as_ref()
-            .is_some_and(|seen| seen.version == version)
+            .is_some_and(|last_known| last_known.version == version)
         {
             return;
         }
         if !self.is_own(object.as_ref()) {
             self.held = None;
         }
-        self.seen = Some(Seen {
+        self.last_known = Some(LastKnown {
             version,
             object,
-            first_at: asked_at,
+            first_seen_at: asked_at,
         });
     }
 
     /// Discards what was read and written, because the platform was restored from a
     /// backup: the lease isn't held until it is read and written again.
-    pub fn forget(&mut self) {
-        if let Some(seen) = self.seen.take()
-            && let Some(object) = seen.object
+    pub fn reset(&mut self) {
+        if let Some(last_known) = self.last_known.take()
+            && let Some(object) = last_known.object
         {
             self.highest_fence = self.highest_fence.max(object.fence);
         }
@@ -146,53 +146,56 @@
 
     /// The action due now: takes over an expired lease, or renews its own.
     #[must_use]
-    pub fn next(&self, now: Instant) -> LeaseAction {
-        let Some(seen) = &self.seen else {
+    pub fn next_action(&self, now: Instant) -> LeaseAction {
+        let Some(last_known) = &self.last_known else {
             return LeaseAction::Wait;
         };
-        let fence = match (&seen.object, &self.held) {
+        let fence = match (&last_known.object, &self.held) {
             (Some(object), Some(held)) if self.is_own(Some(object)) => {
                 if now.saturating_duration_since(held.renewed_at)
-                    < self.timing.duration / RENEW_PART
+                    < self.timing.duration / RENEWAL_DIVISOR
                 {
                     return LeaseAction::Wait;
                 }
                 held.fence
             }
-            (Some(object), _) if self.is_own(Some(object)) => self.fence_after(object.fence),
+            (Some(object), _) if self.is_own(Some(object)) => self.next_fence(object.fence),
             (Some(object), _) => {
                 let duration = Duration::from_millis(object.duration_ms);
-                if now.saturating_duration_since(seen.first_at) < duration {
+                if now.saturating_duration_since(last_known.first_seen_at) < duration {
                     return LeaseAction::Wait;
                 }
-                self.fence_after(object.fence)
+                self.next_fence(object.fence)
             }
-            (None, _) => self.fence_after(seen.version),
+            (None, _) => self.next_fence(last_known.version),
         };
         LeaseAction::Write {
-            expected: seen.version,
+            expected: last_known.version,
             object: LeaseObject {
-                holder: self.own.clone(),
+                holder: self.instance.clone(),
                 incarnation: self.incarnation,
                 fence,
                 duration_ms: millis(self.timing.duration),
-                renewals: seen.object.as_ref().map_or(0, |object| object.renewals + 1),
+                renewals: last_known
+                    .object
+                    .as_ref()
+                    .map_or(0, |object| object.renewals + 1),
             },
         }
     }
 
     /// Records a successful write; `sent_at` is the time just before it was sent.
-    pub fn written(&mut self, sent_at: Instant, version: ObjectVersion, object: LeaseObject) {
+    pub fn on_written(&mut self, sent_at: Instant, version: ObjectVersion, object: LeaseObject) {
         let renewed = self.held.filter(|held| held.fence == object.fence);
-        self.held = Some(Held {
+        self.held = Some(HeldLease {
             fence: object.fence,
-            since: renewed.map_or(sent_at, |held| held.since),
+            held_since: renewed.map_or(sent_at, |held| held.held_since),
             renewed_at: sent_at,
         });
-        self.seen = Some(Seen {
+        self.last_known = Some(LastKnown {
             version,
             object: Some(object),
-            first_at: sent_at,
+            first_seen_at: sent_at,
         });
     }
 
@@ -201,16 +204,19 @@
     #[must_use]
     pub fn release(&mut self) -> Option<(ObjectVersion, LeaseObject)> {
         let held = self.held.take()?;
-        let seen = self.seen.as_ref()?;
-        let renewals = seen.object.as_ref().map_or(0, |object| object.renewals + 1);
+        let last_known = self.last_known.as_ref()?;
+        let renewals = last_known
+            .object
+            .as_ref()
+            .map_or(0, |object| object.renewals + 1);
         let object = LeaseObject {
-            holder: self.own.clone(),
+            holder: self.instance.clone(),
             incarnation: self.incarnation,
             fence: held.fence,
             duration_ms: 0,
             renewals,
         };
-        Some((seen.version, object))
+        Some((last_known.version, object))
     }
 
     /// The fence to send with an order, `None` if no order may be sent now.
@@ -221,29 +227,29 @@
     #[must_use]
     pub fn fence_for(&self, now: Instant, checks_fences: bool) -> Option<u64> {
         let held = self.held?;
-        let usable = self.timing.duration * (SAFETY_PART - 1) / SAFETY_PART;
+        let usable = self.timing.duration * (SAFETY_DIVISOR - 1) / SAFETY_DIVISOR;
         if now.saturating_duration_since(held.renewed_at) >= usable {
             return None;
         }
-        let is_waited_out = now.saturating_duration_since(held.since)
+        let has_predecessor_expired = now.saturating_duration_since(held.held_since)
             >= self.timing.duration + self.timing.pause_bound;
-        (checks_fences || is_waited_out).then_some(held.fence)
+        (checks_fences || has_predecessor_expired).then_some(held.fence)
     }
 
     /// The lease object as last read or written, whether or not it has expired.
     #[must_use]
     pub fn holder(&self) -> Option<&LeaseObject> {
-        self.seen.as_ref()?.object.as_ref()
+        self.last_known.as_ref()?.object.as_ref()
     }
 
     /// The fence of a new holder, above `fence` and all fences known before.
-    fn fence_after(&self, fence: u64) -> u64 {
+    fn next_fence(&self, fence: u64) -> u64 {
         fence.max(self.highest_fence) + 1
     }
 
     fn is_own(&self, object: Option<&LeaseObject>) -> bool {
         object.is_some_and(|object| {
-            object.holder == self.own && object.incarnation == self.incarnation
+            object.holder == self.instance && object.incarnation == self.incarnation
         })
     }
 }
--- a/crates/rookferry_core/tests/lease.rs
+++ b/crates/rookferry_core/tests/lease.rs
@@ -45,12 +45,12 @@
 
 /// One turn of an instance: it reads, and writes what its lease asks for.
 fn turn(lease: &mut Lease, platform: &mut Platform, now: Instant, is_answer_lost: bool) {
-    lease.observed(now, platform.object.as_ref());
-    let LeaseAction::Write { expected, object } = lease.next(now) else {
+    lease.on_read(now, platform.object.as_ref());
+    let LeaseAction::Write { expected, object } = lease.next_action(now) else {
         return;
     };
     match platform.put(expected, &object) {
-        Ok(version) if !is_answer_lost => lease.written(now, version, object),
+        Ok(version) if !is_answer_lost => lease.on_written(now, version, object),
         _ => {}
     }
 }
--- a/crates/rookferry_core/tests/store_era.rs
+++ b/crates/rookferry_core/tests/store_era.rs
@@ -228,20 +228,20 @@
 fn a_holder_of_a_lease_that_a_restore_lost_gives_no_orders_until_it_is_written_again() {
     let now = Instant::now();
     let mut holder = lease("n1");
-    holder.observed(now, None);
-    let (_, first) = write(holder.next(now));
-    holder.written(now, 7, first.clone());
+    holder.on_read(now, None);
+    let (_, first) = write(holder.next_action(now));
+    holder.on_written(now, 7, first.clone());
     assert!(holder.fence_for(now, true).is_some());
-    holder.forget();
+    holder.reset();
     assert_eq!(holder.fence_for(now, true), None);
     assert_eq!(
-        holder.next(now),
+        holder.next_action(now),
         LeaseAction::Wait,
         "what it read is void, too"
     );
     // The copy has none; its revision was given out before.
-    holder.observed(now, None);
-    let (expected, again) = write(holder.next(now));
+    holder.on_read(now, None);
+    let (expected, again) = write(holder.next_action(now));
     assert_eq!(expected, 0);
     assert!(again.fence > first.fence, "engines may have seen the first");
 }
@@ -250,12 +250,12 @@
 fn another_holder_in_the_copy_is_waited_out() {
     let now = Instant::now();
     let mut other = lease("n2");
-    other.observed(now, None);
-    let (_, others) = write(other.next(now));
+    other.on_read(now, None);
+    let (_, others) = write(other.next_action(now));
     let mut holder = lease("n1");
-    holder.forget();
-    holder.observed(now, Some(&as_read(3, &others)));
-    assert_eq!(holder.next(now + SECOND), LeaseAction::Wait);
-    let (expected, own) = write(holder.next(now + 2 * SECOND));
+    holder.reset();
+    holder.on_read(now, Some(&as_read(3, &others)));
+    assert_eq!(holder.next_action(now + SECOND), LeaseAction::Wait);
+    let (expected, own) = write(holder.next_action(now + 2 * SECOND));
     assert_eq!((expected, &*own.holder), (3, "n1"));
 }
--- a/crates/rookferry_relay/src/placement/lease_keeper.rs
+++ b/crates/rookferry_relay/src/placement/lease_keeper.rs
@@ -141,7 +141,7 @@
                     self.follow_era();
                     self.read_at = Some(asked_at);
                     if read.version.era == self.era {
-                        self.lease.observed(asked_at, read.value.as_ref());
+                        self.lease.on_read(asked_at, read.value.as_ref());
                         self.is_to_reread = false;
                         self.store_answered();
                     }
@@ -154,18 +154,19 @@
         }
         // What isn't read while a holder is heard looks run out, and isn't.
         let may_write = self.is_holder() || (is_due && !is_heard);
-        if may_write && let LeaseAction::Write { expected, object } = self.lease.next(clock::now())
+        if may_write
+            && let LeaseAction::Write { expected, object } = self.lease.next_action(clock::now())
         {
             let sent_at = clock::now();
             let expected = StoreVersion::new(self.era, expected);
             match self.relay.store.write_lease(expected, &object).await {
                 Ok(version) => {
-                    self.lease.written(sent_at, version.revision, object);
+                    self.lease.on_written(sent_at, version.revision, object);
                     self.store_answered();
                     self.was_holder = true;
                 }
                 Err(StoreError::Conflict { current }) => {
-                    self.lease.observed(clock::now(), current.as_ref());
+                    self.lease.on_read(clock::now(), current.as_ref());
                     self.store_answered();
                 }
                 // It may have been written over another holder's.
@@ -189,7 +190,7 @@
         }
         self.is_to_reread |= self.was_holder;
         self.era = era;
-        self.lease.forget();
+        self.lease.reset();
         self.was_holder = false;
         self.read_at = None;
     }
