--- a/crates/rookferry_core/src/claim/mod.rs
+++ b/crates/rookferry_core/src/claim/mod.rs
@@ -23,7 +23,7 @@
 pub use ticket::RedeemOutcome;
 pub use ticket::TicketError;
 pub use ticket::TicketIssuer;
-pub use writer::AskId;
 pub use writer::ClaimAction;
 pub use writer::ClaimEvent;
+pub use writer::ClaimRequestId;
 pub use writer::ClaimWriter;
--- a/crates/rookferry_core/src/claim/writer.rs
+++ b/crates/rookferry_core/src/claim/writer.rs
@@ -23,12 +23,12 @@
 use super::ClaimRefusal;
 
 /// Identifies a claim request within one writer.
-pub type AskId = u64;
+pub type ClaimRequestId = u64;
 
 /// Estimated object size beyond which no claim is added, in bytes.
 const MAX_OBJECT_BYTES: usize = 900_000;
 /// Largest encoded claim, in bytes; bounds an object's size without encoding it.
-const CLAIM_BYTES: usize = 640;
+const MAX_CLAIM_BYTES: usize = 640;
 /// Consecutive conflicts after which all pending requests are refused.
 const MAX_CONFLICTS: u32 = 8;
 
@@ -36,9 +36,9 @@
 #[derive(Clone, Debug)]
 pub enum ClaimEvent {
     /// A claim is requested; it waits for the next flush.
-    Ask {
+    Request {
         /// Identifies the request in the actions that answer it.
-        ask: AskId,
+        id: ClaimRequestId,
         /// Digest of account and key.
         digest: String,
         /// The claim to write.
@@ -94,27 +94,27 @@
     /// The claim is written: the request may be dispatched.
     Granted {
         /// The request.
-        ask: AskId,
+        id: ClaimRequestId,
     },
     /// Another claim has the key: its work may be resumed or reported.
     Taken {
         /// The request.
-        ask: AskId,
+        id: ClaimRequestId,
         /// The existing claim.
         claim: Claim,
     },
     /// The key isn't claimed: the request must not be dispatched.
     Refused {
         /// The request.
-        ask: AskId,
+        id: ClaimRequestId,
         /// The reason.
         refusal: ClaimRefusal,
     },
 }
 
 #[derive(Clone, Debug)]
-struct Ask {
-    id: AskId,
+struct PendingClaim {
+    id: ClaimRequestId,
     digest: String,
     claim: Claim,
     is_forwarded: bool,
@@ -134,11 +134,11 @@
     phase: Phase,
     /// The object as last read or written, `None` before the first read and after
     /// a failed call.
-    known: Option<(ObjectVersion, ClaimObject)>,
+    cached: Option<(ObjectVersion, ClaimObject)>,
     /// Value of the write in flight.
-    proposed: ClaimObject,
-    waiting: Vec<Ask>,
-    in_flight: Vec<Ask>,
+    in_flight_value: ClaimObject,
+    pending: Vec<PendingClaim>,
+    in_flight: Vec<PendingClaim>,
     /// Nonces of refused claims, which the next write removes.
     withdrawn: BTreeSet<u64>,
     conflicts: u32,
@@ -151,11 +151,11 @@
         Self {
             window_ms,
             phase: Phase::Idle,
-            known: None,
-            proposed: ClaimObject {
+            cached: None,
+            in_flight_value: ClaimObject {
                 claims: BTreeMap::new(),
             },
-            waiting: Vec::new(),
+            pending: Vec::new(),
             in_flight: Vec::new(),
             withdrawn: BTreeSet::new(),
             conflicts: 0,
@@ -168,14 +168,14 @@
     /// in flight. Events that don't fit the current phase are ignored.
     pub fn on_event(&mut self, now_ms: u64, event: ClaimEvent) -> Vec<ClaimAction> {
         match event {
-            ClaimEvent::Ask {
-                ask,
+            ClaimEvent::Request {
+                id,
                 digest,
                 claim,
                 is_forwarded,
             } => {
-                self.waiting.push(Ask {
-                    id: ask,
+                self.pending.push(PendingClaim {
+                    id,
                     digest,
                     claim,
                     is_forwarded,
@@ -201,12 +201,12 @@
         }
         self.phase = Phase::Idle;
         self.conflicts = 0;
-        self.known = Some((version, std::mem::take(&mut self.proposed)));
+        self.cached = Some((version, std::mem::take(&mut self.in_flight_value)));
         self.withdrawn.clear();
         let granted = std::mem::take(&mut self.in_flight);
         let mut actions: Vec<ClaimAction> = granted
             .into_iter()
-            .map(|ask| ClaimAction::Granted { ask: ask.id })
+            .map(|pending| ClaimAction::Granted { id: pending.id })
             .collect();
         actions.extend(self.advance(now_ms));
         actions
@@ -218,12 +218,12 @@
         }
         self.conflicts += 1;
         self.phase = Phase::Idle;
-        self.learn(current);
+        self.cache_object(current);
         if self.conflicts >= MAX_CONFLICTS {
             self.conflicts = 0;
             return self.refuse_all(ClaimRefusal::Contended);
         }
-        self.requeue();
+        self.requeue_in_flight();
         self.advance(now_ms)
     }
 
@@ -240,7 +240,7 @@
             return Vec::new();
         }
         self.phase = Phase::Idle;
-        self.known = None;
+        self.cached = None;
         self.refuse_all(ClaimRefusal::Unavailable)
     }
 
@@ -249,42 +249,42 @@
             return Vec::new();
         }
         self.phase = Phase::Idle;
-        self.learn(current);
-        self.requeue();
+        self.cache_object(current);
+        self.requeue_in_flight();
         self.advance(now_ms)
     }
 
     /// Stores the object that was read; one that can't be parsed counts as empty.
-    fn learn(&mut self, current: Option<Object>) {
+    fn cache_object(&mut self, current: Option<Object>) {
         let Some(object) = current else {
-            self.known = Some((0, ClaimObject::default()));
+            self.cached = Some((0, ClaimObject::default()));
             return;
         };
         let version = object.version;
-        self.known = serde_json::from_value(object.value)
+        self.cached = serde_json::from_value(object.value)
             .ok()
             .or_else(|| Some(ClaimObject::default()))
             .map(|claims| (version, claims));
     }
 
     /// Puts the requests of the last write back in front of the pending ones.
-    fn requeue(&mut self) {
-        let mut asks = std::mem::take(&mut self.in_flight);
-        asks.append(&mut self.waiting);
-        self.waiting = asks;
+    fn requeue_in_flight(&mut self) {
+        let mut pending = std::mem::take(&mut self.in_flight);
+        pending.append(&mut self.pending);
+        self.pending = pending;
     }
 
     fn refuse_all(&mut self, refusal: ClaimRefusal) -> Vec<ClaimAction> {
-        self.requeue();
-        let refused = std::mem::take(&mut self.waiting);
+        self.requeue_in_flight();
+        let refused = std::mem::take(&mut self.pending);
         refused
             .into_iter()
-            .map(|ask| {
-                if !ask.is_forwarded {
-                    self.withdrawn.insert(ask.claim.nonce);
+            .map(|pending| {
+                if !pending.is_forwarded {
+                    self.withdrawn.insert(pending.claim.nonce);
                 }
                 ClaimAction::Refused {
-                    ask: ask.id,
+                    id: pending.id,
                     refusal,
                 }
             })
@@ -293,22 +293,22 @@
 
     /// Starts a read or a write if requests are pending and no call is in flight.
     fn advance(&mut self, now_ms: u64) -> Vec<ClaimAction> {
-        if self.phase != Phase::Idle || self.waiting.is_empty() {
+        if self.phase != Phase::Idle || self.pending.is_empty() {
             return Vec::new();
         }
-        let Some((version, known)) = &self.known else {
+        let Some((version, cached)) = &self.cached else {
             self.phase = Phase::Reading;
             return vec![ClaimAction::Get];
         };
         let expected = *version;
-        let mut object = known.clone();
+        let mut object = cached.clone();
         object.prune(now_ms, self.window_ms);
         object
             .claims
             .retain(|_, claim| !self.withdrawn.contains(&claim.nonce));
         let mut actions = Vec::new();
-        for ask in std::mem::take(&mut self.waiting) {
-            self.merge(ask, &mut object, &mut actions);
+        for pending in std::mem::take(&mut self.pending) {
+            self.add_claim(pending, &mut object, &mut actions);
         }
         if self.in_flight.is_empty() {
             return actions;
@@ -317,34 +317,41 @@
             actions.extend(self.refuse_all(ClaimRefusal::Unavailable));
             return actions;
         };
-        self.proposed = object;
+        self.in_flight_value = object;
         self.phase = Phase::Writing;
         actions.push(ClaimAction::Put { expected, value });
         actions
     }
 
     /// Adds a request's claim to the object, or answers the request at once.
-    fn merge(&mut self, ask: Ask, object: &mut ClaimObject, actions: &mut Vec<ClaimAction>) {
-        if let Some(existing) = object.claims.get(&ask.digest) {
-            let action = if existing.nonce == ask.claim.nonce {
-                ClaimAction::Granted { ask: ask.id }
+    fn add_claim(
+        &mut self,
+        pending: PendingClaim,
+        object: &mut ClaimObject,
+        actions: &mut Vec<ClaimAction>,
+    ) {
+        if let Some(existing) = object.claims.get(&pending.digest) {
+            let action = if existing.nonce == pending.claim.nonce {
+                ClaimAction::Granted { id: pending.id }
             } else {
                 ClaimAction::Taken {
-                    ask: ask.id,
+                    id: pending.id,
                     claim: existing.clone(),
                 }
             };
             actions.push(action);
             return;
         }
-        if (object.claims.len() + 1) * CLAIM_BYTES > MAX_OBJECT_BYTES {
+        if (object.claims.len() + 1) * MAX_CLAIM_BYTES > MAX_OBJECT_BYTES {
             actions.push(ClaimAction::Refused {
-                ask: ask.id,
+                id: pending.id,
                 refusal: ClaimRefusal::Full,
             });
             return;
         }
-        object.claims.insert(ask.digest.clone(), ask.claim.clone());
-        self.in_flight.push(ask);
+        object
+            .claims
+            .insert(pending.digest.clone(), pending.claim.clone());
+        self.in_flight.push(pending);
     }
 }
--- a/crates/rookferry_core/tests/claims.rs
+++ b/crates/rookferry_core/tests/claims.rs
@@ -9,7 +9,6 @@
 use proptest::prelude::any;
 use proptest::prop_oneof;
 use proptest::proptest;
-use rookferry_core::AskId;
 use rookferry_core::Claim;
 use rookferry_core::ClaimAction;
 use rookferry_core::ClaimEvent;
@@ -17,6 +16,7 @@
 use rookferry_core::ClaimKeyError;
 use rookferry_core::ClaimObject;
 use rookferry_core::ClaimRefusal;
+use rookferry_core::ClaimRequestId;
 use rookferry_core::ClaimWriter;
 use rookferry_wire::Object;
 use rookferry_wire::ObjectVersion;
@@ -105,12 +105,12 @@
 struct World {
     platform: Platform,
     instances: Vec<Instance>,
-    next_ask: AskId,
+    next_ask: ClaimRequestId,
     /// Key and nonce of each ask.
-    keys: BTreeMap<AskId, (usize, u64)>,
+    keys: BTreeMap<ClaimRequestId, (usize, u64)>,
     /// Asks of a peer: who asked, and whether the answer gets lost.
-    forwards: BTreeMap<AskId, (usize, bool)>,
-    answered: BTreeMap<AskId, &'static str>,
+    forwards: BTreeMap<ClaimRequestId, (usize, bool)>,
+    answered: BTreeMap<ClaimRequestId, &'static str>,
     granted: BTreeMap<usize, Vec<u64>>,
 }
 
@@ -156,14 +156,14 @@
     }
 
     fn ask_with(&mut self, owner: usize, writer: usize, key: usize, nonce: u64) {
-        let ask = self.next_ask;
+        let id = self.next_ask;
         self.next_ask += 1;
-        self.keys.insert(ask, (key, nonce));
-        let event = ClaimEvent::Ask {
-            ask,
+        self.keys.insert(id, (key, nonce));
+        let event = ClaimEvent::Request {
+            id,
             digest: format!("key-{key}"),
             claim: claim(owner, nonce),
-            is_forwarded: self.forwards.contains_key(&ask),
+            is_forwarded: self.forwards.contains_key(&id),
         };
         self.tell(writer, event);
         self.tell(writer, ClaimEvent::Flush);
@@ -210,25 +210,25 @@
     fn tell(&mut self, writer: usize, event: ClaimEvent) {
         let actions = self.instances[writer].writer.on_event(NOW_MS, event);
         for action in actions {
-            let (ask, word) = match action {
+            let (id, word) = match action {
                 ClaimAction::Put { .. } | ClaimAction::Get => {
                     let former = self.instances[writer].call.replace(action);
                     assert_eq!(former, None, "one call is under way at a time");
                     continue;
                 }
-                ClaimAction::Granted { ask } => (ask, "granted"),
-                ClaimAction::Taken { ask, .. } => (ask, "taken"),
-                ClaimAction::Refused { ask, .. } => (ask, "refused"),
+                ClaimAction::Granted { id } => (id, "granted"),
+                ClaimAction::Taken { id, .. } => (id, "taken"),
+                ClaimAction::Refused { id, .. } => (id, "refused"),
             };
-            let former = self.answered.insert(ask, word);
+            let former = self.answered.insert(id, word);
             assert_eq!(former, None, "an ask is answered once");
-            self.on_answer(ask, word);
+            self.on_answer(id, word);
         }
     }
 
-    fn on_answer(&mut self, ask: AskId, word: &'static str) {
-        let (key, nonce) = self.keys[&ask];
-        match self.forwards.get(&ask).copied() {
+    fn on_answer(&mut self, id: ClaimRequestId, word: &'static str) {
+        let (key, nonce) = self.keys[&id];
+        match self.forwards.get(&id).copied() {
             // The asker settles it itself, with the same nonce.
             Some((owner, true)) => self.ask_with(owner, owner, key, nonce),
             Some((owner, false)) if word == "refused" => {
@@ -257,8 +257,8 @@
         for (key, grants) in &self.granted {
             assert!(grants.len() <= 1, "key {key} was granted to {grants:?}");
         }
-        for ask in self.keys.keys() {
-            assert!(self.answered.contains_key(ask), "ask {ask} waits for ever");
+        for id in self.keys.keys() {
+            assert!(self.answered.contains_key(id), "ask {id} waits for ever");
         }
         let value = self.platform.value.clone().unwrap_or_default();
         let object: ClaimObject = serde_json::from_value(value).unwrap_or_default();
@@ -270,7 +270,7 @@
     }
 }
 
-fn claim(writer: usize, ask: AskId) -> Claim {
+fn claim(writer: usize, ask: ClaimRequestId) -> Claim {
     Claim {
         owner: format!("entry-{writer}").into(),
         incarnation: 1,
@@ -389,13 +389,13 @@
             .claims
             .insert(format!("old-{number}"), claim(1, number));
     }
-    let ask = ClaimEvent::Ask {
-        ask: 9_000,
+    let request = ClaimEvent::Request {
+        id: 9_000,
         digest: "key".to_owned(),
         claim: claim(0, 9_000),
         is_forwarded: false,
     };
-    assert_eq!(writer.on_event(NOW_MS, ask), []);
+    assert_eq!(writer.on_event(NOW_MS, request), []);
     assert_eq!(
         writer.on_event(NOW_MS, ClaimEvent::Flush),
         [ClaimAction::Get]
@@ -406,7 +406,7 @@
         value: serde_json::to_value(object).expect("JSON"),
     });
     let refused = ClaimAction::Refused {
-        ask: 9_000,
+        id: 9_000,
         refusal: ClaimRefusal::Full,
     };
     assert_eq!(
--- a/crates/rookferry_entry/src/claims.rs
+++ b/crates/rookferry_entry/src/claims.rs
@@ -7,10 +7,10 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-use rookferry_core::AskId;
 use rookferry_core::ClaimAction;
 use rookferry_core::ClaimEvent;
 use rookferry_core::ClaimKey;
+use rookferry_core::ClaimRequestId;
 use rookferry_core::ClaimWriter;
 use rookferry_core::home_of;
 use rookferry_net::Platform;
@@ -200,8 +200,8 @@
     log: Logger,
     object: String,
     writer: ClaimWriter,
-    waiting: HashMap<AskId, oneshot::Sender<ClaimReply>>,
-    next_ask: AskId,
+    waiting: HashMap<ClaimRequestId, oneshot::Sender<ClaimReply>>,
+    next_ask: ClaimRequestId,
     next_write: Instant,
 }
 
@@ -237,12 +237,12 @@
             for action in actions.drain(..) {
                 match action {
                     ClaimAction::Put { .. } | ClaimAction::Get => call = Some(action),
-                    ClaimAction::Granted { ask } => self.answer(ask, ClaimReply::Granted),
-                    ClaimAction::Taken { ask, claim } => {
-                        self.answer(ask, ClaimReply::Taken(claim));
+                    ClaimAction::Granted { id } => self.answer(id, ClaimReply::Granted),
+                    ClaimAction::Taken { id, claim } => {
+                        self.answer(id, ClaimReply::Taken(claim));
                     }
-                    ClaimAction::Refused { ask, refusal } => {
-                        self.answer(ask, ClaimReply::Refused(refusal));
+                    ClaimAction::Refused { id, refusal } => {
+                        self.answer(id, ClaimReply::Refused(refusal));
                     }
                 }
             }
@@ -266,11 +266,11 @@
                 is_forwarded,
                 answer,
             } => {
-                let ask = self.next_ask;
+                let id = self.next_ask;
                 self.next_ask += 1;
-                self.waiting.insert(ask, answer);
-                ClaimEvent::Ask {
-                    ask,
+                self.waiting.insert(id, answer);
+                ClaimEvent::Request {
+                    id,
                     digest,
                     claim,
                     is_forwarded,
@@ -309,8 +309,8 @@
         }
     }
 
-    fn answer(&mut self, ask: AskId, answer: ClaimReply) {
-        if let Some(waiting) = self.waiting.remove(&ask) {
+    fn answer(&mut self, id: ClaimRequestId, answer: ClaimReply) {
+        if let Some(waiting) = self.waiting.remove(&id) {
             // One that no longer waits never dispatches.
             let _ = waiting.send(answer);
         }
