--- a/crates/rookferry_core/src/claim/key.rs
+++ b/crates/rookferry_core/src/claim/key.rs
@@ -1,9 +1,10 @@
-//! Keys of requests that may run once, and the objects they live in.
+//! Idempotency keys, and the shard objects that store their claims.
 //!
-//! A `UUIDv7` key carries its own time and lives in that time's object, so that
-//! objects stay small and a key older than the window can be refused for good
-//! by anyone, whatever has been deleted. Any other key is opaque: its object
-//! isn't cut by time, and it is remembered for the window.
+//! A `UUIDv7` key carries a timestamp and is stored in an object of its time
+//! bucket. Objects therefore stay small, and any instance can refuse a key
+//! older than the window permanently, even after its object has been deleted.
+//! Any other key is opaque: its object isn't split by time, and its claim is
+//! remembered for the window.
 
 use sha2::Digest;
 use sha2::Sha256;
@@ -12,74 +13,81 @@
 use uuid::Uuid;
 use uuid::Version;
 
-/// Longest key taken, in bytes.
+/// Longest key accepted, in bytes.
 const MAX_KEY_BYTES: usize = 256;
-/// Time that one object of timed keys spans.
+/// Time span of one bucket of timed keys, in milliseconds.
 const BUCKET_MS: u64 = 10 * 60 * 1000;
-/// Shards of each span of time.
+/// Shards of each bucket of timed keys.
 const TIMED_SHARDS: u16 = 8;
 /// Shards of opaque keys.
 const OPAQUE_SHARDS: u16 = 64;
-/// How far a key's time may lie ahead of the instance's clock.
-const MAX_AHEAD_MS: u64 = 60 * 1000;
-/// Buckets that an object is kept beyond its window, for clocks that differ.
-const DELETE_MARGIN_BUCKETS: u64 = 2;
-/// Buckets that are looked at for deletion.
-const DELETE_BUCKETS: u64 = 6;
-/// Hex digits kept of a digest, 128 bits.
-const DIGEST_DIGITS: usize = 32;
+/// How far a key's timestamp may be ahead of this instance's clock, in milliseconds.
+const MAX_CLOCK_SKEW_MS: u64 = 60 * 1000;
+/// Buckets that an object is retained beyond its window, to allow for clock skew.
+const EXPIRY_MARGIN_BUCKETS: u64 = 2;
+/// Expired buckets listed for deletion at a time.
+const EXPIRED_BUCKETS_LISTED: u64 = 6;
+/// Hex digits retained of a digest (128 bits).
+const DIGEST_HEX_DIGITS: usize = 32;
 
-/// Why a key can't be used.
+/// Why an idempotency key is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum KeyFault {
+pub enum ClaimKeyError {
     /// Empty or too long.
-    #[snafu(display("a key of {bytes} bytes; use 1 to {MAX_KEY_BYTES}, best a new UUIDv7"))]
+    #[snafu(display(
+        "key length is {bytes} bytes; use 1 to {MAX_KEY_BYTES} bytes, preferably a new UUIDv7"
+    ))]
     Length {
-        /// Its length.
+        /// Length of the key.
         bytes: usize,
     },
-    /// Its time is older than the window.
+    /// Its timestamp is older than the window.
     #[snafu(display(
-        "the key's time is {age_ms} ms ago, more than the window of {window_ms} ms; it will never run"
+        "the key's timestamp is {age_ms} ms old, beyond the window of {window_ms} ms; it will never run"
     ))]
     Expired {
-        /// How old it is.
+        /// Age of the timestamp.
         age_ms: u64,
-        /// The window.
+        /// Longest age accepted.
         window_ms: u64,
     },
-    /// Its time lies ahead.
+    /// Its timestamp is too far in the future.
     #[snafu(display(
-        "the key's time is {ahead_ms} ms ahead of this site; check the caller's clock"
+        "the key's timestamp is {ahead_ms} ms ahead of this site's clock; check the caller's clock"
     ))]
-    Ahead {
-        /// By how much.
+    InFuture {
+        /// How far it is ahead.
         ahead_ms: u64,
     },
 }
 
-/// A key, and where its claim lives.
+/// An idempotency key and the object that stores its claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ClaimKey {
-    /// Digest of account and key.
+    /// Truncated hex SHA-256 of account and key.
     pub digest: String,
-    /// Name of the object.
+    /// Name of the shard object.
     pub object: String,
 }
 
 impl ClaimKey {
-    /// Reads a key of an account at a time given in milliseconds since 1970.
+    /// Checks a key of a client account; `now_ms` counts from the Unix epoch.
     ///
     /// # Errors
     ///
-    /// If its length or its time is out of bounds.
-    pub fn parse(account: &str, key: &str, now_ms: u64, window_ms: u64) -> Result<Self, KeyFault> {
+    /// If the key's length or its timestamp is out of bounds.
+    pub fn parse(
+        account: &str,
+        key: &str,
+        now_ms: u64,
+        window_ms: u64,
+    ) -> Result<Self, ClaimKeyError> {
         let bytes = key.len();
         ensure!((1..=MAX_KEY_BYTES).contains(&bytes), LengthSnafu { bytes });
         let hash = Sha256::digest(format!("{account}\0{key}"));
         let shard = u16::from_be_bytes([hash[0], hash[1]]);
-        let digest = hex::encode(hash)[..DIGEST_DIGITS].to_owned();
-        let Some(key_ms) = uuid_time_ms(key) else {
+        let digest = hex::encode(hash)[..DIGEST_HEX_DIGITS].to_owned();
+        let Some(key_ms) = uuid_v7_time_ms(key) else {
             return Ok(Self {
                 digest,
                 object: format!("opaque-{}", shard % OPAQUE_SHARDS),
@@ -88,21 +96,23 @@
         let age_ms = now_ms.saturating_sub(key_ms);
         ensure!(age_ms <= window_ms, ExpiredSnafu { age_ms, window_ms });
         let ahead_ms = key_ms.saturating_sub(now_ms);
-        ensure!(ahead_ms <= MAX_AHEAD_MS, AheadSnafu { ahead_ms });
+        ensure!(ahead_ms <= MAX_CLOCK_SKEW_MS, InFutureSnafu { ahead_ms });
         Ok(Self {
             digest,
             object: format!("timed-{}-{}", key_ms / BUCKET_MS, shard % TIMED_SHARDS),
         })
     }
 
-    /// Objects whose keys have all left the window a while ago, for whoever
-    /// deletes them; some earlier ones as well, should they have been missed.
+    /// Names of the objects whose keys are all older than the window and its margin.
+    ///
+    /// They can be deleted. The last few buckets are listed, not only the newest
+    /// one, so that an object missed by earlier deletions is found again.
     #[must_use]
     pub fn expired_objects(now_ms: u64, window_ms: u64) -> Vec<String> {
-        let oldest_kept_ms = now_ms.saturating_sub(window_ms + MAX_AHEAD_MS);
-        let oldest_kept = oldest_kept_ms / BUCKET_MS;
-        let newest = oldest_kept.saturating_sub(DELETE_MARGIN_BUCKETS);
-        let oldest = newest.saturating_sub(DELETE_BUCKETS);
+        let oldest_accepted_ms = now_ms.saturating_sub(window_ms + MAX_CLOCK_SKEW_MS);
+        let oldest_accepted = oldest_accepted_ms / BUCKET_MS;
+        let newest = oldest_accepted.saturating_sub(EXPIRY_MARGIN_BUCKETS);
+        let oldest = newest.saturating_sub(EXPIRED_BUCKETS_LISTED);
         let buckets = oldest..newest;
         buckets
             .flat_map(|bucket| {
@@ -111,8 +121,8 @@
             .collect()
     }
 
-    /// Whether a timed object can hold no key of the window any more, so that
-    /// it may be deleted.
+    /// Whether no key of a timed object is accepted any more, so that the object
+    /// can be deleted; `false` for objects of opaque keys.
     #[must_use]
     pub fn is_object_expired(object: &str, now_ms: u64, window_ms: u64) -> bool {
         let mut parts = object.split('-');
@@ -125,12 +135,13 @@
         let end_ms = bucket.saturating_add(1).saturating_mul(BUCKET_MS);
         end_ms
             .saturating_add(window_ms)
-            .saturating_add(MAX_AHEAD_MS)
+            .saturating_add(MAX_CLOCK_SKEW_MS)
             < now_ms
     }
 }
 
-fn uuid_time_ms(key: &str) -> Option<u64> {
+/// Unix time of a `UUIDv7` in milliseconds, `None` for other keys.
+fn uuid_v7_time_ms(key: &str) -> Option<u64> {
     let uuid = Uuid::parse_str(key).ok()?;
     if uuid.get_version() != Some(Version::SortRand) {
         return None;
--- a/crates/rookferry_core/src/claim/writer.rs
+++ b/crates/rookferry_core/src/claim/writer.rs
@@ -1,11 +1,15 @@
-//! Writes one shard object: groups what waits, and settles lost answers.
+//! Writes the claims of one shard object, batching pending requests.
 //!
-//! One write is under way at a time. A conflict shows the object as it is and
-//! is merged and tried again. A lost answer is settled by reading: a claim
-//! with this writer's own nonce means that the write took effect, however its
-//! answer fared. Where nothing can be read, those who wait are refused; their
-//! claims may have been written, and since they are never dispatched they are
-//! withdrawn with the next write.
+//! The caller feeds platform results and claim requests in as events, and runs
+//! the platform calls that the actions ask for. One call is in flight at a
+//! time; requests that arrive meanwhile share the next write.
+//!
+//! After a conflict the claims are merged into the current object and written
+//! again. After a lost response the object is read back: a claim with the
+//! writer's own nonce means that the write took effect. If the platform refuses
+//! the write or the object can't be read, all pending requests are refused.
+//! Their claims may have been written; since they are never dispatched, the next
+//! write withdraws them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,37 +22,38 @@
 use super::ClaimObject;
 use super::ClaimRefusal;
 
-/// Names one who waits for a claim.
-pub type AskId = u64;
+/// Identifies a claim request within one writer.
+pub type ClaimRequestId = u64;
 
-/// Bytes of an object beyond which no claim is added.
+/// Estimated object size beyond which no claim is added, in bytes.
 const MAX_OBJECT_BYTES: usize = 900_000;
-/// Bytes that a claim takes at most, for a bound that needs no encoding.
-const CLAIM_BYTES: usize = 640;
-/// Conflicts in a row before those who wait are refused.
+/// Largest encoded claim, in bytes; bounds an object's size without encoding it.
+const MAX_CLAIM_BYTES: usize = 640;
+/// Consecutive conflicts after which all pending requests are refused.
 const MAX_CONFLICTS: u32 = 8;
 
-/// What the writer is told.
+/// Input of a [`ClaimWriter`].
 #[derive(Clone, Debug)]
 pub enum ClaimEvent {
-    /// Someone asks for a claim; it waits for the next flush.
-    Ask {
-        /// Who.
-        ask: AskId,
-        /// Digest of the key.
+    /// A claim is requested; it waits for the next flush.
+    Request {
+        /// Identifies the request in the actions that answer it.
+        id: ClaimRequestId,
+        /// Digest of account and key.
         digest: String,
-        /// The claim.
+        /// The claim to write.
         claim: Claim,
-        /// Whether a peer asks. Its claim is never withdrawn here: when the
-        /// answer is lost the peer settles it itself, and may have dispatched.
+        /// Whether a peer sent the request. Its claim is never withdrawn here:
+        /// if the reply is lost the peer claims the key itself with the same
+        /// nonce, and may have dispatched.
         is_forwarded: bool,
     },
-    /// All who wait may be written now.
+    /// All pending requests may be written now.
     Flush,
-    /// A claim of this instance that a peer refused; it may be written yet
-    /// and is never dispatched.
+    /// A peer refused a claim of this instance, which is never dispatched; it may
+    /// still have been written and is removed with the next write.
     Withdraw {
-        /// Its nonce.
+        /// The claim's nonce.
         nonce: u64,
     },
     /// The write took effect.
@@ -56,60 +61,60 @@
         /// The new version.
         version: ObjectVersion,
     },
-    /// Another write came first.
+    /// The expected version was not current.
     Conflict {
-        /// The object as it is.
+        /// The current object, if it exists.
         current: Option<Object>,
     },
-    /// The write's answer was lost; it may have taken effect.
+    /// The response to the write was lost; it may have taken effect.
     WriteLost,
-    /// The write can't have reached the platform, or was turned away.
+    /// The write never reached the platform, or was refused by it.
     WriteRejected,
     /// The object was read.
     Read {
-        /// The object, if it exists.
+        /// The current object, if it exists.
         current: Option<Object>,
     },
-    /// It can't be read.
+    /// The object couldn't be read.
     ReadFailed,
 }
 
-/// What the writer asks for, or tells those who wait.
+/// Output of a [`ClaimWriter`]: a platform call, or the answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimAction {
-    /// Write the object.
+    /// Write the object, and report the result as an event.
     Put {
         /// The version that must be current.
         expected: ObjectVersion,
-        /// The value.
+        /// The object's new value.
         value: Value,
     },
-    /// Read the object.
+    /// Read the object, and report the result as an event.
     Get,
-    /// The claim is written: dispatch.
+    /// The claim is written: the request may be dispatched.
     Granted {
-        /// To whom.
-        ask: AskId,
+        /// The request.
+        id: ClaimRequestId,
     },
-    /// Another claim holds the key: resume or report.
+    /// Another claim has the key: its work may be resumed or reported.
     Taken {
-        /// To whom.
-        ask: AskId,
-        /// The other claim.
+        /// The request.
+        id: ClaimRequestId,
+        /// The existing claim.
         claim: Claim,
     },
-    /// Not claimed: don't dispatch.
+    /// The key isn't claimed: the request must not be dispatched.
     Refused {
-        /// To whom.
-        ask: AskId,
-        /// Why.
+        /// The request.
+        id: ClaimRequestId,
+        /// The reason.
         refusal: ClaimRefusal,
     },
 }
 
 #[derive(Clone, Debug)]
-struct Ask {
-    id: AskId,
+struct PendingClaim {
+    id: ClaimRequestId,
     digest: String,
     claim: Claim,
     is_forwarded: bool,
@@ -122,51 +127,55 @@
     Reading,
 }
 
-/// The state of one shard object's writer.
+/// Writer of one shard object; driven by [`ClaimWriter::on_event`].
 #[derive(Debug)]
 pub struct ClaimWriter {
     window_ms: u64,
     phase: Phase,
-    /// The object as last seen, `None` before the first read.
-    known: Option<(ObjectVersion, ClaimObject)>,
-    /// What is being written.
-    proposed: ClaimObject,
-    waiting: Vec<Ask>,
-    in_flight: Vec<Ask>,
-    /// Nonces that were refused and must not stay.
+    /// The object as last read or written, `None` before the first read and after
+    /// a failed call.
+    cached: Option<(ObjectVersion, ClaimObject)>,
+    /// Value of the write in flight.
+    in_flight_value: ClaimObject,
+    pending: Vec<PendingClaim>,
+    in_flight: Vec<PendingClaim>,
+    /// Nonces of refused claims, which the next write removes.
     withdrawn: BTreeSet<u64>,
     conflicts: u32,
 }
 
 impl ClaimWriter {
-    /// A writer that has read nothing.
+    /// Creates a writer that hasn't read its object; claims expire after `window_ms`.
     #[must_use]
     pub const fn new(window_ms: u64) -> Self {
         Self {
             window_ms,
             phase: Phase::Idle,
-            known: None,
-            proposed: ClaimObject {
+            cached: None,
+            in_flight_value: ClaimObject {
                 claims: BTreeMap::new(),
             },
-            waiting: Vec::new(),
+            pending: Vec::new(),
             in_flight: Vec::new(),
             withdrawn: BTreeSet::new(),
             conflicts: 0,
         }
     }
 
-    /// Takes an event at a time given in milliseconds since 1970.
+    /// Handles an event; `now_ms` counts from the Unix epoch.
+    ///
+    /// At most one of the actions is a platform call, and none while another is
+    /// in flight. Events that don't fit the current phase are ignored.
     pub fn on_event(&mut self, now_ms: u64, event: ClaimEvent) -> Vec<ClaimAction> {
         match event {
-            ClaimEvent::Ask {
-                ask,
+            ClaimEvent::Request {
+                id,
                 digest,
                 claim,
                 is_forwarded,
             } => {
-                self.waiting.push(Ask {
-                    id: ask,
+                self.pending.push(PendingClaim {
+                    id,
                     digest,
                     claim,
                     is_forwarded,
@@ -192,12 +201,12 @@
         }
         self.phase = Phase::Idle;
         self.conflicts = 0;
-        self.known = Some((version, std::mem::take(&mut self.proposed)));
+        self.cached = Some((version, std::mem::take(&mut self.in_flight_value)));
         self.withdrawn.clear();
         let granted = std::mem::take(&mut self.in_flight);
         let mut actions: Vec<ClaimAction> = granted
             .into_iter()
-            .map(|ask| ClaimAction::Granted { ask: ask.id })
+            .map(|pending| ClaimAction::Granted { id: pending.id })
             .collect();
         actions.extend(self.advance(now_ms));
         actions
@@ -209,12 +218,12 @@
         }
         self.conflicts += 1;
         self.phase = Phase::Idle;
-        self.learn(current);
+        self.cache_object(current);
         if self.conflicts >= MAX_CONFLICTS {
             self.conflicts = 0;
             return self.refuse_all(ClaimRefusal::Contended);
         }
-        self.requeue();
+        self.requeue_in_flight();
         self.advance(now_ms)
     }
 
@@ -231,7 +240,7 @@
             return Vec::new();
         }
         self.phase = Phase::Idle;
-        self.known = None;
+        self.cached = None;
         self.refuse_all(ClaimRefusal::Unavailable)
     }
 
@@ -240,64 +249,66 @@
             return Vec::new();
         }
         self.phase = Phase::Idle;
-        self.learn(current);
-        self.requeue();
+        self.cache_object(current);
+        self.requeue_in_flight();
         self.advance(now_ms)
     }
 
-    fn learn(&mut self, current: Option<Object>) {
+    /// Stores the object that was read; one that can't be parsed counts as empty.
+    fn cache_object(&mut self, current: Option<Object>) {
         let Some(object) = current else {
-            self.known = Some((0, ClaimObject::default()));
+            self.cached = Some((0, ClaimObject::default()));
             return;
         };
         let version = object.version;
-        self.known = serde_json::from_value(object.value)
+        self.cached = serde_json::from_value(object.value)
             .ok()
             .or_else(|| Some(ClaimObject::default()))
             .map(|claims| (version, claims));
     }
 
-    fn requeue(&mut self) {
-        let mut asks = std::mem::take(&mut self.in_flight);
-        asks.append(&mut self.waiting);
-        self.waiting = asks;
+    /// Puts the requests of the last write back in front of the pending ones.
+    fn requeue_in_flight(&mut self) {
+        let mut pending = std::mem::take(&mut self.in_flight);
+        pending.append(&mut self.pending);
+        self.pending = pending;
     }
 
     fn refuse_all(&mut self, refusal: ClaimRefusal) -> Vec<ClaimAction> {
-        self.requeue();
-        let refused = std::mem::take(&mut self.waiting);
+        self.requeue_in_flight();
+        let refused = std::mem::take(&mut self.pending);
         refused
             .into_iter()
-            .map(|ask| {
-                if !ask.is_forwarded {
-                    self.withdrawn.insert(ask.claim.nonce);
+            .map(|pending| {
+                if !pending.is_forwarded {
+                    self.withdrawn.insert(pending.claim.nonce);
                 }
                 ClaimAction::Refused {
-                    ask: ask.id,
+                    id: pending.id,
                     refusal,
                 }
             })
             .collect()
     }
 
-    /// Starts a read or a write if someone waits and nothing is under way.
+    /// Starts a read or a write if requests are pending and no call is in flight.
     fn advance(&mut self, now_ms: u64) -> Vec<ClaimAction> {
-        if self.phase != Phase::Idle || self.waiting.is_empty() {
+        if self.phase != Phase::Idle || self.pending.is_empty() {
             return Vec::new();
         }
-        let Some((version, known)) = &self.known else {
+        let Some((version, cached)) = &self.cached else {
             self.phase = Phase::Reading;
             return vec![ClaimAction::Get];
         };
         let expected = *version;
-        let mut object = known.clone();
+        let mut object = cached.clone();
         object.prune(now_ms, self.window_ms);
         object
             .claims
             .retain(|_, claim| !self.withdrawn.contains(&claim.nonce));
         let mut actions = Vec::new();
-        for ask in std::mem::take(&mut self.waiting) {
-            self.merge(ask, &mut object, &mut actions);
+        for pending in std::mem::take(&mut self.pending) {
+            self.add_claim(pending, &mut object, &mut actions);
         }
         if self.in_flight.is_empty() {
             return actions;
@@ -306,33 +317,41 @@
             actions.extend(self.refuse_all(ClaimRefusal::Unavailable));
             return actions;
         };
-        self.proposed = object;
+        self.in_flight_value = object;
         self.phase = Phase::Writing;
         actions.push(ClaimAction::Put { expected, value });
         actions
     }
 
-    fn merge(&mut self, ask: Ask, object: &mut ClaimObject, actions: &mut Vec<ClaimAction>) {
-        if let Some(existing) = object.claims.get(&ask.digest) {
-            let action = if existing.nonce == ask.claim.nonce {
-                ClaimAction::Granted { ask: ask.id }
+    /// Adds a request's claim to the object, or answers the request at once.
+    fn add_claim(
+        &mut self,
+        pending: PendingClaim,
+        object: &mut ClaimObject,
+        actions: &mut Vec<ClaimAction>,
+    ) {
+        if let Some(existing) = object.claims.get(&pending.digest) {
+            let action = if existing.nonce == pending.claim.nonce {
+                ClaimAction::Granted { id: pending.id }
             } else {
                 ClaimAction::Taken {
-                    ask: ask.id,
+                    id: pending.id,
                     claim: existing.clone(),
                 }
             };
             actions.push(action);
             return;
         }
-        if (object.claims.len() + 1) * CLAIM_BYTES > MAX_OBJECT_BYTES {
+        if (object.claims.len() + 1) * MAX_CLAIM_BYTES > MAX_OBJECT_BYTES {
             actions.push(ClaimAction::Refused {
-                ask: ask.id,
+                id: pending.id,
                 refusal: ClaimRefusal::Full,
             });
             return;
         }
-        object.claims.insert(ask.digest.clone(), ask.claim.clone());
-        self.in_flight.push(ask);
+        object
+            .claims
+            .insert(pending.digest.clone(), pending.claim.clone());
+        self.in_flight.push(pending);
     }
 }
--- a/crates/rookferry_core/src/config/mod.rs
+++ b/crates/rookferry_core/src/config/mod.rs
@@ -1,18 +1,18 @@
-//! The site's configuration: its types, how it is read, and its checks.
+//! The site configuration: its types, parsing and validation.
 //!
-//! The same document is in force on every instance. It is checked whole
-//! before it is written to the platform, and once more by each instance that
-//! adopts it, so that a bad one never takes effect.
+//! All instances run the same document. It is validated as a whole before it is
+//! written to the platform, and again by each instance that adopts it, so that
+//! an invalid document never becomes active.
 
 mod diff;
-mod fault;
+mod error;
 mod read;
 mod site;
 mod validate;
 
 pub use diff::changed_paths;
-pub use fault::ConfigFault;
-pub use fault::ConfigFaults;
+pub use error::ConfigError;
+pub use error::ConfigErrors;
 pub use read::read_json;
 pub use site::AccountConfig;
 pub use site::ChooserKind;
--- a/crates/rookferry_core/src/config/read.rs
+++ b/crates/rookferry_core/src/config/read.rs
@@ -1,21 +1,22 @@
-//! Reads JSON documents with the path of each fault.
+//! Parses JSON documents and reports errors with their paths.
 
 use serde::de::DeserializeOwned;
 
-use super::ConfigFaults;
+use super::ConfigErrors;
 
-/// Reads a document; unknown keys are faults, each with its path.
+/// Parses a document; each unknown key is an error.
 ///
 /// # Errors
 ///
-/// All unknown keys, or the first place where a value doesn't fit.
-pub fn read_json<T: DeserializeOwned>(text: &str) -> Result<T, ConfigFaults> {
-    let mut faults = ConfigFaults::default();
+/// All unknown keys and trailing text; if a value has the wrong type or the JSON is
+/// malformed, the first such place and the unknown keys before it.
+pub fn read_json<T: DeserializeOwned>(text: &str) -> Result<T, ConfigErrors> {
+    let mut errors = ConfigErrors::default();
     let mut track = serde_path_to_error::Track::new();
     let mut json = serde_json::Deserializer::from_str(text);
     let tracked = serde_path_to_error::Deserializer::new(&mut json, &mut track);
     let parsed = serde_ignored::deserialize(tracked, |path| {
-        faults.push(
+        errors.push(
             path.to_string(),
             "unknown key",
             "remove it, or check its spelling against docs/OPERATIONS.md",
@@ -24,16 +25,16 @@
     let value = match parsed {
         Ok(value) => value,
         Err(error) => {
-            faults.push(
+            errors.push(
                 track.path().to_string(),
                 error.to_string(),
-                "give a value of the type that docs/OPERATIONS.md names",
+                "use a value of the type given in docs/OPERATIONS.md",
             );
-            return Err(faults);
+            return Err(errors);
         }
     };
     if let Err(error) = json.end() {
-        faults.push(".", error.to_string(), "remove what follows the document");
+        errors.push(".", error.to_string(), "remove the text after the document");
     }
-    faults.into_result(value)
+    errors.into_result(value)
 }
--- a/crates/rookferry_core/src/config/validate.rs
+++ b/crates/rookferry_core/src/config/validate.rs
@@ -1,75 +1,77 @@
-//! Checks that concern more than one value of the configuration.
+//! Validation of the site configuration: limits, and references between its parts.
+//!
+//! All checks run, so that one pass reports every error.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-use super::ConfigFaults;
+use super::ConfigErrors;
 use super::read_json;
 use super::site::ObjectiveKind;
 use super::site::SiteConfig;
 
 /// Hex digits of a SHA-256 digest.
 const DIGEST_HEX_DIGITS: usize = 64;
-/// The highest priority that engines honour.
+/// The highest priority that engines support.
 const MAX_PRIORITY: u8 = 9;
-/// The largest value that the platform holds, in bytes.
+/// The largest value that the platform stores, in bytes.
 const MAX_OBJECT_BYTES: usize = 1_000_000;
 
 impl SiteConfig {
-    /// Reads and checks a configuration.
+    /// Parses and validates a configuration.
     ///
     /// ```
     /// use rookferry_core::SiteConfig;
     ///
-    /// let faults = SiteConfig::from_json(r#"{"routes": [{"name": "all", "pool": "main"}]}"#);
-    /// assert!(faults.unwrap_err().to_string().starts_with("routes[0].pool"));
+    /// let errors = SiteConfig::from_json(r#"{"routes": [{"name": "all", "pool": "main"}]}"#);
+    /// assert!(errors.unwrap_err().to_string().starts_with("routes[0].pool"));
     /// ```
     ///
     /// # Errors
     ///
-    /// Every fault found, each with its path and the likely fix.
-    pub fn from_json(text: &str) -> Result<Self, ConfigFaults> {
+    /// All errors found, each with its path and the likely correction.
+    pub fn from_json(text: &str) -> Result<Self, ConfigErrors> {
         if text.len() > MAX_OBJECT_BYTES {
-            let mut faults = ConfigFaults::default();
-            faults.push(
+            let mut errors = ConfigErrors::default();
+            errors.push(
                 ".",
                 format!(
-                    "{} bytes are more than the platform's {MAX_OBJECT_BYTES}",
+                    "{} bytes exceed the platform's limit of {MAX_OBJECT_BYTES} bytes",
                     text.len()
                 ),
-                "share labels and selectors between rules to make it shorter",
+                "shorten the document, for example by sharing labels and selectors between rules",
             );
-            return Err(faults);
+            return Err(errors);
         }
         let config: Self = read_json(text)?;
-        let mut faults = ConfigFaults::default();
-        config.check(&mut faults);
-        faults.into_result(config)
+        let mut errors = ConfigErrors::default();
+        config.check(&mut errors);
+        errors.into_result(config)
     }
 
-    fn check(&self, faults: &mut ConfigFaults) {
-        self.check_models(faults);
-        self.check_accounts(faults);
-        self.check_routes(faults);
-        self.check_services(faults);
-        self.check_placement(faults);
-        self.check_objectives(faults);
-        self.check_policy(faults);
+    fn check(&self, errors: &mut ConfigErrors) {
+        self.check_models(errors);
+        self.check_accounts(errors);
+        self.check_routes(errors);
+        self.check_services(errors);
+        self.check_placement(errors);
+        self.check_objectives(errors);
+        self.check_policy(errors);
     }
 
-    fn check_models(&self, faults: &mut ConfigFaults) {
+    fn check_models(&self, errors: &mut ConfigErrors) {
         for (name, model) in &self.models {
             if model.layers == 0 {
-                faults.push(
+                errors.push(
                     format!("models.{name}.layers"),
-                    "0 layers",
-                    "give the model's number of layers",
+                    "a model must have at least 1 layer",
+                    "set the model's number of layers",
                 );
             }
         }
     }
 
-    fn check_accounts(&self, faults: &mut ConfigFaults) {
+    fn check_accounts(&self, errors: &mut ConfigErrors) {
         let mut owners: BTreeMap<String, &String> = BTreeMap::new();
         for (name, account) in &self.accounts {
             let path = format!("accounts.{name}");
@@ -77,140 +79,137 @@
             let is_digest =
                 digest.len() == DIGEST_HEX_DIGITS && digest.chars().all(|c| c.is_ascii_hexdigit());
             if !is_digest {
-                faults.push(
+                errors.push(
                     format!("{path}.key_sha256"),
                     format!(
-                        "{} characters that are no SHA-256 digest in hex",
+                        "a value of {} characters is not a SHA-256 digest in hex",
                         digest.len()
                     ),
                     "use the output of `rookferryctl digest`",
                 );
             }
             if let Some(other) = owners.insert(digest.to_ascii_lowercase(), name) {
-                faults.push(
+                errors.push(
                     format!("{path}.key_sha256"),
-                    format!("the same key as account {other}"),
-                    "give each account a key of its own",
+                    format!("this key is already used by account {other}"),
+                    "use a different key for each account",
                 );
             }
             if !(account.weight.is_finite() && account.weight > 0.0) {
-                faults.push(
+                errors.push(
                     format!("{path}.weight"),
-                    format!("weight {} is not above 0", account.weight),
+                    format!("weight {} is not greater than 0", account.weight),
                     "use 1 for an ordinary account",
                 );
             }
             if account.max_concurrent == 0 {
-                faults.push(
+                errors.push(
                     format!("{path}.max_concurrent"),
-                    "0 admits nothing",
-                    "remove the account to shut it out",
+                    "a limit of 0 refuses every request",
+                    "remove the account to disable it",
                 );
             }
         }
     }
 
-    fn check_routes(&self, faults: &mut ConfigFaults) {
+    fn check_routes(&self, errors: &mut ConfigErrors) {
         let mut names = BTreeSet::new();
         for (index, route) in self.routes.iter().enumerate() {
             let path = format!("routes[{index}]");
-            self.check_pool(&format!("{path}.pool"), &route.pool, faults);
+            self.check_pool(&format!("{path}.pool"), &route.pool, errors);
             if !names.insert(&route.name) {
-                faults.push(
+                errors.push(
                     format!("{path}.name"),
-                    format!("{:?} is taken by an earlier route", route.name),
-                    "give each route its own name",
+                    format!("{:?} is already used by an earlier route", route.name),
+                    "use a unique name for each route",
                 );
             }
             if route.priority > MAX_PRIORITY {
-                faults.push(
+                errors.push(
                     format!("{path}.priority"),
-                    format!("{} is above {MAX_PRIORITY}", route.priority),
-                    "use 0 to 9, higher first",
+                    format!("priority {} is greater than {MAX_PRIORITY}", route.priority),
+                    "use 0 to 9; higher values are served first",
                 );
             }
             if route.deadline_ms == 0 {
-                faults.push(
+                errors.push(
                     format!("{path}.deadline_ms"),
-                    "0 refuses everything",
-                    "leave it out for 30000",
+                    "a deadline of 0 refuses every request",
+                    "omit it for the default of 30000",
                 );
             }
         }
     }
 
-    fn check_services(&self, faults: &mut ConfigFaults) {
+    fn check_services(&self, errors: &mut ConfigErrors) {
         for (name, service) in &self.services {
-            self.check_pool(&format!("services.{name}.pool"), &service.pool, faults);
+            self.check_pool(&format!("services.{name}.pool"), &service.pool, errors);
         }
     }
 
-    fn check_placement(&self, faults: &mut ConfigFaults) {
+    fn check_placement(&self, errors: &mut ConfigErrors) {
         for (index, rule) in self.placement.iter().enumerate() {
             let path = format!("placement[{index}]");
             let Some(model) = self.models.get(&rule.model) else {
-                faults.push(
+                errors.push(
                     format!("{path}.model"),
-                    format!("no model {:?}", rule.model),
+                    format!("unknown model {:?}", rule.model),
                     "add it under models",
                 );
                 continue;
             };
             if rule.layers.is_empty() || rule.layers.end > model.layers {
-                faults.push(
+                errors.push(
                     format!("{path}.layers"),
                     format!(
-                        "{}..{} is no range within {} layers",
+                        "{}..{} is not a valid range within {} layers",
                         rule.layers.start, rule.layers.end, model.layers
                     ),
-                    "start must be below end, and end at most the model's layers",
+                    "use a start below the end, and an end of at most the model's number of layers",
                 );
             }
         }
     }
 
-    fn check_objectives(&self, faults: &mut ConfigFaults) {
+    fn check_objectives(&self, errors: &mut ConfigErrors) {
         for (index, objective) in self.objectives.iter().enumerate() {
             let path = format!("objectives[{index}]");
             if !(objective.target > 0.0 && objective.target < 1.0) {
-                faults.push(
+                errors.push(
                     format!("{path}.target"),
-                    format!(
-                        "{} leaves no error budget between 0 and 1",
-                        objective.target
-                    ),
-                    "use a share such as 0.95",
+                    format!("target {} is not between 0 and 1", objective.target),
+                    "use a fraction such as 0.95",
                 );
             }
             if objective.kind != ObjectiveKind::Availability && objective.limit_ms == 0 {
-                faults.push(
+                errors.push(
                     format!("{path}.limit_ms"),
-                    "a time objective without a limit",
-                    "give the limit in ms",
+                    "a latency objective requires a limit",
+                    "set the limit in milliseconds",
                 );
             }
             if let Some(route) = &objective.route
                 && !self.routes.iter().any(|known| known.name == *route)
             {
-                faults.push(
+                errors.push(
                     format!("{path}.route"),
-                    format!("no route {route:?}"),
-                    "name a route of this document",
+                    format!("unknown route {route:?}"),
+                    "use the name of a route in this document",
                 );
             }
             if let Some(account) = &objective.account
                 && !self.accounts.contains_key(account)
             {
-                faults.push(
+                errors.push(
                     format!("{path}.account"),
-                    format!("no account {account:?}"),
+                    format!("unknown account {account:?}"),
                     "add it under accounts",
                 );
             }
         }
     }
 
-    fn check_policy(&self, faults: &mut ConfigFaults) {
+    fn check_policy(&self, errors: &mut ConfigErrors) {
         let policy = &self.policy;
         let shares = [
             ("overcommit", policy.overcommit, 0.1, 16.0),
@@ -225,31 +224,31 @@
         ];
         for (name, value, least, most) in shares {
             if !(least..=most).contains(&value) {
-                faults.push(
+                errors.push(
                     format!("policy.{name}"),
-                    format!("{value} is outside {least} to {most}"),
-                    "leave it out for the default",
+                    format!("{value} is not in the range {least} to {most}"),
+                    "omit it for the default",
                 );
             }
         }
         if policy.queue_limit == 0 {
-            faults.push(
+            errors.push(
                 "policy.queue_limit",
-                "0 lets nothing wait",
-                "leave it out for 512",
+                "a limit of 0 refuses every request that would have to wait",
+                "omit it for the default of 512",
             );
         }
     }
 
-    fn check_pool(&self, path: &str, pool: &str, faults: &mut ConfigFaults) {
+    fn check_pool(&self, path: &str, pool: &str, errors: &mut ConfigErrors) {
         if self.pools.contains_key(pool) {
             return;
         }
         let known: Vec<&str> = self.pools.keys().map(String::as_str).collect();
-        faults.push(
+        errors.push(
             path,
-            format!("no pool {pool:?}"),
-            format!("add it under pools, or use one of [{}]", known.join(", ")),
+            format!("unknown pool {pool:?}"),
+            format!("add it under pools, or use one of: {}", known.join(", ")),
         );
     }
 }
--- a/crates/rookferry_core/src/member/adopt.rs
+++ b/crates/rookferry_core/src/member/adopt.rs
@@ -4,7 +4,7 @@
 
 use rookferry_wire::ObjectVersion;
 
-use crate::ConfigFaults;
+use crate::ConfigErrors;
 use crate::SiteConfig;
 
 /// Result of offering a configuration.
@@ -15,7 +15,7 @@
     /// Its version isn't higher than the highest one in force or rejected so far.
     NotNewer,
     /// It is newer but invalid; the one in force stays.
-    Invalid(ConfigFaults),
+    Invalid(ConfigErrors),
 }
 
 /// Tracks the version in force and the highest rejected version.
--- a/crates/rookferry_relay/src/placement/lease_keeper.rs
+++ b/crates/rookferry_relay/src/placement/lease_keeper.rs
@@ -147,7 +147,7 @@
                     self.reset_on_era_change();
                     self.read_at = Some(requested_at);
                     if read.version.era == self.era {
-                        self.lease.observed(requested_at, read.value.as_ref());
+                        self.lease.on_read(requested_at, read.value.as_ref());
                         self.must_reread = false;
                         self.record_answer();
                     }
@@ -160,18 +160,19 @@
         }
         // A lease that isn't read while a holder is known only looks expired.
         let may_write = self.is_holder() || (is_due && !is_holder_known);
-        if may_write && let LeaseAction::Write { expected, object } = self.lease.next(clock::now())
+        if may_write
+            && let LeaseAction::Write { expected, object } = self.lease.next_action(clock::now())
         {
             let sent_at = clock::now();
             let expected = StoreVersion::new(self.era, expected);
             match self.relay.store.write_lease(expected, &object).await {
                 Ok(version) => {
-                    self.lease.written(sent_at, version.revision, object);
+                    self.lease.on_written(sent_at, version.revision, object);
                     self.record_answer();
                     self.was_holder = true;
                 }
                 Err(StoreError::Conflict { current }) => {
-                    self.lease.observed(clock::now(), current.as_ref());
+                    self.lease.on_read(clock::now(), current.as_ref());
                     self.record_answer();
                 }
                 // It may have been written over another holder's lease.
@@ -195,7 +196,7 @@
         }
         self.must_reread |= self.was_holder;
         self.era = era;
-        self.lease.forget();
+        self.lease.reset();
         self.was_holder = false;
         self.read_at = None;
     }
