--- a/crates/rookferry_core/src/config/validate.rs
+++ b/crates/rookferry_core/src/config/validate.rs
@@ -248,7 +248,7 @@
         errors.push(
             path,
             format!("unknown pool {pool:?}"),
-            format!("add it under pools, or use one of: {}", known.join(", ")),
+            format!("add it under pools, or use one of [{}]", known.join(", ")),
         );
     }
 }
--- a/crates/rookferry_core/src/lib.rs
+++ b/crates/rookferry_core/src/lib.rs
@@ -14,12 +14,12 @@
 //! | [`ClaimWriter`], [`TicketIssuer`] | may this request be dispatched, at most once? |
 //! | [`Undispatched`], [`Verdict`] | which outcome may be reported to the caller? |
 //! | [`FairQueue`], [`DrainRate`], [`RetryBudget`] | which request runs next, and which are refused? |
-//! | [`MemberTable`], [`HeartbeatPlan`], [`Lease`] | which servers are alive, and which instance orders engines? |
+//! | [`MemberTable`], [`HeartbeatPlan`], [`Lease`] | which members are alive, and which instance orders engines? |
 //! | [`PathFinder`], [`LayoutPlanner`] | which engines form a pipeline that forwards activations directly? |
 //! | [`PeerTable`], [`Fanout`] | which instances are alive, and what is sent to which of them? |
 //! | [`ServerLimits`], [`PermitGranter`] | do all instances together stay within a server's limit? |
 //! | [`ServingIndex`], [`Directory`], [`ServerHealth`] | to which server may this request go now? |
-//! | [`throughput_bound`], [`WindowCount`] | how close is throughput to its bound, and how fast are error budgets spent? |
+//! | [`throughput_bound`], [`WindowCount`] | what is the highest possible throughput, and how fast are error budgets spent? |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
