--- a/crates/rookferry_core/tests/backoffs.rs
+++ b/crates/rookferry_core/tests/backoffs.rs
@@ -1,4 +1,4 @@
-//! How long a backoff that a server asked for holds.
+//! How long a backoff that a server requested lasts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 const MINUTE: Duration = Duration::from_mins(1);
 
-/// A start of the one server.
+/// Key of one incarnation of the server.
 fn start(born: u64) -> ServerKey {
     let addr = SocketAddr::from(([10, 0, 0, 1], 8_000));
     ServerKey::new(addr, "server", Some(born))
--- a/crates/rookferry_core/tests/closed.rs
+++ b/crates/rookferry_core/tests/closed.rs
@@ -1,4 +1,5 @@
-//! Engines that refuse work though they have room: how often they are tried.
+//! Engines that refuse work although they have free cache: how often they are tried, and
+//! when they are tried again.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -16,9 +17,9 @@
 use rookferry_wire::LayerRange;
 
 const INSTANCES: usize = 59;
-/// Streams that arrive in the domain, one each.
+/// Interval between streams that arrive in the domain.
 const ARRIVAL: Duration = Duration::from_millis(12);
-/// How old what others tell is.
+/// Delay of reports from peers.
 const TOLD_AFTER: Duration = Duration::from_millis(200);
 const ROOM_TOKENS: f64 = 100_000.0;
 const STREAM_TOKENS: f64 = 900.0;
@@ -28,7 +29,7 @@
     ServerKey::new(addr, &format!("engine-{number}"), None)
 }
 
-/// A domain's engines: four stages, three engines for each.
+/// A domain's engines: three for each of four stages.
 fn engines() -> Vec<PipelineEngine> {
     let engine = |number: u16| PipelineEngine {
         engine: format!("engine-{number}").into(),
@@ -46,11 +47,11 @@
     (0..12).map(engine).collect()
 }
 
-/// What one instance did, and when others hear of it.
+/// When peers receive an observation, the instance that made it, and the observation.
 type Told = (Duration, usize, RefusingObservation);
 
-/// Plays streams for some time with engines that refuse all from the start;
-/// tells how many tries were refused.
+/// Simulates streams for `length` while the engines in `leaving` refuse all of them, and
+/// returns how many tries were refused. With `shares` instances advertise refusals.
 fn refused_tries(leaving: &[u16], shares: bool, length: Duration) -> usize {
     let start = Instant::now();
     let mut rng = StdRng::seed_from_u64(1);
@@ -59,7 +60,7 @@
         .collect::<Vec<_>>();
     let mut told: VecDeque<Told> = VecDeque::new();
     let mut engines = engines();
-    // Nothing is under way where nothing is taken.
+    // An engine that accepts nothing has nothing in its cache.
     for engine in &mut engines {
         if leaving.contains(&engine.addr().port()) {
             engine.used_tokens = 0.0;
@@ -157,7 +158,7 @@
     closed.refused(key(1), 0.0, ROOM_TOKENS, now);
     closed.accepted(key(1), now);
     assert!(!closed.is_refusing(key(1), now));
-    // A word from before that says nothing new.
+    // A report from before the acceptance is outdated.
     let old = RefusingObservation {
         server: key(1),
         age_ms: 300,
--- a/crates/rookferry_core/tests/departed.rs
+++ b/crates/rookferry_core/tests/departed.rs
@@ -1,4 +1,5 @@
-//! That a server leaves is known by itself, whichever list is in force.
+//! Leaving and removed servers are remembered apart from the list of servers, whichever
+//! list is active.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -66,12 +67,15 @@
     assert!(departed.record(start(1), Departure::Gone(version(1, 7)), now));
     assert!(departed.contains(start(1)));
     departed.adopt_list(version(1, 6), now, |_| true);
-    assert!(departed.contains(start(1)), "the list is from before");
+    assert!(
+        departed.contains(start(1)),
+        "the list is older than the removal"
+    );
     departed.adopt_list(version(1, 7), now, |_| true);
-    assert!(!departed.contains(start(1)), "it is there again");
-    // Late word of it is no news.
+    assert!(!departed.contains(start(1)), "the list contains it again");
+    // A late report of the removal is no change.
     assert!(!departed.record(start(1), Departure::Gone(version(1, 7)), now));
-    // Nor is word from before a restore.
+    // Nor is a report from before a restore of the store.
     departed.adopt_list(version(2, 1), now, |_| true);
     assert!(!departed.record(start(2), Departure::Gone(version(1, 90)), now));
     assert!(!departed.contains(start(2)));
@@ -93,14 +97,16 @@
         assert!(other.merge(seen, now + SECOND));
         assert!(!other.merge(seen, now + SECOND));
     }
-    // The age goes on from the first who knew, so that it is told on no longer.
+    // The age counts from the first instance's record, so peers don't advertise it
+    // longer.
     let again = other.advertised(1, 0, now + 2 * SECOND);
     assert!(again[0].age_ms >= 1_900, "{}", again[0].age_ms);
     assert!(other.advertised(24, 0, now + MINUTE).is_empty());
 }
 
-/// A fiftieth of 3,000 servers is scaled in at once, a thirtieth is released; at twice
-/// that size as well. Where the latest alone are told the others never are.
+/// Guards against advertising only the latest departures, so that the others never reach
+/// the peers. A fiftieth of 3,000 servers leaves at once in a scale-in, a thirtieth in a
+/// release; twice as many in a site of twice the size.
 #[rstest]
 #[case::few(10)]
 #[case::a_scale_in(60)]
@@ -113,7 +119,7 @@
     for born in 0..leaving {
         departed.record(start(born), Departure::Leaving, now);
     }
-    // The turns of four seconds, two rounds each.
+    // The rotations of four seconds, two rounds each.
     let told = (0..13).flat_map(|turn| {
         let told = departed.advertised(MOST, turn, now + SECOND);
         assert!(told.len() <= MOST);
--- a/crates/rookferry_core/tests/duties.rs
+++ b/crates/rookferry_core/tests/duties.rs
@@ -1,4 +1,5 @@
-//! Which instances of a large domain carry its duties.
+//! Which instances of a large domain rank first and so carry its duties, such as
+//! aggregating its loads.
 
 #[path = "support/peer_site.rs"]
 mod peer_site;
@@ -10,7 +11,7 @@
 const DOMAINS: usize = 2;
 const PER_DOMAIN: usize = 60;
 
-/// A site in which a few machines of each domain are large, not those with the lowest
+/// A site with a few large machines in each domain, which are not those with the lowest
 /// addresses.
 fn site_with_large_machines(seed: u64) -> Site {
     let mut site = Site::start(DOMAINS, PER_DOMAIN, seed);
@@ -32,7 +33,7 @@
     number >= 30 && number < 33
 }
 
-/// The places of the instances that are the first of their domain.
+/// Indices of the running instances that rank first in their domain.
 fn first(site: &Site) -> Vec<usize> {
     let now = site.now();
     let instances = site.instances.iter().enumerate();
--- a/crates/rookferry_core/tests/fleet_costs.rs
+++ b/crates/rookferry_core/tests/fleet_costs.rs
@@ -1,5 +1,5 @@
-//! What heartbeats cost an instance, by the size of the site: the table of docs/CAPACITY.md
-//! rests on these counts.
+//! Cost of heartbeats for an instance, by the size of the site. The table of
+//! docs/CAPACITY.md is based on these counts.
 
 #[path = "support/peer_site.rs"]
 mod peer_site;
@@ -9,13 +9,12 @@
 use rstest::rstest;
 
 const DOMAINS: usize = 5;
-/// Large machines in each domain, which carry its duties.
+/// Number of large machines in each domain, which carry its duties.
 const LARGE: usize = 2;
-/// What an instance may send and be sent for control in a second, by the users' first
-/// letter.
+/// Most bytes of control traffic that an instance may send, and receive, in a second.
 const BUDGET_BYTES: usize = 17_000;
 
-/// What one instance sends and is sent in a second.
+/// Datagrams and bytes that one instance sends and receives in a second.
 #[derive(Clone, Copy, Debug)]
 struct Cost {
     datagrams: usize,
@@ -23,7 +22,7 @@
     received_bytes: usize,
 }
 
-/// A site that starts.
+/// A site whose instances are starting.
 fn site(per_domain: usize) -> Site {
     let mut site = Site::start(DOMAINS, per_domain, 1);
     for (place, instance) in site.instances.iter_mut().enumerate() {
@@ -35,8 +34,8 @@
     site
 }
 
-/// The costs of all instances of a site that has been up for a while; by the datagrams
-/// that they send.
+/// Costs of all instances of a site that has run for two seconds, sorted by the number of
+/// datagrams that they send.
 fn costs(per_domain: usize) -> Vec<Cost> {
     let mut site = site(per_domain);
     site.run_for(2_000);
@@ -55,8 +54,8 @@
     costs
 }
 
-/// What a small machine pays for the others doesn't grow with their number, and what the
-/// large ones pay grows no faster than it.
+/// The cost of a small machine must not grow with the number of instances, and that of
+/// the large ones no faster than that number.
 #[rstest]
 #[case::three_hundred(60)]
 #[case::thousand(200)]
@@ -72,8 +71,8 @@
     assert!(busiest.datagrams <= 400 + members, "{busiest:?}");
 }
 
-/// All start at once and hear nobody yet: none writes to all of its domain because of
-/// that.
+/// All instances start at once and have received no heartbeats yet. None may send to its
+/// whole domain because of that.
 #[rstest]
 #[case::three_hundred(60)]
 #[case::thousand(200)]
--- a/crates/rookferry_core/tests/limits.rs
+++ b/crates/rookferry_core/tests/limits.rs
@@ -1,7 +1,9 @@
-//! A server named the requests a second that it takes of all instances together,
-//! and each instance went on alone: 50 came in four seconds where 34 were allowed.
-//! Here many instances that only hear each other's heartbeats share a limit, in
-//! virtual time and with seeds.
+//! Instances share the request limit that a server names, without exceeding it and
+//! without leaving it unused.
+//!
+//! Guards against instances that each apply the limit alone: 50 requests came in four
+//! seconds where 34 were allowed. Here many instances that exchange only heartbeats and
+//! permit requests share a limit, in virtual time and with fixed seeds.
 
 #[path = "support/limited_site.rs"]
 mod limited_site;
@@ -25,14 +27,15 @@
 use rookferry_core::ServerLimits;
 use rstest::rstest;
 
-/// The span that a limit is looked at over.
+/// Window over which a limit is checked.
 const SPAN_MS: u64 = 4_000;
-/// How long instances have to go by a limit that was named.
+/// Time within which all instances apply a limit that was named.
 const CONTACT_MS: u64 = 3_000;
-/// The part of a limit that is used while there are more requests than that.
+/// Least share of a limit that is used while there are more requests than it allows.
 const LEAST_USE: f64 = 0.8;
 
-/// One and a half times what a limit allows in a span, and five requests.
+/// Most requests that may arrive in a window: one and a half times what the limit allows,
+/// and five.
 fn most_in_span(limit_per_s: f64) -> f64 {
     1.5 * limit_per_s * 4.0 + 5.0
 }
@@ -41,7 +44,8 @@
     f64::from(u32::try_from(number).expect("a few"))
 }
 
-/// A site that has run for a while, with some requests for a server.
+/// A site that has run for six seconds, the last two with `per_s` requests a second. With
+/// `skew` nine tenths of them arrive at one instance.
 fn pressed(domains: usize, per_domain: usize, per_s: f64, skew: bool, seed: u64) -> LimitedSite {
     let mut site = LimitedSite::start(domains, per_domain, seed);
     let instances = site.demand_per_s.len();
@@ -123,10 +127,10 @@
     site.run_for(4_000);
     let all = 15.0 * 4.0;
     let arrived = count(site.arrived(lifted_ms, lifted_ms + 4_000));
-    assert!(arrived > all * 0.7, "{arrived} of {all} once it is over");
+    assert!(arrived > all * 0.7, "{arrived} of {all} once it is lifted");
 }
 
-/// The instance that grants ends, and starts again.
+/// The granter crashes and starts again.
 #[rstest]
 fn the_granter_may_end(
     #[values((1, 3), (3, 3), (3, 20), (3, 100))] size: (usize, usize),
@@ -156,7 +160,7 @@
     );
 }
 
-/// The server's domain is cut off; the others can't reach it either.
+/// The server's domain is cut off, so the other domains can't reach the server either.
 #[rstest]
 fn a_domain_that_is_cut_off_uses_its_server(
     #[values((3, 3), (3, 20), (3, 100))] size: (usize, usize),
@@ -178,8 +182,8 @@
     );
 }
 
-/// Some instances of each domain are cut off from the others, and all still reach
-/// the server.
+/// Some instances of each domain are cut off from the others, and all still reach the
+/// server. Both sides may grant permits.
 #[rstest]
 fn sides_of_a_cut_share_a_limit(
     #[values((1, 3), (3, 2), (3, 3), (3, 20), (3, 100))] size: (usize, usize),
@@ -207,7 +211,7 @@
     );
 }
 
-/// All instances start again together, and hear of the limit anew.
+/// All instances restart together and receive the limit anew.
 #[rstest]
 fn a_limit_holds_when_all_start_again(#[values((3, 3), (3, 20), (3, 100))] size: (usize, usize)) {
     let limit_per_s = 4.9;
@@ -224,7 +228,7 @@
     check_use(&site, limit_per_s, started_ms + 5_000, site.site.now_ms);
 }
 
-/// The more urgent go first.
+/// Where permits are scarce the more urgent requests get them.
 #[rstest]
 fn the_less_urgent_are_turned_away_first(
     #[values((3, 3), (3, 20), (3, 100))] size: (usize, usize),
@@ -279,7 +283,7 @@
     assert!((1..=20).contains(&taken), "{taken} in a minute");
 }
 
-/// What was sent before the limit was known still counts, and is over in time.
+/// Requests sent before the limit was known count until their window has passed.
 #[test]
 fn what_was_sent_before_holds_permits_back_for_a_span() {
     let now = Instant::now();
@@ -288,13 +292,14 @@
         granter.record_sent(Duration::from_millis(500), now);
     }
     let soon = now + Duration::from_secs(3);
-    let refusal = granter.take(URGENT, 1.0, soon).expect_err("a full span");
+    let refusal = granter.take(URGENT, 1.0, soon).expect_err("a full window");
     assert!(refusal.ask_again_ms >= 500, "{refusal:?}");
     let later = now + Duration::from_secs(4);
     granter.take(URGENT, 1.0, later).expect("a permit");
 }
 
-/// More than can be remembered neither blocks for good nor grows without end.
+/// More reported requests than are stored neither block the granter for good nor grow
+/// its memory without bound.
 #[test]
 fn a_flood_of_told_sends_is_forgotten() {
     let now = Instant::now();
@@ -328,10 +333,10 @@
         limits.record_unlimited(key(), sent_at, later),
         Some(LimitChange::Lifted)
     );
-    // Another still tells of the time before.
+    // A peer still advertises the former limit.
     assert_eq!(limits.merge(seen(Some(3.0), 2_000), later), None);
     assert_eq!(limits.of(key()), None);
-    // And then of a later one.
+    // Then it advertises a newer one.
     let much_later = later + Duration::from_secs(3);
     assert_eq!(
         limits.merge(seen(Some(2.0), 100), much_later),
@@ -341,7 +346,8 @@
     assert_eq!(limits.of(key()), Some(rate(2.0)));
 }
 
-/// Told to and fro, a word comes back a little younger each time.
+/// Passed back and forth between instances, an observation would return a little younger
+/// each time and never expire.
 #[test]
 fn a_word_that_is_passed_on_does_not_grow_younger() {
     let now = Instant::now() + Duration::from_mins(1);
@@ -352,7 +358,8 @@
     assert_eq!(limits.age(key(), later), Some(Duration::from_secs(30)));
 }
 
-/// An answer to what was sent before the limit was named may have been made before.
+/// A response without a limit, to a request sent before the limit was named, may have
+/// been made before it.
 #[test]
 fn an_earlier_answer_lifts_no_limit() {
     let now = Instant::now();
--- a/crates/rookferry_core/tests/link_pace.rs
+++ b/crates/rookferry_core/tests/link_pace.rs
@@ -1,4 +1,5 @@
-//! Prompts of many instances over one link between failure domains.
+//! Instances share one link between failure domains: each limits the rate of the prompts
+//! that it sends over the link.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,12 +10,12 @@
 use rookferry_core::LinkRateLimiter;
 use rstest::rstest;
 
-/// How long callers wait for the first event.
+/// How long callers wait for the first event, in milliseconds.
 const PATIENCE_MS: f64 = 2_000.0;
 
-/// Plays arrivals at instances that share a link for some seconds; tells how
-/// many arrived and how many crossed within their callers' patience. Without a
-/// pace all are let in.
+/// Simulates 30 s of prompts that each occupy the shared link for `prompt_ms`. Returns
+/// how many arrived, and how many crossed the link before their callers' timeout. Without
+/// a rate limiter all are admitted.
 fn crossed(instances: usize, per_s: f64, prompt_ms: f64, has_pace: bool) -> (usize, usize) {
     let mut rng = StdRng::seed_from_u64(7);
     let start = Instant::now();
--- a/crates/rookferry_core/tests/list_history.rs
+++ b/crates/rookferry_core/tests/list_history.rs
@@ -1,4 +1,5 @@
-//! Lists of servers are passed on as what differs.
+//! Peers get the difference between lists of servers where the sender remembers their
+//! list, and the whole list otherwise.
 
 use std::net::SocketAddr;
 
@@ -37,7 +38,8 @@
     ListVersion::of(StoreVersion::new(0, revision))
 }
 
-/// What an instance that has `list` in force gives to one that has an earlier one.
+/// The delta from an earlier list to the active `list`; none where the earlier list isn't
+/// remembered.
 fn delta(
     history: &ListHistory,
     list: &[BackendServer],
@@ -48,7 +50,7 @@
 }
 
 proptest! {
-    /// Whatever changes, those who have one of the earlier lists end with the last.
+    /// Whatever changes, a delta turns the earlier list into the latest one.
     #[test]
     fn what_differs_makes_the_later_list_of_the_earlier_one(
         edits in vec((0..40_usize, any::<bool>()), 1..40),
@@ -120,8 +122,9 @@
     assert!(delta(&history, &list[1..], first).is_none());
 }
 
-/// A thirtieth of the servers is replaced, one after the other: what an instance that
-/// takes each list is sent grows with the changes, not with the servers times them.
+/// A thirtieth of the servers is replaced, one after the other. The bytes sent to an
+/// instance that follows each list grow with the number of changes, not with the changes
+/// times the servers.
 #[rstest]
 #[case::three_hundred(300)]
 #[case::three_thousand(3_000)]
@@ -146,7 +149,7 @@
         "{servers}: {sent_bytes} bytes, as whole lists {}",
         whole_bytes * changes
     );
-    // Each change is one entry, and a few bytes beside it.
+    // Each change is one entry, with a few bytes of overhead.
     let most = changes * 2 * whole_bytes / servers;
     assert!(sent_bytes <= most, "{sent_bytes} bytes of {most}");
 }
--- a/crates/rookferry_core/tests/members.rs
+++ b/crates/rookferry_core/tests/members.rs
@@ -1,4 +1,5 @@
-//! Heartbeats: replays, restarts, suspicion, plans, and authenticated bytes.
+//! Membership by heartbeat: replays, restarts, suspicion of silent members, the sending
+//! plan, polls of engines and authentication of datagrams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -80,7 +81,7 @@
     assert_eq!(suspected, [InstanceId::from("a")]);
     assert!(
         table.tick(start + Duration::from_secs(3)).is_empty(),
-        "told once"
+        "reported once"
     );
     assert_eq!(table.live_local(), [InstanceId::from("own")]);
     let later = start + Duration::from_secs(4);
@@ -118,7 +119,7 @@
     peers
 }
 
-/// At the size of the letter: 14 domains of 26 or 27 instances.
+/// At full size: 14 domains of 26 instances.
 #[test]
 fn the_plan_stays_within_its_bytes_at_full_size() {
     const BUDGET: u32 = 4_000;
@@ -129,7 +130,7 @@
     let near = round
         .iter()
         .filter(|peer| *peer.failure_domain == *"domain-0");
-    assert_eq!(near.count(), 26, "its own domain in full");
+    assert_eq!(near.count(), 26, "all of its own domain");
     assert_eq!(round.len(), 26 + 13, "one of each other domain");
     let interval = plan.interval(round.len(), DATAGRAM);
     let per_s = (round.len() * DATAGRAM) as f64 / interval.as_secs_f64();
@@ -167,8 +168,8 @@
         .collect();
     for number in 0..500 {
         let name = format!("object-{number}");
-        let before = rendezvous_owner(&name, &all).expect("a home");
-        let after = rendezvous_owner(&name, &rest).expect("a home");
+        let before = rendezvous_owner(&name, &all).expect("an owner");
+        let after = rendezvous_owner(&name, &rest).expect("an owner");
         assert!(before == after || **before == *"entry-4");
     }
 }
@@ -195,8 +196,8 @@
     }
 }
 
-/// Every engine is asked by exactly one instance of its domain while all see
-/// the same members, and by whoever misses it when that one is silent.
+/// Every engine is polled by exactly one instance of its domain while all know the same
+/// members, and by every instance without recent updates once that one is silent.
 #[test]
 fn each_engine_is_asked_by_one_and_missed_by_all() {
     let now = Instant::now();
@@ -236,8 +237,9 @@
     );
 }
 
-/// At the size of the letter thousands of engines of other domains are heard
-/// of rarely; they must not be asked by everyone all the time.
+/// Guards against a flood of polls at full size, where updates on the thousands of
+/// engines of other domains are rare: not every instance may poll all of them all the
+/// time.
 #[test]
 fn missed_engines_are_asked_within_the_budget() {
     assert_eq!(extra_polls_allowed(8, 0, 8_000), 1);
@@ -249,7 +251,7 @@
     );
 }
 
-/// A member whose rounds are long is waited for longer.
+/// A member with a longer heartbeat interval is suspected later.
 #[test]
 fn suspicion_follows_a_members_own_rounds() {
     let start = Instant::now();
@@ -266,8 +268,8 @@
     assert_eq!(suspected, [InstanceId::from("slow")]);
 }
 
-/// Members of other domains are heard of in turn, the more seldom the larger
-/// the own domain is.
+/// Members of other domains send to the own domain's instances in rotation, so each
+/// receives from them the less often the larger its domain is.
 #[test]
 fn far_members_are_waited_for_by_their_turns() {
     let start = Instant::now();
--- a/crates/rookferry_core/tests/news.rs
+++ b/crates/rookferry_core/tests/news.rs
@@ -1,5 +1,5 @@
-//! From the store's word that a server leaves to the last instance that knows, in virtual
-//! time, against the bounds that sites set.
+//! Time from the store's record that a server is leaving until the last instance knows
+//! it, in virtual time, against the bounds that sites configure.
 
 #[path = "support/news_site.rs"]
 mod news_site;
@@ -13,23 +13,23 @@
 use rand::RngExt;
 use rstest::rstest;
 
-/// What goes wrong right before the server leaves.
+/// A fault that occurs right before the server leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     Nothing,
-    /// The connections of all watches die without a word.
+    /// The connections of all watches die without a reset.
     SilentWatches,
-    /// All readers are cut off from the store.
+    /// All store readers are cut off from the store.
     ReadersCutOff,
-    /// All readers end.
+    /// All store readers crash.
     ReadersEnd,
-    /// One domain hears no other.
+    /// One domain is cut off from the others.
     DomainCutOff,
-    /// A tenth of the datagrams is lost.
+    /// A tenth of the datagrams are lost.
     Loss,
-    /// A third of the instances is late to take in what reaches them, some readers too.
+    /// A third of the instances, some store readers among them, handle datagrams late.
     SlowInstances,
-    /// A few at once.
+    /// Silent watches, a domain that is cut off and some loss at once.
     Several,
 }
 
@@ -44,7 +44,8 @@
     Fault::Several,
 ];
 
-/// Plays a fault; tells after how many milliseconds the last instance knew that is sound.
+/// Simulates a fault, and returns the milliseconds after which the last running instance
+/// knew that the server is leaving.
 fn last_knew_ms(
     domains: usize,
     per_domain: usize,
@@ -103,7 +104,7 @@
     let bound = Duration::from_secs(bound_s);
     let bound_ms = bound_s * 1_000;
     for fault in FAULTS {
-        // Nobody else is there to read, or to be heard.
+        // No other instance could read the store.
         let readers_are_all = per_domain == 1;
         if readers_are_all && matches!(fault, Fault::ReadersCutOff | Fault::ReadersEnd) {
             continue;
@@ -113,12 +114,12 @@
         println!("{domains} x {per_domain}, {bound_s} s, {fault:?}: {last_ms} ms");
         assert!(
             last_ms < bound_ms,
-            "{fault:?}: the last knew after {last_ms} ms"
+            "{fault:?}: the last instance knew after {last_ms} ms"
         );
     }
 }
 
-/// One instance a domain reads the store, whatever their number.
+/// One instance of each domain reads the store, however many there are.
 #[rstest]
 #[case::nine(3, 3)]
 #[case::sixty(3, 20)]
@@ -132,7 +133,7 @@
     let before = news.calls;
     news.run_for(20_000);
     let calls = news.calls - before;
-    // A watch of 0.75 s each, and a fifth for changes of the reader.
+    // Each watch waits 0.75 s; a fifth more is allowed for changes of the store reader.
     let expected = 20_000 / 750 * u64::try_from(domains).unwrap();
     assert!(
         calls <= expected * 6 / 5,
--- a/crates/rookferry_core/tests/news_budget.rs
+++ b/crates/rookferry_core/tests/news_budget.rs
@@ -1,4 +1,5 @@
-//! The waits on the way of the store's news, against the bounds that sites set.
+//! The waits while a change in the store propagates to all instances, against the bounds
+//! that sites configure, and the age of what an instance knows of the store.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,7 +16,7 @@
     let budget = PropagationBudget::new(bound);
     for way in PropagationPath::ALL {
         let longest = budget.worst_case(way);
-        // A twentieth is left for a slow machine.
+        // A twentieth is reserved for slow machines.
         assert!(longest <= bound * 19 / 20, "{way:?}: {longest:?}");
     }
 }
@@ -29,7 +30,7 @@
 #[rstest]
 fn a_word_that_a_sound_reader_tells_is_relied_on(#[values(2, 3, 4)] bound_s: u64) {
     let budget = PropagationBudget::new(Duration::from_secs(bound_s));
-    // It is confirmed by the watch before the one that waits, and told.
+    // The report was confirmed by the watch before the pending one, and then delivered.
     let oldest = 2 * budget.watch_wait() + budget.delivery();
     assert!(oldest < budget.max_report_age());
 }
@@ -50,7 +51,7 @@
     let at = |ms| start + Duration::from_millis(ms);
     let mut contact = StoreContact::new();
     contact.record_config_read(at(100));
-    assert_eq!(contact.age(at(500)), None, "the servers weren't read");
+    assert_eq!(contact.age(at(500)), None, "the servers haven't been read");
     contact.record_servers_read(at(300));
     assert_eq!(contact.age(at(500)), Some(Duration::from_millis(400)));
     contact.record_config_read(at(450));
@@ -59,7 +60,7 @@
     assert_eq!(contact.age(at(500)), Some(Duration::from_millis(100)));
 }
 
-/// Others take over at once, not only when the word has grown old.
+/// Peers take over at once, not only when the reader's report has expired.
 #[test]
 fn a_reader_whose_watch_is_overdue_is_not_relied_on() {
     let start = Instant::now();
@@ -71,7 +72,7 @@
     assert_eq!(contact.advertised_age(start), None);
     assert!(
         contact.age(start).is_some(),
-        "it serves on by what it knows"
+        "it goes on serving with what it knows"
     );
     contact.record_servers_read(start);
     assert!(contact.advertised_age(start).is_some());
--- a/crates/rookferry_core/tests/one_door.rs
+++ b/crates/rookferry_core/tests/one_door.rs
@@ -1,8 +1,8 @@
-//! Many instances, one door: overload of one engine by the instances of a
-//! domain, each of which lets requests in by what it knows of the others.
+//! Overload of one engine by the instances of its domain, each of which admits requests
+//! by the loads that the others advertise.
 //!
-//! Load pattern: callers come half as often again as the engine can serve, to
-//! instances at random, and those that are turned away don't come back.
+//! Load pattern: requests arrive at one and a half times the rate that the engine can
+//! serve, at random instances, and refused callers don't retry.
 
 #[path = "support/peer_site.rs"]
 mod peer_site;
@@ -14,26 +14,26 @@
 use rand::RngExt;
 use rstest::rstest;
 
-/// Requests that the engine has room for.
+/// Requests that the engine can serve at once.
 const ROOM: u32 = 300;
-/// How long one lasts.
+/// Duration of a request.
 const REQUEST_MS: u64 = 2_000;
-/// Callers for each that the engine can serve.
+/// Rate of requests as a multiple of the rate that the engine can serve.
 const OVERLOAD: f64 = 1.5;
 const STEP_MS: u64 = 10;
 
-/// What an overload came to.
+/// Load of the engine during an overload.
 #[derive(Debug, Default)]
 struct Played {
-    /// Requests under way at the most, and on the mean, as parts of the room.
+    /// Highest and mean number of requests in flight, as shares of the capacity.
     most: f64,
     mean: f64,
 }
 
-/// Requests at the engine of the first domain.
+/// Requests in flight at the engine of the first domain.
 struct Engine {
     members: Vec<usize>,
-    /// When each ends, and whose it is.
+    /// When each finishes, and the instance that sent it.
     under_way: BinaryHeap<std::cmp::Reverse<(u64, usize)>>,
 }
 
@@ -58,8 +58,8 @@
         }
     }
 
-    /// A caller comes to an instance; it is let in where there is room by what
-    /// is known there.
+    /// A request arrives at a random instance, which admits it if the loads known there
+    /// leave capacity.
     fn arrive(&mut self, site: &mut Site) {
         let place = self.members[site.rng.random_range(0..self.members.len())];
         let now = site.now();
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Has callers come for some time.
+    /// Overloads the engine for some time.
     fn overload(&mut self, site: &mut Site, for_ms: u64) -> Played {
         let capacity_per_ms = f64::from(ROOM) / REQUEST_MS as f64;
         let callers = capacity_per_ms * OVERLOAD * STEP_MS as f64;
@@ -96,7 +96,7 @@
     }
 }
 
-/// A site whose instances have nothing under way.
+/// A site whose instances have no requests in flight.
 fn idle_site(domains: usize, per_domain: usize, seed: u64) -> Site {
     let mut site = Site::start(domains, per_domain, seed);
     for instance in &mut site.instances {
@@ -116,15 +116,15 @@
 ) {
     let mut site = idle_site(domains, per_domain, 11);
     let mut engine = Engine::new(&site);
-    // Until the room is filled.
+    // Fills the engine.
     engine.overload(&mut site, 3_000);
     let played = engine.overload(&mut site, 9_000);
     assert!(played.most < 1.15, "{played:?}");
     assert!(played.mean > 0.9, "{played:?}");
 }
 
-/// The two first in order gather and tell a large domain's loads. Until the next
-/// two do, the others go by what they heard last.
+/// The two first-ranked instances aggregate the loads of a large domain. Until the next
+/// two take over, the others admit by the sums they received last.
 #[rstest]
 #[case::six(1, 6)]
 #[case::hundreds(5, 59)]
--- a/crates/rookferry_core/tests/overload.rs
+++ b/crates/rookferry_core/tests/overload.rs
@@ -1,4 +1,4 @@
-//! What callers are told while a site is over its capacity.
+//! Retry times that callers get while a site is over its capacity.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,7 +8,7 @@
 
 const MIDDLE: f64 = 0.5;
 
-/// Refusals each 10 ms until some time has passed; the last one.
+/// Records a refusal every 10 ms for `lasting`, and returns the last retry time.
 fn overloaded_for(overload: &mut Overload, start: Instant, lasting: Duration) -> Duration {
     let mut at = Duration::ZERO;
     let mut last = Duration::ZERO;
--- a/crates/rookferry_core/tests/peers.rs
+++ b/crates/rookferry_core/tests/peers.rs
@@ -1,4 +1,5 @@
-//! Heartbeats of hundreds of instances: who knows what, and how many are sent.
+//! Heartbeats of hundreds of simulated instances: what each instance knows and how soon,
+//! how many are sent, and how peers' reports are used.
 
 #[path = "support/peer_site.rs"]
 mod peer_site;
@@ -55,12 +56,12 @@
     let (busiest, others) = (rates[0], rates[heads]);
     assert!(
         others.0 <= 25.0,
-        "{others:?} datagrams a second of one that is no head"
+        "{others:?} datagrams a second of an instance that is no aggregator"
     );
     let members = (domains * per_domain) as f64;
     assert!(
         busiest.0 <= 4.0 * members,
-        "{busiest:?} datagrams a second of a head"
+        "{busiest:?} datagrams a second of an aggregator"
     );
     let mean = rates.iter().map(|(rate, _)| rate).sum::<f64>() / rates.len() as f64;
     assert!(mean <= 45.0, "{mean} datagrams a second on the mean");
@@ -80,8 +81,8 @@
     assert!(informed > 0.95, "{informed} know the loads of their domain");
 }
 
-/// A table in domain 0 that hears a member of a domain, which says that some
-/// servers don't answer it.
+/// Delivers a heartbeat of a member of a domain, which reports some servers as
+/// unresponsive, to a table in domain 0.
 fn hear_out(table: &mut PeerTable, domain: usize, out: &[ServerKey], now: Instant) {
     let from = instance_addr(domain, 7);
     let beat = Heartbeat {
@@ -102,17 +103,24 @@
     hear_out(&mut table, 0, &[lost], at(1_000));
     hear_out(&mut table, 0, &[lost], at(1_150));
     let doubted = table.suspected_servers(at(1_200));
-    assert!(doubted.is_excluded(lost, None), "it gave no sign");
-    assert!(doubted.is_excluded(lost, Some(at(900))), "a sign before");
-    assert!(!doubted.is_excluded(lost, Some(at(1_050))), "one since");
-    assert!(!doubted.is_excluded(engine_key(1), None), "another");
+    assert!(doubted.is_excluded(lost, None), "no liveness evidence");
+    assert!(
+        doubted.is_excluded(lost, Some(at(900))),
+        "evidence from before the report"
+    );
+    assert!(
+        !doubted.is_excluded(lost, Some(at(1_050))),
+        "evidence since the report"
+    );
+    assert!(!doubted.is_excluded(engine_key(1), None), "another server");
     hear_out(&mut table, 0, &[], at(1_300));
     let doubted = table.suspected_servers(at(1_300));
-    assert!(!doubted.is_excluded(lost, None), "it answers again");
+    assert!(!doubted.is_excluded(lost, None), "it responds again");
 }
 
-/// A sixteenth of 3,000 servers goes dark at once, of 6,000 as well: where a member
-/// tells the same ones each time the others are taken for sound.
+/// Guards against a member that advertises the same unresponsive servers each time, so
+/// that the others still count as responsive. A sixteenth of 3,000 servers, or of 6,000,
+/// fails at once.
 #[rstest]
 #[case::few(20)]
 #[case::a_sixteenth(180)]
@@ -142,7 +150,7 @@
         lost.iter().filter(is_doubted).count()
     };
     let doubted: Vec<usize> = (0..20).map(|turn| hear(&health, turn)).collect();
-    // Within turns of a second and a half, and from then on.
+    // After the rotations of a second and a half, and from then on.
     assert!(
         doubted[5..].iter().all(|count| *count == lost.len()),
         "{doubted:?}"
@@ -150,7 +158,7 @@
     for server in &lost {
         health.succeeded(*server, start + Duration::from_secs(6));
     }
-    assert_eq!(hear(&health, 20), 0, "all answer again");
+    assert_eq!(hear(&health, 20), 0, "all respond again");
 }
 
 #[test]
@@ -198,7 +206,7 @@
         assert_eq!(used.count(), 0, "{} uses some", instance.addr);
     }
     let asked: usize = site.instances.iter().map(|instance| instance.asked).sum();
-    assert!(asked <= 3 * lost.len(), "{asked} questions");
+    assert!(asked <= 3 * lost.len(), "{asked} probes");
 }
 
 #[test]
@@ -218,7 +226,7 @@
         let most = if heads.contains(&place) { 10 * 40 } else { 0 };
         assert!(
             instance.asked <= most,
-            "{} asked {} times",
+            "{} probed {} times",
             instance.addr,
             instance.asked
         );
@@ -234,8 +242,9 @@
     assert_eq!(of.should_probe(), is_asking);
 }
 
-/// Replays a start of all instances, whose heads are late: what is told is old,
-/// and an engine that hardly anybody uses stays in use.
+/// Guards against an engine that goes unused after a start of all instances: while the
+/// aggregators are late, the advertised loads are old, and estimated growth must not fill
+/// an engine that is nearly idle.
 #[test]
 fn an_engine_with_little_under_way_stays_in_use_while_heads_are_late() {
     let mut site = Site::start(1, 40, 3);
@@ -244,7 +253,7 @@
     let now = site.now();
     let table = &mut site.instances[last].table;
     let told = table.loads(now)[&engine_key(0)].requests;
-    // It has let in some of its own since; the heads fall silent.
+    // It has admitted requests of its own since, and the aggregators fall silent.
     let own = peer_site::entry(0, 1_000);
     table.set_own_loads(&[own]);
     let late = table.loads(now + Duration::from_millis(900));
@@ -328,10 +337,10 @@
     assert!(wrong.count() <= 3);
 }
 
-/// Told in whole seconds, rounded down, the word on a member looked fresh again each
-/// time that it was passed on: one that had ended was known to all for good, was
-/// written to, and had its part of all budgets. After 80 s all 9, 60 and 300 were
-/// still counted.
+/// Guards against members that never expire. With ages in whole seconds, rounded down,
+/// the report on a member looked fresh again each time it was passed on, so a crashed one
+/// stayed known to all, was sent heartbeats and counted in all budgets. After 80 s all 9,
+/// 60 and 300 were still counted.
 #[rstest]
 #[case::nine(3, 3)]
 #[case::sixty(3, 20)]
@@ -339,7 +348,7 @@
 fn a_member_that_ended_is_forgotten_by_all(#[case] domains: usize, #[case] per_domain: usize) {
     let mut site = Site::start(domains, per_domain, 12);
     site.run_for(6_000);
-    // Not one of the seeds, which are learnt anew.
+    // Not one of the seeds, which are added again in every round.
     site.instances[3].is_up = false;
     site.run_for(45_000);
     let count = domains * per_domain;
@@ -347,8 +356,9 @@
     assert!(known.iter().all(|known| *known == count - 1), "{known:?}");
 }
 
-/// A store's word that is a second old, told to an instance that started half a second
-/// ago: where it counted for nothing each start read the store until it was older.
+/// Guards against instances that ignore a peer's knowledge of the store from before their
+/// own start, and read the store themselves until they are older than it. The knowledge
+/// is one second old here, and the instance started half a second ago.
 #[rstest]
 #[case::older_than_the_instance(1_000)]
 #[case::younger(100)]
@@ -361,7 +371,7 @@
     };
     let known_at = echo.known_at(age_ms, epoch, now);
     let age = known_at.map(|at| now.saturating_duration_since(at));
-    // Its own message was 50 ms old when it came back.
+    // Its own heartbeat was 50 ms old when the echo arrived.
     assert_eq!(age, Some(Duration::from_millis(age_ms + 50)));
 }
 
--- a/crates/rookferry_core/tests/quarantine.rs
+++ b/crates/rookferry_core/tests/quarantine.rs
@@ -1,4 +1,6 @@
-//! Which requests are kept from servers because servers end under them.
+//! Quarantine: requests under which servers crash are withheld from further servers.
+//! Sound requests that run beside a faulty one, or on servers that fail together, must
+//! not be quarantined.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +18,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const MINUTE: Duration = Duration::from_mins(1);
-/// Enough to tell all that is known.
+/// A limit that is high enough to advertise every entry.
 const ALL: usize = 10_000;
 
 fn signature(number: usize) -> RequestSignature {
@@ -36,14 +38,14 @@
     )
 }
 
-/// Time between the ends of servers under a request at fault.
+/// Time between the crashes of servers under a faulty request.
 const STEP: Duration = Duration::from_millis(1);
 
 fn before(now: Instant, by: Duration) -> Instant {
     now.checked_sub(by).expect("a moment")
 }
 
-/// The end of a server that was there when the request came to it.
+/// The crash of a server that was alive when the request reached it.
 fn end_at(number: u16, progress: RunProgress, at: Instant) -> RunCrash {
     RunCrash {
         server: server(number),
@@ -55,13 +57,13 @@
     }
 }
 
-/// Servers end under a request as it has just begun, one after the other, the last
-/// one now.
+/// Records sequential crashes of servers under a request that had just begun, the last
+/// one at `now`.
 fn end_begun(quarantine: &mut Quarantine, signature: RequestSignature, servers: u16, now: Instant) {
     end_others_begun(quarantine, signature, 0, servers, now);
 }
 
-/// The same of servers from a number on.
+/// The same, for servers from the number `first` on.
 fn end_others_begun(
     quarantine: &mut Quarantine,
     signature: RequestSignature,
@@ -114,7 +116,7 @@
         let change = quarantine.record_crash(signature(1), end, now);
         assert_eq!(change, QuarantineChange::None);
     }
-    // One server's end is one end, whoever tells of it.
+    // The crash of one server counts once, however often it is reported.
     quarantine.record_crash(signature(1), end_at(0, progress, now), now);
     assert!(!is_held(&quarantine, signature(1), now));
     let change = quarantine.record_crash(signature(1), end_at(servers, progress, now), now);
@@ -132,7 +134,7 @@
         assert_eq!(other.merge(&seen, start), QuarantineChange::Quarantined);
     }
     let late = one.advertised_at_start(ALL, start);
-    // A run that was under way elsewhere ends well.
+    // A run that was in flight on another server succeeds.
     let now = start + SECOND;
     assert_eq!(
         other.record_success(signature(1), now),
@@ -142,7 +144,7 @@
         assert_eq!(one.merge(&seen, now), QuarantineChange::Released);
     }
     assert_eq!(one.suspicion(signature(1), now), Suspicion::None);
-    // A word that was long on its way is from before.
+    // A report that was delayed is older than the success.
     for mut seen in late {
         let delay_ms = 1_500;
         seen.held_ms = seen.held_ms.map(|age_ms| age_ms + delay_ms);
@@ -200,7 +202,7 @@
     }
     assert!(quarantine.len() <= 4_096);
     assert!(is_held(&quarantine, signature(0), start + MINUTE));
-    // The newest are there, the oldest with as little against them aren't.
+    // Of entries with one crash each, the newest are stored and the oldest dropped.
     assert_eq!(quarantine.crashes(signature(19_999)), 1);
     assert_eq!(quarantine.crashes(signature(1)), 0);
     quarantine.expire(start + 62 * MINUTE);
@@ -217,7 +219,7 @@
     one.record_success(signature(2), start + SECOND / 10);
     let mut told = 0;
     for round in 0..100 {
-        // Each word takes a while, so that it counts as a little later.
+        // Each report is delayed, so the receiver dates it a little later.
         let now = start + SECOND + round * SECOND / 5;
         for seen in one.next_advertised(ALL, now) {
             told += 1;
@@ -228,7 +230,7 @@
             one.merge(&seen, now + SECOND / 5);
         }
     }
-    assert!(told <= 4 * 8, "told {told} times");
+    assert!(told <= 4 * 8, "advertised {told} times");
     assert_eq!(other.crashes(signature(1)), 2);
     assert_eq!(other.crashes(signature(2)), 0);
 }
@@ -238,7 +240,8 @@
     let mut quarantine = Quarantine::new();
     let start = Instant::now();
     for (number, first) in [(0, 0), (1, 10), (2, 20)] {
-        // Each has servers of its own, as those of a held one speak against no other.
+        // Each crashes its own servers, since crashes that a quarantined request accounts
+        // for don't count against another.
         end_others_begun(&mut quarantine, signature(number), first, 3, start);
     }
     for _ in 0..8 {
@@ -271,10 +274,10 @@
     assert!(text.expect("JSON").len() < 20_000);
 }
 
-/// Many callers sent a sound request in the same words. Three servers ended,
-/// each with runs of it under way and none of them finished between, so it was
-/// held for ten minutes, though it had ended well a moment before the first end:
-/// 908 refusals of a sound request in 20 seconds.
+/// Guards against quarantining a sound request that many callers send with the same
+/// content. Three servers crash with runs of it in flight, and no run finishes in
+/// between. The request was quarantined for ten minutes although it had succeeded just
+/// before the first crash: 908 refusals of a sound request in 20 seconds.
 #[test]
 fn a_request_that_ended_well_lately_is_held_only_after_more_servers() {
     let mut quarantine = Quarantine::new();
@@ -282,7 +285,7 @@
     quarantine.record_success(signature(1), start);
     end_begun(&mut quarantine, signature(1), 4, start + SECOND);
     assert!(!is_held(&quarantine, signature(1), start + SECOND));
-    // It may have come to end servers since.
+    // It may have become faulty since its success.
     end_begun(&mut quarantine, signature(1), 5, start + 2 * SECOND);
     assert!(is_held(&quarantine, signature(1), start + 2 * SECOND));
 }
@@ -311,7 +314,7 @@
     let told = other.next_advertised(ALL, now);
     let changes: Vec<_> = told.iter().map(|seen| one.merge(seen, now)).collect();
     assert_eq!(changes, [QuarantineChange::Released]);
-    // The ends still count towards more.
+    // The crashes still count together with later ones.
     assert_eq!(one.crashes(signature(1)), 3);
 }
 
@@ -328,9 +331,9 @@
     assert!(quarantine.len() <= 1);
 }
 
-/// Engines go at the same moment: those of a run's path, and those that it is sent on
-/// to before anybody knows. None of them is known to have been there after the first
-/// end.
+/// The crash of one of several engines that fail at the same time: those of a run's path,
+/// and those that it is moved to before the failure is known. None of them is known to
+/// have been alive after the first crash.
 fn end_together(number: u16, gone_at: Instant, joined_at: Instant, at: Instant) -> RunCrash {
     RunCrash {
         server: server(number),
@@ -352,7 +355,7 @@
     let begun_at = before(gone_at, SECOND / 10);
     for number in 0..servers {
         let found_at = gone_at + (u32::from(number) + 1) * SECOND / 50;
-        // It is sent on to the next once an end is known.
+        // It is moved to the next engine once a crash is known.
         let joined_at = if is_moved && number > 0 {
             before(found_at, SECOND / 50)
         } else {
@@ -365,8 +368,9 @@
     assert_eq!(quarantine.sequential_crashes(signature(1)), 1);
 }
 
-/// Many callers send a sound request in the same words, at instances that tell each
-/// other, and it has never ended well. Some racks go, a while after each other.
+/// Guards against quarantining a sound request because of rack failures. Many callers
+/// send it with the same content, at instances that advertise crashes to each other, and
+/// it has not succeeded yet. Two groups of servers fail, nine seconds apart.
 #[rstest]
 fn runs_beside_servers_that_end_together_in_series_are_not_held(
     #[values(3, 9, 60)] instances: usize,
@@ -395,7 +399,7 @@
         let heard_at = now + SECOND / 10;
         for one in &mut site {
             for seen in &told {
-                // On its way for a while, which the ages don't know of.
+                // The reports' ages don't include their delay.
                 one.merge(seen, heard_at);
             }
             assert!(!is_held(one, signature(1), heard_at), "after {series}");
@@ -403,7 +407,8 @@
     }
 }
 
-/// Beside servers that end together, one at fault goes on ending them in turn.
+/// A faulty request goes on crashing servers sequentially while other servers fail
+/// together.
 #[rstest]
 fn a_request_at_fault_is_held_beside_servers_that_end_together(
     #[values(0, 1, 2)] ends_before: u16,
@@ -430,8 +435,9 @@
     assert!(is_held(&quarantine, signature(1), gone_at + SECOND));
 }
 
-/// Of servers that nothing else uses no sign is known; one that has gone with the
-/// others would be known a while later.
+/// There is no liveness evidence for servers that nothing else uses. A server that had
+/// failed with the others would be detected within a short time, so a later crash counts
+/// as sequential.
 #[test]
 fn a_request_at_fault_is_held_though_its_servers_gave_no_other_sign() {
     let mut quarantine = Quarantine::new();
@@ -444,7 +450,7 @@
     assert!(is_held(&quarantine, signature(1), start + 5 * SECOND));
 }
 
-/// Ends together don't push out those in turn that are known.
+/// Simultaneous crashes must not displace recorded sequential ones.
 #[test]
 fn ends_in_turn_stay_known_beside_many_that_come_together() {
     let mut quarantine = Quarantine::new();
@@ -459,9 +465,10 @@
     assert!(quarantine.crashes(signature(1)) <= 5);
 }
 
-/// A request at fault came to one fast engine after the other, and those beside it
-/// were sent on to the same ones. Each had as many ends as the one at fault: 29 and 36
-/// requests were held on days with one at fault.
+/// Guards against quarantining requests that run beside a faulty one. It reaches one fast
+/// engine after the other, and the requests beside it are moved to the same engines, so
+/// each has as many crashes as the faulty one: 29 and 36 requests were quarantined where
+/// one was faulty.
 #[rstest]
 #[case::none_had_an_answer_yet(RunProgress::Begun)]
 #[case::some_of_the_answer_had_come(RunProgress::Answering)]
@@ -483,7 +490,7 @@
             (signature(other), end)
         });
         let mut ends: Vec<_> = beside.collect();
-        // Held after three, it is still on its way to a fourth.
+        // Quarantined after three crashes, it is already in flight to a fourth server.
         ends.insert(10, (signature(0), joined(SECOND / 7)));
         let changes = quarantine.record_crashes(&ends, at);
         let now_held = changes
@@ -494,7 +501,8 @@
     assert_eq!(held, [signature(0)]);
 }
 
-/// If one beside it was taken for it, the one at fault is held with its next end.
+/// If a request beside it was quarantined in its place, the faulty one is quarantined
+/// with its next crash.
 #[test]
 fn a_request_at_fault_is_held_though_another_accounts_for_its_first_ends() {
     let mut quarantine = Quarantine::new();
@@ -506,7 +514,7 @@
     let end = end_at(3, RunProgress::Begun, start + SECOND);
     quarantine.record_crash(signature(0), end, start + SECOND);
     assert!(is_held(&quarantine, signature(0), start + SECOND));
-    // Released, it accounts for nothing any more.
+    // Once released, a request no longer accounts for crashes.
     let start = start + MINUTE;
     for released in [signature(0), signature(1)] {
         quarantine.record_success(released, start);
@@ -515,8 +523,8 @@
     assert!(is_held(&quarantine, signature(2), start + MINUTE));
 }
 
-/// Several runs of a request at fault are under way at once. Each ends its server while
-/// the others go on, and the first ends are enough.
+/// Several runs of a faulty request are in flight at once. Each crashes its server while
+/// the others go on, and the first crashes are enough.
 #[test]
 fn runs_at_once_of_a_request_at_fault_count_each() {
     let mut quarantine = Quarantine::new();
--- a/crates/rookferry_core/tests/room_queue.rs
+++ b/crates/rookferry_core/tests/room_queue.rs
@@ -1,4 +1,5 @@
-//! Who waits for room, for how long, and in which order.
+//! Which requests queue for admission while engines have no free cache, for how long and
+//! in which order.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,7 +14,8 @@
     Urgency { account, route }
 }
 
-/// A queue that saw some first events and room come free at a steady pace.
+/// A queue that has recorded first events of one latency, and cache released at a steady
+/// interval.
 fn observed(first_event: Duration, freed_every: Duration) -> AdmissionQueue {
     let mut queue = AdmissionQueue::new();
     let start = Instant::now();
--- a/crates/rookferry_core/tests/server_starts.rs
+++ b/crates/rookferry_core/tests/server_starts.rs
@@ -1,5 +1,5 @@
-//! Servers that start again, and what others write into their list: which entry
-//! is believed.
+//! Entries of restarted servers, and of several names at one address: which entry of the
+//! list is used.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -77,7 +77,7 @@
         now,
     );
     assert_eq!(in_use(&directory), [("e".to_owned(), Some(20))]);
-    // Nor after the later start's own entry has gone.
+    // Nor after the later incarnation's entry was removed.
     directory.apply(DirectoryChange::Removed("e".into()), now);
     assert!(!update(&mut directory, server("e", 1, Some(10), 9)));
     assert!(in_use(&directory).is_empty());
@@ -88,10 +88,10 @@
     let mut directory = Directory::new();
     update(&mut directory, server("former", 1, None, 12));
     update(&mut directory, server("new", 1, None, 2));
-    // The former process wrote before it ended; the store shows it later.
+    // The former process wrote before it exited, and the store shows it late.
     update(&mut directory, server("former", 1, None, 13));
     assert_eq!(in_use(&directory), [("new".to_owned(), None)]);
-    // Also if its entry had gone meanwhile.
+    // Nor if its entry was removed in between.
     let now = Instant::now();
     directory.apply(DirectoryChange::Removed("former".into()), now);
     update(&mut directory, server("former", 1, None, 13));
@@ -144,7 +144,7 @@
     update(&mut directory, server("f", 2, Some(10), 5));
     directory.apply(DirectoryChange::Unusable("e".into()), now);
     assert_eq!(in_use(&directory), [("f".to_owned(), Some(10))]);
-    // The same start writes itself back.
+    // The same incarnation rewrites its entry.
     update(&mut directory, server("e", 1, Some(10), 6));
     assert_eq!(in_use(&directory).len(), 2);
 }
@@ -159,7 +159,7 @@
     health.refused_for_capacity(former, 0.0, now);
     let mut closed = RefusingServers::new(0.5);
     closed.refused(former, 0.0, 1_000.0, now);
-    // A peer tells of it late.
+    // A peer's report of it arrives late.
     let told = RefusingObservation {
         server: former,
         age_ms: 100,
@@ -171,26 +171,26 @@
     assert!(!closed.is_refusing(new, now));
 }
 
-/// What may come of two starts under one name, in any order.
+/// Changes that may arrive for two incarnations under one name, in any order.
 #[derive(Clone, Copy, Debug)]
 enum News {
-    /// The entry of a start, written some times.
+    /// The entry of an incarnation, with its number of writes.
     Entry {
         start: u64,
         writes: u64,
     },
-    /// A whole list that shows a start.
+    /// A whole list that contains an incarnation.
     List {
         start: u64,
     },
-    /// A whole list without it, after an outage or not.
+    /// A whole list without the server, after an outage or not.
     Missing {
         may_have_lapsed: bool,
     },
     Gone,
     Unusable,
-    /// Some tenths of a second go by; all of a case are within the time for
-    /// which a start whose entry went is remembered.
+    /// Some tenths of a second pass. All of a case together are shorter than the time for
+    /// which a removed incarnation is remembered.
     Time(u64),
 }
 
@@ -207,8 +207,8 @@
 }
 
 proptest! {
-    /// Whatever comes, and in whatever order: once the later start was seen, the
-    /// earlier one is never in use again.
+    /// Whatever changes arrive, and in whatever order: once the later incarnation was
+    /// seen, the earlier one is never used again.
     #[test]
     fn the_earlier_start_is_never_believed_again(all in vec(news(), 1..40)) {
         let mut now = Instant::now();
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Whatever names share an address: one of them is in use.
+    /// Whichever names share an address, exactly one of them is used.
     #[test]
     fn one_address_is_one_process(entries in vec((0_u8..6, 1_u16..4, 0_u64..4, 1_u64..9), 1..20)) {
         let mut directory = Directory::new();
--- a/crates/rookferry_core/tests/serving.rs
+++ b/crates/rookferry_core/tests/serving.rs
@@ -1,4 +1,5 @@
-//! Routes, keys, ages, lapses, health and repeats.
+//! What serving rests on: routes, keys, the age of the configuration, expiry of server
+//! entries, server health, the retry budget and pauses while the store is unavailable.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -120,7 +121,7 @@
     age.confirm(2, start + bound);
     assert!(
         !age.is_fresh(start + bound, bound),
-        "an older version confirms nothing"
+        "an older version doesn't refresh the age"
     );
     age.confirm(4, start);
     assert_eq!(age.version(), 4);
@@ -198,7 +199,7 @@
     let start = Instant::now();
     let mut health = ServerHealth::new();
     assert!(health.lost(addr, start));
-    assert!(!health.lost(addr, start), "no news the second time");
+    assert!(!health.lost(addr, start), "the second loss is no change");
     assert!(health.is_unresponsive(addr));
     health.succeeded(addr, start);
     assert!(!health.is_unresponsive(addr));
@@ -290,9 +291,15 @@
     let without_line = Duration::from_millis(500);
     let pauses: Vec<Duration> = (0..30).map(|rank| ranked_pause(20, rank)).collect();
     assert!(pauses.is_sorted());
-    assert!(pauses[0] < without_line, "the first notices soon");
-    assert!(pauses[29] <= Duration::from_secs(3), "none stops asking");
-    assert!(ranked_pause(1, 0) < pauses[0], "one failure may be chance");
+    assert!(pauses[0] < without_line, "the first-ranked retries soon");
+    assert!(
+        pauses[29] <= Duration::from_secs(3),
+        "the last-ranked still retries"
+    );
+    assert!(
+        ranked_pause(1, 0) < pauses[0],
+        "a single failure may be chance"
+    );
     let calls_per_s: f64 = pauses.iter().map(|pause| 1.0 / pause.as_secs_f64()).sum();
     let without: f64 = 30.0 / without_line.as_secs_f64();
     assert!(calls_per_s < without / 2.0, "{calls_per_s} of {without}");
--- a/crates/rookferry_core/tests/start_line.rs
+++ b/crates/rookferry_core/tests/start_line.rs
@@ -1,4 +1,5 @@
-//! Instances that start together: who reads the store, and when all know the site.
+//! Instances that start together: which of them read the store, when all know the site,
+//! and when callers retry meanwhile.
 
 #[path = "support/peer_site.rs"]
 mod peer_site;
@@ -24,7 +25,7 @@
 
 #[test]
 fn of_hundreds_that_start_together_few_read_the_store_before_the_first_has_told() {
-    // The first tells the others within a step of its own read.
+    // The first-ranked instance advertises what it read within 90 ms.
     let read_at = |rank| {
         StartQueue {
             is_first_start: true,
@@ -66,8 +67,8 @@
     assert!(last < Duration::from_secs(5), "the last waits for {last:?}");
 }
 
-/// All of a site start again at once, with no memory. Where each read the store after a
-/// fixed time all of them did.
+/// Guards against a read of the store by every instance when a whole site restarts at
+/// once without state, which happens if each reads after a fixed time.
 #[rstest]
 #[case::hundred(5, 20, 2)]
 #[case::thousand(5, 200, 10)]
@@ -78,7 +79,7 @@
 ) {
     let mut site = StartSite::restart(domains, per_domain, 1);
     for (place, link_mbps) in site.link_mbps.iter_mut().enumerate() {
-        // Not those with the lowest addresses.
+        // The fast machines are not those with the lowest addresses.
         let number = place / domains;
         let is_fast = number >= per_domain / 2 && number < per_domain / 2 + fast;
         *link_mbps = if is_fast { FAST_MBPS } else { SLOW_MBPS };
@@ -94,7 +95,7 @@
     assert!(known_ms < 3_000, "the last knows after {known_ms} ms");
 }
 
-/// The same where all machines are small.
+/// The same where all machines have slow links.
 #[rstest]
 #[case::nine(3, 3)]
 #[case::hundred(5, 20)]
@@ -114,7 +115,8 @@
     assert!(known_ms < 6_000, "the last knows after {known_ms} ms");
 }
 
-/// Callers that come while all instances start: who waits, and who comes back when.
+/// Compares two policies for callers that arrive while all instances start: fixed waits
+/// and retry times, and those of the start queue.
 #[rstest]
 #[case::with_large_machines(5)]
 #[case::all_small(0)]
--- a/crates/rookferry_core/tests/store_era.rs
+++ b/crates/rookferry_core/tests/store_era.rs
@@ -1,5 +1,5 @@
-//! The store is restored from a copy: which versions, answers, entries and leases
-//! still hold.
+//! The store is restored from a backup: which versions, responses, entries and leases are
+//! still valid.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 const GRACE: Duration = Duration::from_secs(2);
 const STANDS_FOR: Duration = Duration::from_secs(5);
-/// A list from right after a restore.
+/// Uncertainty of a list read right after a restore.
 const RESTORED: ListUncertainty = ListUncertainty {
     may_be_incomplete: true,
     may_be_outdated: Some(STANDS_FOR),
@@ -51,7 +51,7 @@
     let late = eras.observe(Some(1), asked_at, asked_at + 2 * SECOND);
     assert_eq!(late, EraVerdict::Late);
     assert_eq!(eras.era(), 2);
-    // Two restores that none of its calls saw.
+    // Two restores happened between its calls.
     let asked_at = start + 5 * SECOND;
     assert_eq!(eras.observe(Some(4), asked_at, asked_at), changed(Some(2)));
 }
@@ -69,7 +69,7 @@
     assert_eq!(eras.era(), 3);
 }
 
-/// Without it all later answers would be late.
+/// If a wrong era were retained, all later responses would count as late.
 #[rstest]
 #[case::an_answer_told_it(true)]
 #[case::a_peer_told_it(false)]
@@ -86,7 +86,7 @@
     let denial = eras.observe(Some(2), asked_at, asked_at);
     assert_eq!(denial, EraVerdict::Changed { before: Some(999) });
     assert_eq!(eras.era(), 2);
-    // Those that still believe it don't bring it back.
+    // Peers that still advertise the denied era don't reintroduce it.
     assert!(!eras.merge(999, asked_at + SECOND));
     assert!(eras.is_denied(1_000) && !eras.is_denied(3));
     assert!(eras.merge(3, asked_at + SECOND));
@@ -109,7 +109,7 @@
     }
 }
 
-/// The names of servers that get new work.
+/// Names of the servers that get new work.
 fn used(directory: &Directory) -> Vec<String> {
     let servers = directory.in_use(|_| true).into_iter();
     let used = servers.filter(|server| !server.is_leaving);
@@ -124,11 +124,12 @@
     directory.replace(before.to_vec(), ListUncertainty::NONE, now);
     directory.apply(DirectoryChange::Updated(server("a", 5, true)), now);
     directory.apply(DirectoryChange::Removed("b".into()), now);
-    // The copy is from before, but for the entry's unseen writes.
+    // The backup is older than both changes, but has a write of each entry that this
+    // instance hasn't seen.
     let copy = ["a", "b", "c"].map(|id| server(id, 4, false));
     directory.replace(copy.to_vec(), RESTORED, now + SECOND);
     assert_eq!(used(&directory), ["c"]);
-    // The entry of one that has ended goes again.
+    // The entry of a server that has exited is removed again.
     directory.apply(DirectoryChange::Removed("b".into()), now + 4 * SECOND);
     assert!(directory.expire(now + 10 * SECOND, GRACE).is_empty());
     assert_eq!(used(&directory), ["c"]);
@@ -154,8 +155,8 @@
     assert_eq!(used(&directory), ["a"]);
 }
 
-/// An instance that started right before the restore had a list from its peers, in which
-/// the server was gone, and then read the copy, in which it stands.
+/// An instance that started right before the restore got a list without the server from
+/// its peers, and then reads the backup, which contains it.
 #[test]
 fn a_server_that_left_before_an_instance_started_stays_out_of_use_after_a_restore() {
     let now = Instant::now();
@@ -164,7 +165,8 @@
     let copy = ["a", "b"].map(|id| server(id, 2, false));
     directory.replace(copy.to_vec(), RESTORED, now);
     assert_eq!(used(&directory), ["a"]);
-    // One that is new writes again, or outlasts the time for entries to go.
+    // A new server writes its entry again, or its entry outlasts the time in which
+    // entries of exited servers expire.
     directory.apply(DirectoryChange::Updated(server("b", 4, false)), now);
     assert_eq!(used(&directory), ["a", "b"]);
 }
@@ -184,7 +186,7 @@
     directory.replace(Vec::new(), RESTORED, now);
     assert_eq!(used(&directory), ["a"]);
     let expired = directory.expire(now + GRACE, GRACE);
-    assert_eq!(expired.removed, ["a".into()], "it did not write again");
+    assert_eq!(expired.removed, ["a".into()], "it didn't rewrite its entry");
 }
 
 #[test]
@@ -237,13 +239,16 @@
     assert_eq!(
         holder.next(now),
         LeaseAction::Wait,
-        "what it read is void, too"
+        "what it read before is discarded"
     );
-    // The copy has none; its revision was given out before.
+    // The backup has no lease, and its revisions were already used before the restore.
     holder.observed(now, None);
     let (expected, again) = write(holder.next(now));
     assert_eq!(expected, 0);
-    assert!(again.fence > first.fence, "engines may have seen the first");
+    assert!(
+        again.fence > first.fence,
+        "engines may have seen the first fence"
+    );
 }
 
 #[test]
--- a/crates/rookferry_core/tests/support/limited_site.rs
+++ b/crates/rookferry_core/tests/support/limited_site.rs
@@ -1,6 +1,6 @@
-//! A site before one server that names a limit, simulated: requests come at random
-//! moments, and instances ask each other for permits by datagrams that are late
-//! and now and then lost.
+//! Simulates a site in front of one server with a request limit. Requests arrive at
+//! random times, and instances request permits from each other by datagrams that are
+//! delayed and sometimes lost.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -29,15 +29,15 @@
 use crate::peer_site::domain_name;
 use crate::peer_site::engine_key;
 
-/// Time from a request's arrival at the server to its answer.
+/// Time from a request's arrival at the server to its response.
 const SERVING_MS: u64 = 40;
-/// How long an instance waits for the answer to a question.
+/// How long an instance waits for the answer to a permit request.
 const PATIENCE_MS: u64 = 80;
-/// The age from which an instance grants permits.
+/// Age from which an instance grants permits.
 const GRANTS_AFTER_MS: u64 = 1_000;
-/// How long an instance has known a limit that what it sends counts against.
+/// How long an instance must have known the limit before its requests count against it.
 const TOLD_BEFORE_MS: u64 = 500;
-/// The domain of the server.
+/// Domain of the server.
 const HOME: usize = 0;
 
 pub const URGENT: Urgency = Urgency {
@@ -58,7 +58,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A caller's request, and the next one of its instance.
+    /// A caller's request arrives at an instance, and the next one is scheduled.
     Comes(usize),
     Asked(u64),
     Answered(u64),
@@ -77,7 +77,7 @@
     ask: PermitRequest,
     request: Option<Request>,
     answer: Option<PermitAnswer>,
-    /// Whom else to ask.
+    /// Granters that are still to be tried, the next one last.
     others: Vec<SocketAddr>,
 }
 
@@ -87,7 +87,7 @@
     granter: Option<PermitGranter>,
 }
 
-/// What became of a request.
+/// Outcomes of the requests of one urgency.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outcomes {
     pub sent: usize,
@@ -97,16 +97,16 @@
 pub struct LimitedSite {
     pub site: Site,
     pub server: ServerKey,
-    /// What the server names now, in requests a second.
+    /// The server's current limit, in requests a second; none where it names none.
     pub limit_per_s: Option<f64>,
-    /// Requests a second of each instance.
+    /// Requests a second that arrive at each instance.
     pub demand_per_s: Vec<f64>,
-    /// The part of them that is less urgent.
+    /// Share of the requests that are less urgent.
     pub patient_share: f64,
     pub first_named_ms: Option<u64>,
-    /// When requests reached the server, and by whom.
+    /// Arrivals at the server: the time, and the instance that sent the request.
     pub arrivals: Vec<(u64, usize)>,
-    /// When the server first told each instance of its limit.
+    /// When each instance first received the limit from the server.
     pub told_ms: BTreeMap<usize, u64>,
     pub outcomes: BTreeMap<Urgency, Outcomes>,
     desks: Vec<Desk>,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Lets requests come at all instances, as many as each has.
+    /// Starts the requests at all instances, at the rate of each.
     pub fn open(&mut self) {
         for place in 0..self.demand_per_s.len() {
             self.next_comes(place);
@@ -160,7 +160,7 @@
         self.site.run_for(until_ms - self.site.now_ms);
     }
 
-    /// The instance that most of those that are up take for the granter.
+    /// The granter by the majority of the running instances' tables.
     pub fn granter(&self) -> usize {
         let now = self.site.now();
         let mut votes = BTreeMap::<usize, usize>::new();
@@ -184,8 +184,9 @@
         self.site.start_at(place, at_ms);
     }
 
-    /// The most that arrived in a span, of those that end after a moment, by instances
-    /// that the server had told half a second before its end.
+    /// Most arrivals within any window that ends at an arrival after a time. Counts only
+    /// requests of instances that had received the limit from the server half a second
+    /// before the window's end.
     pub fn most_in_span(&self, span_ms: u64, ending_after_ms: u64) -> usize {
         let ends = self.arrivals.iter().enumerate();
         let ends = ends.filter(|(_, (end_ms, _))| *end_ms >= ending_after_ms);
@@ -203,7 +204,7 @@
         counts.max().unwrap_or(0)
     }
 
-    /// How many arrived between two moments.
+    /// Number of arrivals between two times.
     pub fn arrived(&self, from_ms: u64, to_ms: u64) -> usize {
         let arrivals = self.arrivals.iter();
         let within = arrivals.filter(|(at_ms, _)| (from_ms..to_ms).contains(at_ms));
@@ -268,14 +269,14 @@
         self.ask(place, Some(request));
     }
 
-    /// Asks for a permit, or only tells what was sent.
+    /// Requests a permit, or without a request only reports what was sent.
     fn ask(&mut self, place: usize, request: Option<Request>) {
         let now = self.site.now();
         let instance = &self.site.instances[place];
         let Some(rate) = instance.limits.of(self.server) else {
             return;
         };
-        let age = instance.limits.age(self.server, now).expect("a word");
+        let age = instance.limits.age(self.server, now).expect("an age");
         let home = domain_name(HOME).into();
         let mut others = instance.table.permit_granters(self.server, &home, now);
         others.reverse();
--- a/crates/rookferry_core/tests/support/mod.rs
+++ b/crates/rookferry_core/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A pipeline of fake stages in memory, for tests of streams.
+//! An in-memory pipeline of fake engines, for tests of streams.
 //!
-//! A layer folds its own former value, the activation, its index and the
-//! position, so that a skipped, repeated or swapped layer changes the answer.
+//! A layer's value is a hash of its previous value, the activation, its index and the
+//! position, so a skipped, repeated or swapped layer changes the output.
 
 use std::collections::BTreeMap;
 
@@ -24,20 +24,20 @@
 pub const PROMPT: [u64; 3] = [11, 12, 13];
 pub const TOKENS: u32 = 4;
 
-/// What goes wrong with one exchange.
+/// A fault that is injected into one request to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The engine dies before it runs the step.
+    /// The engine crashes before it runs the step.
     DiesBefore,
-    /// The engine dies after it ran the step; its answer is lost.
+    /// The engine crashes after it ran the step; its answer is lost.
     DiesAfter,
     /// The step runs and only its answer is lost.
     AnswerLost,
-    /// The engine is frozen; it runs the step when it wakes, at the end.
+    /// The engine is frozen and runs the step only when it wakes, at the end of the test.
     Frozen,
-    /// The engine says that it leaves.
+    /// The engine refuses the step because it is leaving.
     Leaving,
-    /// The engine is full.
+    /// The engine refuses the step because it is overloaded.
     Overloaded,
     /// The engine has dropped the stream's KV.
     Evicted,
@@ -53,7 +53,7 @@
     mixed.rotate_left(u32::from(layer) + 7) ^ u64::from(position)
 }
 
-/// The answer of a plain loop over all layers.
+/// The expected output, computed by a plain loop over all layers.
 pub fn reference() -> Vec<u64> {
     let mut kv = vec![0; usize::from(LAYERS)];
     let mut answer = Vec::new();
@@ -82,13 +82,13 @@
     kv: Vec<Vec<u64>>,
 }
 
-/// One engine; a dead one comes back empty.
+/// One engine. It restarts with no state after a crash.
 #[derive(Clone)]
 pub struct FakeEngine {
     layers: LayerRange,
     held: Option<Held>,
     life: u32,
-    /// Runs by (life, position).
+    /// Number of runs by (incarnation, position).
     pub runs: BTreeMap<(u32, u32), u32>,
 }
 
@@ -145,23 +145,23 @@
     }
 }
 
-/// How a stream ended.
+/// Outcome of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
     Finished,
     Abandoned(rookferry_core::AbandonReason),
 }
 
-/// Engines, two for each third of the layers, and what the caller was shown.
+/// Two engines for each third of the layers, and the tokens emitted to the caller.
 pub struct Pipeline {
     pub engines: BTreeMap<EngineId, FakeEngine>,
     pub shown: Vec<u64>,
-    /// Steps that a frozen engine will run when it wakes.
+    /// Steps that frozen engines run when they wake.
     asleep: Vec<(EngineId, Step)>,
-    /// What a driver that was stopped was about to do.
+    /// Pending actions of a driver that was stopped.
     stopped: Vec<StreamAction>,
     sends: usize,
-    /// Faults by the number of the exchange that they hit.
+    /// Faults by the number of the request that they apply to, from 1.
     pub faults: BTreeMap<usize, Fault>,
 }
 
@@ -205,13 +205,13 @@
         }
     }
 
-    /// Runs a driver to its end, or until `stop_after` exchanges.
+    /// Runs a driver until it finishes, or stops it after `stop_after` requests.
     pub fn run(&mut self, driver: &mut StreamDriver, stop_after: Option<usize>) -> Option<Ending> {
         let actions = driver.start();
         self.carry_on(driver, actions, stop_after)
     }
 
-    /// Lets a driver that was stopped go on as if nothing had happened.
+    /// Continues a driver that was stopped, with its pending actions.
     pub fn go_on(&mut self, driver: &mut StreamDriver) -> Option<Ending> {
         let actions = std::mem::take(&mut self.stopped);
         self.carry_on(driver, actions, None)
@@ -233,7 +233,11 @@
                 }
                 match action {
                     StreamAction::Emit { index, token } => {
-                        assert_eq!(index as usize, self.shown.len(), "a position is shown once");
+                        assert_eq!(
+                            index as usize,
+                            self.shown.len(),
+                            "each position is emitted once"
+                        );
                         self.shown.push(token);
                     }
                     StreamAction::Finish => return Some(Ending::Finished),
@@ -244,11 +248,11 @@
             for event in events {
                 actions.extend(driver.on_event(event));
             }
-            assert!(!actions.is_empty(), "the driver waits for nothing");
+            assert!(!actions.is_empty(), "the driver made no progress");
         }
     }
 
-    /// Frozen engines wake and run what they had been sent.
+    /// Wakes the frozen engines, which run the steps they were sent.
     pub fn wake(&mut self) {
         for (name, step) in std::mem::take(&mut self.asleep) {
             if let Some(engine) = self.engines.get_mut(&name) {
@@ -355,16 +359,16 @@
         vec![event]
     }
 
-    /// No engine ran a position twice within one of its lives.
+    /// Asserts that no engine ran a position twice within one incarnation.
     pub fn assert_no_repeats(&self) {
         for (name, engine) in &self.engines {
             for ((life, position), runs) in &engine.runs {
-                assert_eq!(*runs, 1, "{name}, life {life}, position {position}");
+                assert_eq!(*runs, 1, "{name}, incarnation {life}, position {position}");
             }
         }
     }
 
-    /// Runs of a position on all engines of the stage that begins at a layer.
+    /// Number of runs of a position on all engines of the stage that starts at a layer.
     pub fn runs_at(&self, start: u16, position: u32) -> u32 {
         let engines = self
             .engines
--- a/crates/rookferry_core/tests/support/news_site.rs
+++ b/crates/rookferry_core/tests/support/news_site.rs
@@ -1,5 +1,6 @@
-//! A site whose instances read a store, one a domain, and tell each other which servers
-//! leave, simulated: watches fall silent, readers end or are cut off.
+//! Simulates a site in which one instance of each domain reads the store and the
+//! instances advertise leaving servers to each other. Watches stall, and store readers
+//! stop or lose the store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,35 +15,35 @@
 use crate::peer_site::Site;
 use crate::peer_site::engine_key;
 
-/// Time of the store's answer.
+/// Response time of the store.
 const ANSWER_MS: u64 = 4;
-/// How long a call is waited for that nothing answers.
+/// Timeout of a call to the store.
 const CALL_MS: u64 = 900;
-/// How much longer than it was asked to wait a watch is waited for.
+/// How much longer than its requested wait a watch may take before it times out.
 const WATCH_GRACE_MS: u64 = 600;
-/// A step of the simulated readers.
+/// Step of the simulation.
 const STEP_MS: u64 = 2;
 
-/// What an instance does about the store.
+/// What an instance currently does to read the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reading {
-    /// It looks again then whether it is to read.
+    /// It checks at that time whether it has to read.
     LooksAt(u64),
     Watches {
         sent_ms: u64,
-        /// Whether its connection died.
+        /// Whether its connection is dead.
         is_silent: bool,
     },
-    /// A call beside a watch that is overdue.
+    /// A call that checks the store while a watch is overdue.
     Asks { sent_ms: u64, watch_sent_ms: u64 },
 }
 
-/// The way from an instance to the store.
+/// Connectivity from an instance to the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreLink {
     #[default]
     Sound,
-    /// Nothing goes either way, over new connections neither.
+    /// Nothing passes in either direction, on new connections as well.
     Cut,
 }
 
@@ -52,14 +53,14 @@
     budget: PropagationBudget,
     readings: Vec<Reading>,
     failures: Vec<u32>,
-    /// When the store knew that the server leaves.
+    /// When the store recorded that the server is leaving.
     pub left_ms: Option<u64>,
-    /// Calls to the store.
+    /// Number of calls to the store.
     pub calls: u64,
 }
 
 impl NewsSite {
-    /// A site that has been up for a while.
+    /// A site that has run for five to six seconds.
     pub fn start(domains: usize, per_domain: usize, bound: Duration, seed: u64) -> Self {
         let site = Site::start(domains, per_domain, seed);
         let count = site.instances.len();
@@ -93,14 +94,14 @@
         }
     }
 
-    /// The instances that read the store now.
+    /// Indices of the instances that currently read the store.
     pub fn readers(&self) -> Vec<usize> {
         let places = 0..self.readings.len();
         let reads = |place: &usize| !matches!(self.readings[*place], Reading::LooksAt(_));
         places.filter(reads).collect()
     }
 
-    /// The connections of all watches die; new ones work.
+    /// Kills the connections of all current watches; new ones work.
     pub fn silence_watches(&mut self) {
         for reading in &mut self.readings {
             if let Reading::Watches { is_silent, .. } = reading {
@@ -109,12 +110,13 @@
         }
     }
 
-    /// The store knows that the server leaves.
+    /// Records in the store that the server is leaving.
     pub fn server_leaves(&mut self) {
         self.left_ms = Some(self.site.now_ms);
     }
 
-    /// How long after the store the last of some instances knew, if all do.
+    /// Milliseconds from the store's record to the last of some instances that knows the
+    /// server is leaving; none if one of them doesn't within `at_most_ms`.
     pub fn last_knew_after_ms(&mut self, of: &[usize], at_most_ms: u64) -> Option<u64> {
         let left_ms = self.left_ms.expect("a server that leaves");
         let mut known = BTreeMap::new();
@@ -193,14 +195,14 @@
         };
     }
 
-    /// Whether the store has something that a watch since a time would tell by now.
+    /// Whether a watch sent at a time would have returned a change by now.
     fn has_news(&self, place: usize, sent_ms: u64) -> bool {
         let told_ms = self.left_ms.map(|left_ms| left_ms.max(sent_ms) + ANSWER_MS);
         told_ms.is_some_and(|told_ms| self.site.now_ms >= told_ms)
             && !self.site.instances[place].departed.contains(Self::server())
     }
 
-    /// The store answered a call that was sent at a time.
+    /// Handles the store's response to a call that was sent at a time.
     fn answered(&mut self, place: usize, sent_ms: u64) {
         let sent_at = self.at(sent_ms);
         let now = self.site.now();
--- a/crates/rookferry_core/tests/support/peer_site.rs
+++ b/crates/rookferry_core/tests/support/peer_site.rs
@@ -1,5 +1,5 @@
-//! A site whose instances tell each other by heartbeats, simulated: datagrams
-//! are late and now and then lost, and domains can be cut off.
+//! Simulates a site whose instances exchange heartbeats in virtual time. Datagrams are
+//! delayed and sometimes lost, and domains can be cut off.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -30,11 +30,11 @@
 
 pub const ROUND_MS: u64 = 150;
 pub const DELAY_MS: u64 = 1;
-/// Pause before a round that news bring forward.
+/// Delay of a round that a change causes to be sent early.
 pub const NEWS_PAUSE_MS: u64 = 30;
-/// How late a slow instance takes in what reaches it.
+/// Additional delay before a slow instance handles a datagram.
 pub const SLOW_MS: u64 = 200;
-/// The share of datagrams that are lost.
+/// Share of datagrams that are lost.
 pub const LOSS: f64 = 0.01;
 pub const SEEDS: usize = 3;
 
@@ -48,38 +48,40 @@
     pub round: u32,
     pub domain_window: usize,
     pub is_up: bool,
-    /// Requests under way at the domain's engine.
+    /// Its requests in flight at the domain's engine.
     pub requests: u32,
-    /// Servers that don't answer it.
+    /// Servers that don't respond to it.
     pub out: Vec<ServerKey>,
-    /// Questions that it asked of servers which others have trouble with.
+    /// Number of its probes of servers that peers report as unresponsive.
     pub asked: usize,
     pub sent: u64,
-    /// Bytes that it sent and was sent, while they are counted.
+    /// Bytes that it sent and that were sent to it, while `counts_bytes` is set.
     pub sent_bytes: usize,
     pub received_bytes: usize,
-    /// The limits of servers, as it knows them.
+    /// Server limits that it knows.
     pub limits: ServerLimits,
-    /// Servers that leave, as it knows them.
+    /// Leaving servers that it knows.
     pub departed: DepartedServers,
-    /// As of when it knows what the store has.
+    /// How old its knowledge of the store is.
     pub contact: StoreContact,
-    /// What its machine can carry.
+    /// Capacity of its machine.
     pub capacity: Capacity,
     /// Whether it has a list of servers.
     pub has_list: bool,
-    /// One that has told of a list while it had none, and when the last did.
+    /// The first peer that advertised a list while it had none, and the time of the
+    /// latest such heartbeat.
     pub offered_by: Option<SocketAddr>,
     pub offered_at: Option<Instant>,
 }
 
 impl Instance {
     pub fn is_joining(&self, now: Instant) -> bool {
-        // Its rounds of the first three seconds.
+        // The rounds of its first three seconds.
         self.round < 20 && !self.table.has_live_local(now)
     }
 
-    /// Another instance has trouble with a server; without work there.
+    /// Probes a server that a peer reports as unresponsive, if an instance of its rank
+    /// without work there does so.
     pub fn look_into(&mut self, server: ServerKey, dead: &[ServerKey], now: Instant) {
         let of = ProbeRole {
             has_requests: false,
@@ -99,7 +101,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
     Tick(usize),
-    /// A round that news bring forward.
+    /// A round that is sent early because of a change.
     News(usize),
     Arrival(usize, usize, u64),
 }
@@ -114,15 +116,15 @@
     pub sent: u64,
     /// A domain that is cut off from the others.
     pub cut: Option<usize>,
-    /// Instances that only hear each other, and that the others don't hear.
+    /// Instances that reach only each other.
     pub apart: BTreeSet<usize>,
-    /// Servers that answer nobody.
+    /// Servers that respond to no instance.
     pub dead: Vec<ServerKey>,
-    /// Instances that take in late what reaches them.
+    /// Instances that handle datagrams late.
     pub slow: BTreeSet<usize>,
-    /// The share of datagrams that are lost.
+    /// Share of datagrams that are lost.
     pub loss: f64,
-    /// Whether bytes are counted, which takes time.
+    /// Whether the bytes of heartbeats are counted; encoding them is slow.
     pub counts_bytes: bool,
     pub rng: StdRng,
 }
@@ -234,7 +236,7 @@
         self.now_ms = until_ms;
     }
 
-    /// Has an instance tell others of something soon.
+    /// Schedules an early round of an instance.
     pub fn tell_soon(&mut self, place: usize) {
         let due = Due::News(place);
         self.due
@@ -388,7 +390,7 @@
         }
     }
 
-    /// Whether nothing gets from one instance to another.
+    /// Whether no datagram gets from one instance to another.
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
         let (from_domain, to_domain) = (self.instances[from].domain, self.instances[to].domain);
         self.cut
@@ -400,14 +402,14 @@
         self.instances.iter().filter(|instance| instance.is_up)
     }
 
-    /// What all instances of a domain have under way but one.
+    /// Requests in flight of the other running instances of an instance's domain.
     pub fn others_requests(&self, instance: &Instance) -> u32 {
         let near = self.up().filter(|other| other.domain == instance.domain);
         near.map(|other| other.requests).sum::<u32>() - instance.requests
     }
 
-    /// The part of the instances that know exactly what their domain's others
-    /// have under way.
+    /// Share of the running instances that know the exact number of requests in flight of
+    /// the others in their domain.
     pub fn informed(&self) -> f64 {
         let now = self.now();
         let is_informed = |instance: &&Instance| {
@@ -421,7 +423,7 @@
         self.up().filter(is_informed).count() as f64 / self.up().count() as f64
     }
 
-    /// How many instances those know that don't know of all.
+    /// Running instances that don't know all instances, with the number that each knows.
     pub fn incomplete(&self) -> Vec<(SocketAddr, usize)> {
         let count = self.instances.len();
         let known = self
@@ -430,13 +432,13 @@
         known.filter(|(_, known)| *known != count).collect()
     }
 
-    /// The part of all that the instance knows that knows the fewest.
+    /// Least share of all instances that any running instance knows.
     pub fn least_known(&self) -> f64 {
         let known = self.up().map(|instance| instance.table.instances());
         known.min().unwrap_or(0) as f64 / self.instances.len() as f64
     }
 
-    /// Datagrams a second that each instance sends; the most first.
+    /// Datagrams a second that each instance sends, the highest rate first.
     pub fn sent_per_s(&mut self, seconds: u64) -> Vec<(f64, SocketAddr)> {
         let before: Vec<u64> = self
             .instances
@@ -456,7 +458,7 @@
     }
 }
 
-/// A heartbeat that tells nothing but whose it is.
+/// A heartbeat that carries nothing but its sender.
 pub fn bare_heartbeat(from: SocketAddr, domain: usize) -> Heartbeat {
     Heartbeat {
         site: "site".into(),
@@ -522,7 +524,7 @@
     }
 }
 
-/// The age of what is known of the store, as others are told.
+/// Age in milliseconds of the instance's knowledge of the store, as advertised.
 fn told_ms(contact: &StoreContact, now: Instant) -> Option<u64> {
     let age = contact.advertised_age(now)?;
     u64::try_from(age.as_millis()).ok()
--- a/crates/rookferry_core/tests/support/start_site.rs
+++ b/crates/rookferry_core/tests/support/start_site.rs
@@ -1,5 +1,5 @@
-//! A site whose instances all start at once and know nothing: they find each other, read
-//! the store in line, and pass on what was read over their links.
+//! Simulates a site whose instances all start at once without state: they discover each
+//! other, read the store in rank order, and transfer what was read over their links.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -16,43 +16,44 @@
 pub const FAST_MBPS: f64 = 1_000.0;
 pub const SLOW_MBPS: f64 = 20.0;
 const CORES_PER_MBPS: f64 = 0.006;
-/// A step of the simulation.
+/// Step of the simulation.
 const STEP_MS: u64 = 5;
-/// What the store sends for all it has, as text, and an instance for the same.
+/// Size of all that the store has, as text from the store and in a peer's encoding.
 const STORE_BODY_KBIT: f64 = 8_000.0;
 const PEER_BODY_KBIT: f64 = 2_400.0;
-/// Pause of one that found nobody else, and how often it asks.
+/// Mean pause of an instance that was offered no other source, and the number of
+/// requests before it waits for a new offer.
 const PAUSE_MS: u64 = 80;
 const MAX_ASKED: u32 = 8;
 const VERSION: u64 = 1;
 
-/// How often callers come, each to any instance.
+/// Interval between callers; each chooses an instance at random.
 const CALL_EVERY_MS: u64 = 5;
 
-/// An instance that has just started, as a caller meets it.
+/// State of a starting instance when a caller's request arrives.
 #[derive(Clone, Copy, Debug)]
 pub struct Met {
     pub line: StartQueue,
     pub age: Duration,
-    /// The caller's own, from 0 to 1.
+    /// Random number of the caller, from 0 to 1, that spreads retry times.
     pub chance: f64,
-    /// Whether the caller has waited there in vain.
+    /// Whether the caller has waited there until its wait timed out.
     pub has_waited: bool,
 }
 
-/// What a caller is told that comes to an instance that doesn't know the site.
+/// Response to a caller of an instance that doesn't know the site yet.
 #[derive(Clone, Copy, Debug)]
 pub enum StartAnswer {
-    /// It waits, at most for this time.
+    /// The request waits, at most for this time.
     Wait(Duration),
-    /// It is refused at once, and comes back after this time.
+    /// The request is refused at once, and the caller retries after this time.
     ComeBack(Duration),
 }
 
-/// What a caller is told.
+/// Decides how a starting instance responds to a caller.
 pub type Policy = fn(&Met) -> StartAnswer;
 
-/// A caller that comes to an instance, for the first or the second time.
+/// A caller's request to an instance: its first try or its retry.
 #[derive(Clone, Copy, Debug)]
 struct Call {
     place: usize,
@@ -62,20 +63,20 @@
     has_waited: bool,
 }
 
-/// What became of callers.
+/// Outcomes of the callers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Calls {
-    /// Served in time.
+    /// Served at the first try, where it may have waited.
     pub in_time: usize,
-    /// Refused soon after it came, and served when it came back.
+    /// Refused at once, and served at its retry.
     pub came_back: usize,
-    /// The same after it had waited in vain.
+    /// Refused after its wait timed out, and served at its retry.
     pub late: usize,
     /// Refused twice.
     pub lost: usize,
 }
 
-/// What an instance does to know the site.
+/// What a starting instance currently does to get the site's data.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Doing {
     Waits,
@@ -99,16 +100,16 @@
     pub link_mbps: Vec<f64>,
     doing: Vec<Doing>,
     sources: Vec<BodySource<u64>>,
-    /// Reads of the store.
+    /// Number of reads of the store.
     pub reads: usize,
-    /// What callers are told, if any come.
+    /// How instances respond to callers; none come without it.
     pub policy: Option<Policy>,
     pub calls: Calls,
     open: Vec<(Call, bool)>,
 }
 
 impl StartSite {
-    /// All start within 0.3 s of each other, and not for the first time.
+    /// All instances start within 0.3 s of each other, and not for the first time.
     pub fn restart(domains: usize, per_domain: usize, seed: u64) -> Self {
         let site = Site::start(domains, per_domain, seed);
         let count = site.instances.len();
@@ -126,7 +127,7 @@
         start
     }
 
-    /// Has each instance tell what its machine can carry.
+    /// Sets the capacity of each instance by the bandwidth of its link.
     pub fn tell_capacity(&mut self) {
         self.sources.clear();
         for (instance, link_mbps) in self.site.instances.iter_mut().zip(&self.link_mbps) {
@@ -137,7 +138,8 @@
         }
     }
 
-    /// Milliseconds until all know the site.
+    /// Milliseconds until all instances know the site; none if that takes longer than
+    /// `at_most_ms`.
     pub fn run_until_known(&mut self, at_most_ms: u64) -> Option<u64> {
         while self.site.now_ms < at_most_ms {
             if self.doing.iter().all(|doing| *doing == Doing::Knows) && self.open.is_empty() {
@@ -157,7 +159,7 @@
         None
     }
 
-    /// How many get a body from each.
+    /// Number of transfers from each instance.
     fn sending(&self) -> Vec<u32> {
         let mut sending = vec![0; self.doing.len()];
         for doing in &self.doing {
@@ -226,7 +228,7 @@
                 left_kbit: PEER_BODY_KBIT,
             },
             BodyOffer::Elsewhere(_) if asked >= MAX_ASKED => {
-                // The next heartbeat of one that has it begins anew.
+                // The next heartbeat that advertises a list starts over.
                 self.site.instances[place].offered_by = None;
                 Doing::Waits
             }
@@ -266,8 +268,8 @@
         }
     }
 
-    /// Lets a caller come while some don't know the site, and those come back that were
-    /// told to.
+    /// Adds a new caller while some instances don't know the site, and handles the
+    /// requests that are due.
     fn take_calls(&mut self, policy: Policy) {
         let now_ms = self.site.now_ms;
         let is_starting = self.doing.iter().any(|doing| *doing != Doing::Knows);
