--- a/crates/rookferry_core/tests/closed.rs
+++ b/crates/rookferry_core/tests/closed.rs
@@ -18,10 +18,10 @@
 
 const INSTANCES: usize = 59;
 /// Interval between streams that arrive in the domain.
-const ARRIVAL: Duration = Duration::from_millis(12);
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(12);
 /// Delay of reports from peers.
-const TOLD_AFTER: Duration = Duration::from_millis(200);
-const ROOM_TOKENS: f64 = 100_000.0;
+const REPORT_DELAY: Duration = Duration::from_millis(200);
+const CACHE_TOKENS: f64 = 100_000.0;
 const STREAM_TOKENS: f64 = 900.0;
 
 fn key(number: u16) -> ServerKey {
@@ -40,7 +40,7 @@
             end: number % 4 * 20 + 20,
         },
         layer_step_ms: 0.2,
-        cache_tokens: ROOM_TOKENS,
+        cache_tokens: CACHE_TOKENS,
         used_tokens: 30_000.0,
         is_refusing: false,
     };
@@ -48,17 +48,17 @@
 }
 
 /// When peers receive an observation, the instance that made it, and the observation.
-type Told = (Duration, usize, RefusingObservation);
+type DelayedObservation = (Duration, usize, RefusingObservation);
 
 /// Simulates streams for `length` while the engines in `leaving` refuse all of them, and
-/// returns how many tries were refused. With `shares` instances advertise refusals.
-fn refused_tries(leaving: &[u16], shares: bool, length: Duration) -> usize {
+/// returns how many tries were refused. With `shares_reports` instances advertise refusals.
+fn refused_tries(leaving: &[u16], shares_reports: bool, length: Duration) -> usize {
     let start = Instant::now();
     let mut rng = StdRng::seed_from_u64(1);
-    let mut closed = (0..INSTANCES)
+    let mut refusing_servers = (0..INSTANCES)
         .map(|_| RefusingServers::new(rng.random()))
         .collect::<Vec<_>>();
-    let mut told: VecDeque<Told> = VecDeque::new();
+    let mut observations: VecDeque<DelayedObservation> = VecDeque::new();
     let mut engines = engines();
     // An engine that accepts nothing has nothing in its cache.
     for engine in &mut engines {
@@ -70,20 +70,26 @@
     let mut at = Duration::ZERO;
     while at < length {
         let now = start + at;
-        while told.front().is_some_and(|(due, _, _)| *due <= at) {
-            let Some((due, from, seen)) = told.pop_front() else {
+        while observations.front().is_some_and(|(due, _, _)| *due <= at) {
+            let Some((due, from, observation)) = observations.pop_front() else {
                 break;
             };
-            for (place, instance) in closed.iter_mut().enumerate() {
-                if place != from {
+            for (index, instance) in refusing_servers.iter_mut().enumerate() {
+                if index != from {
                     let age_ms =
-                        u64::try_from((at + TOLD_AFTER).saturating_sub(due).as_millis()).unwrap();
-                    instance.merge(RefusingObservation { age_ms, ..seen }, now);
+                        u64::try_from((at + REPORT_DELAY).saturating_sub(due).as_millis()).unwrap();
+                    instance.merge(
+                        RefusingObservation {
+                            age_ms,
+                            ..observation
+                        },
+                        now,
+                    );
                 }
             }
         }
-        let place = rng.random_range(0..INSTANCES);
-        let instance = &mut closed[place];
+        let index = rng.random_range(0..INSTANCES);
+        let instance = &mut refusing_servers[index];
         for engine in &mut engines {
             engine.is_refusing = instance.is_refusing(engine.server, now);
         }
@@ -97,23 +103,26 @@
             .find(|stage| leaving.contains(&stage.addr().port()));
         if let Some(refusing) = refusing {
             tries += 1;
-            instance.refused(refusing.server, 0.0, ROOM_TOKENS, now);
-            let seen = instance.observations(now).into_iter();
-            if shares && let Some(seen) = seen.max_by_key(|seen| seen.server == refusing.server) {
-                told.push_back((at + TOLD_AFTER, place, seen));
+            instance.refused(refusing.server, 0.0, CACHE_TOKENS, now);
+            let observation = instance.observations(now).into_iter();
+            if shares_reports
+                && let Some(observation) =
+                    observation.max_by_key(|observation| observation.server == refusing.server)
+            {
+                observations.push_back((at + REPORT_DELAY, index, observation));
             }
         } else {
             for stage in path.stages() {
                 instance.accepted(stage.server, now);
             }
         }
-        at += ARRIVAL;
+        at += ARRIVAL_INTERVAL;
     }
     tries
 }
 
 #[test]
-fn engines_that_leave_without_a_word_are_soon_tried_by_none() {
+fn shared_refusals_reduce_tries_of_engines_that_refuse_all_work() {
     let leaving = [1, 6];
     let length = Duration::from_millis(2_500);
     let alone = refused_tries(&leaving, false, length);
@@ -126,54 +135,54 @@
 }
 
 #[test]
-fn a_server_that_refuses_again_is_left_alone_for_longer() {
+fn a_server_that_refuses_again_is_excluded_for_longer() {
     let start = Instant::now();
-    let mut closed = RefusingServers::new(0.0);
+    let mut refusing_servers = RefusingServers::new(0.0);
     let mut at = start;
     let mut pauses = Vec::new();
     for _ in 0..6 {
-        closed.refused(key(1), 0.0, ROOM_TOKENS, at);
-        let begun = at;
-        while closed.is_refusing(key(1), at) {
+        refusing_servers.refused(key(1), 0.0, CACHE_TOKENS, at);
+        let since = at;
+        while refusing_servers.is_refusing(key(1), at) {
             at += Duration::from_millis(50);
         }
-        pauses.push(at - begun);
+        pauses.push(at - since);
     }
     assert!(pauses[1] + Duration::from_millis(50) >= pauses[0] * 2);
     assert!(pauses[5] <= Duration::from_secs(4));
 }
 
 #[test]
-fn a_full_server_is_not_closed() {
+fn a_full_server_does_not_count_as_refusing() {
     let now = Instant::now();
-    let mut closed = RefusingServers::new(0.0);
-    assert!(!closed.refused(key(1), 80_000.0, ROOM_TOKENS, now));
-    assert!(!closed.is_refusing(key(1), now));
+    let mut refusing_servers = RefusingServers::new(0.0);
+    assert!(!refusing_servers.refused(key(1), 80_000.0, CACHE_TOKENS, now));
+    assert!(!refusing_servers.is_refusing(key(1), now));
 }
 
 #[test]
-fn work_that_is_taken_or_a_new_entry_opens_it() {
+fn accepted_work_or_a_new_entry_ends_the_exclusion() {
     let now = Instant::now();
-    let mut closed = RefusingServers::new(0.0);
-    closed.refused(key(1), 0.0, ROOM_TOKENS, now);
-    closed.accepted(key(1), now);
-    assert!(!closed.is_refusing(key(1), now));
+    let mut refusing_servers = RefusingServers::new(0.0);
+    refusing_servers.refused(key(1), 0.0, CACHE_TOKENS, now);
+    refusing_servers.accepted(key(1), now);
+    assert!(!refusing_servers.is_refusing(key(1), now));
     // A report from before the acceptance is outdated.
     let old = RefusingObservation {
         server: key(1),
         age_ms: 300,
         refusals: 1,
     };
-    closed.merge(old, now);
-    assert!(!closed.is_refusing(key(1), now));
-    closed.refused(key(1), 0.0, ROOM_TOKENS, now);
-    assert!(closed.is_refusing(key(1), now));
-    closed.entry_changed(key(1));
-    assert!(!closed.is_refusing(key(1), now));
+    refusing_servers.merge(old, now);
+    assert!(!refusing_servers.is_refusing(key(1), now));
+    refusing_servers.refused(key(1), 0.0, CACHE_TOKENS, now);
+    assert!(refusing_servers.is_refusing(key(1), now));
+    refusing_servers.entry_changed(key(1));
+    assert!(!refusing_servers.is_refusing(key(1), now));
 }
 
 #[test]
-fn where_nothing_else_holds_the_layers_a_closed_engine_is_still_tried() {
+fn a_refusing_engine_is_still_tried_where_no_other_holds_the_layers() {
     let mut engines = engines();
     for engine in &mut engines {
         engine.is_refusing = engine.addr().port() % 4 == 1;
@@ -183,23 +192,23 @@
 }
 
 #[test]
-fn damaged_words_close_nothing_for_longer_than_any_refusal() {
+fn invalid_observations_exclude_no_longer_than_any_refusal() {
     let now = Instant::now();
-    let mut closed = RefusingServers::new(0.0);
+    let mut refusing_servers = RefusingServers::new(0.0);
     let damaged = RefusingObservation {
         server: key(1),
         age_ms: u64::MAX,
         refusals: u8::MAX,
     };
-    closed.merge(damaged, now);
-    assert!(!closed.is_refusing(key(1), now));
-    closed.merge(
+    refusing_servers.merge(damaged, now);
+    assert!(!refusing_servers.is_refusing(key(1), now));
+    refusing_servers.merge(
         RefusingObservation {
             age_ms: 0,
             ..damaged
         },
         now,
     );
-    assert!(closed.is_refusing(key(1), now));
-    assert!(!closed.is_refusing(key(1), now + Duration::from_secs(4)));
+    assert!(refusing_servers.is_refusing(key(1), now));
+    assert!(!refusing_servers.is_refusing(key(1), now + Duration::from_secs(4)));
 }
--- a/crates/rookferry_core/tests/departed.rs
+++ b/crates/rookferry_core/tests/departed.rs
@@ -16,7 +16,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 const MINUTE: Duration = Duration::from_mins(1);
 
-fn start(born: u64) -> ServerKey {
+fn incarnation(born: u64) -> ServerKey {
     let addr = SocketAddr::from(([10, 0, 0, 1], 8_000));
     ServerKey::new(addr, "server", Some(born))
 }
@@ -26,74 +26,80 @@
 }
 
 #[test]
-fn what_one_start_said_says_nothing_of_another() {
+fn a_departure_applies_to_one_incarnation() {
     let mut departed = DepartedServers::new();
     let now = Instant::now();
-    assert!(departed.record(start(1), Departure::Leaving, now));
-    assert!(!departed.record(start(1), Departure::Leaving, now));
-    assert!(!departed.contains(start(2)));
-    assert!(departed.contains(start(1)));
+    assert!(departed.record(incarnation(1), Departure::Leaving, now));
+    assert!(!departed.record(incarnation(1), Departure::Leaving, now));
+    assert!(!departed.contains(incarnation(2)));
+    assert!(departed.contains(incarnation(1)));
 }
 
 #[test]
-fn that_a_server_leaves_outlasts_its_entry_for_a_time() {
+fn a_leaving_server_is_remembered_for_a_time_after_its_entry_is_removed() {
     let mut departed = DepartedServers::new();
     let now = Instant::now();
-    departed.record(start(1), Departure::Leaving, now);
+    departed.record(incarnation(1), Departure::Leaving, now);
     departed.adopt_list(version(1, 1), now + 9 * MINUTE, |_| false);
-    assert!(departed.contains(start(1)));
+    assert!(departed.contains(incarnation(1)));
     departed.adopt_list(version(1, 2), now + 20 * MINUTE, |_| true);
-    assert!(departed.contains(start(1)));
+    assert!(departed.contains(incarnation(1)));
     departed.adopt_list(version(1, 3), now + 20 * MINUTE, |_| false);
     assert!(departed.is_empty());
 }
 
 #[test]
-fn no_list_takes_it_back_that_a_server_leaves() {
+fn no_list_revokes_that_a_server_is_leaving() {
     let mut departed = DepartedServers::new();
     let now = Instant::now();
-    departed.record(start(1), Departure::Leaving, now);
+    departed.record(incarnation(1), Departure::Leaving, now);
     for listed in [version(1, 9), version(2, 1), version(1, 1)] {
         departed.adopt_list(listed, now, |_| true);
-        assert!(departed.contains(start(1)));
+        assert!(departed.contains(incarnation(1)));
     }
 }
 
 #[test]
-fn a_list_from_after_an_entry_went_goes_before_the_word_of_it() {
+fn a_list_newer_than_a_removal_overrides_it() {
     let mut departed = DepartedServers::new();
     let now = Instant::now();
     departed.adopt_list(version(1, 5), now, |_| true);
-    assert!(departed.record(start(1), Departure::Gone(version(1, 7)), now));
-    assert!(departed.contains(start(1)));
+    assert!(departed.record(incarnation(1), Departure::Gone(version(1, 7)), now));
+    assert!(departed.contains(incarnation(1)));
     departed.adopt_list(version(1, 6), now, |_| true);
     assert!(
-        departed.contains(start(1)),
+        departed.contains(incarnation(1)),
         "the list is older than the removal"
     );
     departed.adopt_list(version(1, 7), now, |_| true);
-    assert!(!departed.contains(start(1)), "the list contains it again");
+    assert!(
+        !departed.contains(incarnation(1)),
+        "the list contains it again"
+    );
     // A late report of the removal is no change.
-    assert!(!departed.record(start(1), Departure::Gone(version(1, 7)), now));
+    assert!(!departed.record(incarnation(1), Departure::Gone(version(1, 7)), now));
     // Nor is a report from before a restore of the store.
     departed.adopt_list(version(2, 1), now, |_| true);
-    assert!(!departed.record(start(2), Departure::Gone(version(1, 90)), now));
-    assert!(!departed.contains(start(2)));
+    assert!(!departed.record(incarnation(2), Departure::Gone(version(1, 90)), now));
+    assert!(!departed.contains(incarnation(2)));
 }
 
 #[test]
-fn others_are_told_with_an_age_for_a_time_and_the_latest_first() {
+fn departures_are_advertised_with_their_age_the_latest_first() {
     let mut departed = DepartedServers::new();
     let now = Instant::now();
     for born in 0..40 {
         let since = now + Duration::from_millis(born);
-        departed.record(start(born), Departure::Leaving, since);
+        departed.record(incarnation(born), Departure::Leaving, since);
     }
-    let told = departed.advertised(24, 0, now + SECOND);
-    assert_eq!(told.len(), 24);
-    assert_eq!((told[0].server, told[0].age_ms), (start(39), 961));
+    let advertised = departed.advertised(24, 0, now + SECOND);
+    assert_eq!(advertised.len(), 24);
+    assert_eq!(
+        (advertised[0].server, advertised[0].age_ms),
+        (incarnation(39), 961)
+    );
     let mut other = DepartedServers::new();
-    for seen in told {
+    for seen in advertised {
         assert!(other.merge(seen, now + SECOND));
         assert!(!other.merge(seen, now + SECOND));
     }
@@ -112,19 +118,19 @@
 #[case::a_scale_in(60)]
 #[case::a_release(100)]
 #[case::twice_that(200)]
-fn each_of_many_that_leave_at_once_is_told_again_and_again(#[case] leaving: u64) {
-    const MOST: usize = 24;
+fn each_of_many_simultaneous_departures_is_advertised_in_rotation(#[case] leaving: u64) {
+    const MAX_ADVERTISED: usize = 24;
     let mut departed = DepartedServers::new();
     let now = Instant::now();
     for born in 0..leaving {
-        departed.record(start(born), Departure::Leaving, now);
+        departed.record(incarnation(born), Departure::Leaving, now);
     }
     // The rotations of four seconds, two rounds each.
-    let told = (0..13).flat_map(|turn| {
-        let told = departed.advertised(MOST, turn, now + SECOND);
-        assert!(told.len() <= MOST);
-        told
+    let advertised = (0..13).flat_map(|round| {
+        let advertised = departed.advertised(MAX_ADVERTISED, round, now + SECOND);
+        assert!(advertised.len() <= MAX_ADVERTISED);
+        advertised
     });
-    let told: BTreeSet<ServerKey> = told.map(|seen| seen.server).collect();
-    assert_eq!(told.len(), usize::try_from(leaving).unwrap());
+    let advertised: BTreeSet<ServerKey> = advertised.map(|seen| seen.server).collect();
+    assert_eq!(advertised.len(), usize::try_from(leaving).unwrap());
 }
--- a/crates/rookferry_core/tests/fleet_costs.rs
+++ b/crates/rookferry_core/tests/fleet_costs.rs
@@ -12,7 +12,7 @@
 /// Number of large machines in each domain, which carry its duties.
 const LARGE: usize = 2;
 /// Most bytes of control traffic that an instance may send, and receive, in a second.
-const BUDGET_BYTES: usize = 17_000;
+const MAX_CONTROL_BYTES: usize = 17_000;
 
 /// Datagrams and bytes that one instance sends and receives in a second.
 #[derive(Clone, Copy, Debug)]
@@ -25,8 +25,8 @@
 /// A site whose instances are starting.
 fn site(per_domain: usize) -> Site {
     let mut site = Site::start(DOMAINS, per_domain, 1);
-    for (place, instance) in site.instances.iter_mut().enumerate() {
-        if place / DOMAINS < LARGE {
+    for (index, instance) in site.instances.iter_mut().enumerate() {
+        if index / DOMAINS < LARGE {
             instance.capacity = Capacity::of_machine(1.0, 1_000.0);
             instance.table = instance.table.clone().capacity(instance.capacity);
         }
@@ -60,13 +60,13 @@
 #[case::three_hundred(60)]
 #[case::thousand(200)]
 #[case::two_thousand(400)]
-fn a_small_machine_pays_the_same_in_a_site_of_any_size(#[case] per_domain: usize) {
+fn heartbeat_costs_of_a_small_machine_are_bounded_in_a_site_of_any_size(#[case] per_domain: usize) {
     let costs = costs(per_domain);
-    let middle = costs[costs.len() / 2];
+    let median = costs[costs.len() / 2];
     let busiest = costs[costs.len() - 1];
-    println!("{DOMAINS} x {per_domain}: middle {middle:?}, busiest {busiest:?}");
-    assert!(middle.sent_bytes <= BUDGET_BYTES, "{middle:?}");
-    assert!(middle.received_bytes <= BUDGET_BYTES, "{middle:?}");
+    println!("{DOMAINS} x {per_domain}: middle {median:?}, busiest {busiest:?}");
+    assert!(median.sent_bytes <= MAX_CONTROL_BYTES, "{median:?}");
+    assert!(median.received_bytes <= MAX_CONTROL_BYTES, "{median:?}");
     let members = DOMAINS * per_domain;
     assert!(busiest.datagrams <= 400 + members, "{busiest:?}");
 }
@@ -76,7 +76,9 @@
 #[rstest]
 #[case::three_hundred(60)]
 #[case::thousand(200)]
-fn a_start_of_all_costs_each_the_same_in_a_site_of_any_size(#[case] per_domain: usize) {
+fn datagrams_per_instance_during_a_full_start_are_bounded_in_a_site_of_any_size(
+    #[case] per_domain: usize,
+) {
     let mut site = site(per_domain);
     site.run_for(700);
     let sent: u64 = site.instances.iter().map(|instance| instance.sent).sum();
--- a/crates/rookferry_core/tests/limits.rs
+++ b/crates/rookferry_core/tests/limits.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use limited_site::LESS_URGENT;
 use limited_site::LimitedSite;
-use limited_site::PATIENT;
 use limited_site::URGENT;
 use rookferry_core::LimitChange;
 use rookferry_core::LimitObservation;
@@ -28,15 +28,15 @@
 use rstest::rstest;
 
 /// Window over which a limit is checked.
-const SPAN_MS: u64 = 4_000;
+const WINDOW_MS: u64 = 4_000;
 /// Time within which all instances apply a limit that was named.
-const CONTACT_MS: u64 = 3_000;
+const PROPAGATION_MS: u64 = 3_000;
 /// Least share of a limit that is used while there are more requests than it allows.
-const LEAST_USE: f64 = 0.8;
+const MIN_USE: f64 = 0.8;
 
 /// Most requests that may arrive in a window: one and a half times what the limit allows,
 /// and five.
-fn most_in_span(limit_per_s: f64) -> f64 {
+fn max_in_window(limit_per_s: f64) -> f64 {
     1.5 * limit_per_s * 4.0 + 5.0
 }
 
@@ -46,103 +46,107 @@
 
 /// A site that has run for six seconds, the last two with `per_s` requests a second. With
 /// `skew` nine tenths of them arrive at one instance.
-fn pressed(domains: usize, per_domain: usize, per_s: f64, skew: bool, seed: u64) -> LimitedSite {
+fn loaded_site(
+    domains: usize,
+    per_domain: usize,
+    per_s: f64,
+    skew: bool,
+    seed: u64,
+) -> LimitedSite {
     let mut site = LimitedSite::start(domains, per_domain, seed);
     let instances = site.demand_per_s.len();
-    for (place, demand) in site.demand_per_s.iter_mut().enumerate() {
+    for (index, demand) in site.demand_per_s.iter_mut().enumerate() {
         let even = per_s / count(instances);
-        *demand = match place {
+        *demand = match index {
             _ if !skew => even,
             0 => per_s * 0.9,
             _ => even * 0.1,
         };
     }
     site.run_for(4_000);
-    site.open();
+    site.start_requests();
     site.run_for(2_000);
     site
 }
 
-fn check_span(site: &LimitedSite, limit_per_s: f64, since_ms: u64) {
-    let worst = count(site.most_in_span(SPAN_MS, since_ms));
-    let most = most_in_span(limit_per_s);
+fn assert_within_limit(site: &LimitedSite, limit_per_s: f64, since_ms: u64) {
+    let worst = count(site.max_in_window(WINDOW_MS, since_ms));
+    let most = max_in_window(limit_per_s);
     assert!(worst <= most, "{worst} requests in 4 s, {most} allowed");
 }
 
-fn check_use(site: &LimitedSite, limit_per_s: f64, from_ms: u64, to_ms: u64) {
-    let arrived = count(site.arrived(from_ms, to_ms));
+fn assert_limit_used(site: &LimitedSite, limit_per_s: f64, from_ms: u64, to_ms: u64) {
+    let arrived = count(site.arrivals_between(from_ms, to_ms));
     let allowed = limit_per_s * count(usize::try_from(to_ms - from_ms).expect("a time")) / 1_000.0;
     assert!(
-        arrived >= LEAST_USE * allowed,
+        arrived >= MIN_USE * allowed,
         "{arrived} requests of {allowed}"
     );
 }
 
-fn keep_to_and_use(instances: (usize, usize), limit_per_s: f64, skew: bool, seed: u64) {
+fn check_limit(instances: (usize, usize), limit_per_s: f64, skew: bool, seed: u64) {
     let demand_per_s = (limit_per_s * 3.0).max(3.0);
-    let mut site = pressed(instances.0, instances.1, demand_per_s, skew, seed);
+    let mut site = loaded_site(instances.0, instances.1, demand_per_s, skew, seed);
     site.limit_per_s = Some(limit_per_s);
     let lasts_ms = if limit_per_s < 1.0 { 60_000 } else { 20_000 };
     site.run_for(lasts_ms);
     let named_ms = site.first_named_ms.expect("a limit");
-    check_span(&site, limit_per_s, named_ms + CONTACT_MS);
+    assert_within_limit(&site, limit_per_s, named_ms + PROPAGATION_MS);
     let end_ms = site.site.now_ms;
-    check_use(&site, limit_per_s, named_ms + 4_000, end_ms);
+    assert_limit_used(&site, limit_per_s, named_ms + 4_000, end_ms);
 }
 
 #[rstest]
-fn all_instances_together_keep_to_a_limit_and_use_it(
+fn all_instances_together_respect_and_use_a_limit(
     #[values((1, 3), (3, 3), (3, 20))] size: (usize, usize),
     #[values(0.3, 1.0, 4.9, 40.0)] limit_per_s: f64,
     #[values(false, true)] skew: bool,
 ) {
     for seed in 0..2 {
-        keep_to_and_use(size, limit_per_s, skew, seed);
+        check_limit(size, limit_per_s, skew, seed);
     }
 }
 
 #[rstest]
-fn hundreds_of_instances_keep_to_a_limit_and_use_it(
+fn hundreds_of_instances_respect_and_use_a_limit(
     #[values(1.0, 4.9, 40.0)] limit_per_s: f64,
     #[values(false, true)] skew: bool,
 ) {
-    keep_to_and_use((3, 100), limit_per_s, skew, 2);
+    check_limit((3, 100), limit_per_s, skew, 2);
 }
 
 #[rstest]
-fn a_limit_that_changes_binds_from_then_on(
-    #[values((3, 3), (3, 20), (3, 100))] size: (usize, usize),
-) {
-    let mut site = pressed(size.0, size.1, 15.0, false, 5);
+fn a_changed_limit_is_applied(#[values((3, 3), (3, 20), (3, 100))] size: (usize, usize)) {
+    let mut site = loaded_site(size.0, size.1, 15.0, false, 5);
     site.limit_per_s = Some(4.9);
     site.run_for(10_000);
     site.limit_per_s = Some(3.2);
     let changed_ms = site.site.now_ms;
     site.run_for(10_000);
-    check_span(&site, 3.2, changed_ms + CONTACT_MS);
-    check_use(&site, 3.2, changed_ms + 4_000, site.site.now_ms);
+    assert_within_limit(&site, 3.2, changed_ms + PROPAGATION_MS);
+    assert_limit_used(&site, 3.2, changed_ms + 4_000, site.site.now_ms);
     site.limit_per_s = None;
     site.run_for(3_000);
     let lifted_ms = site.site.now_ms;
     site.run_for(4_000);
     let all = 15.0 * 4.0;
-    let arrived = count(site.arrived(lifted_ms, lifted_ms + 4_000));
+    let arrived = count(site.arrivals_between(lifted_ms, lifted_ms + 4_000));
     assert!(arrived > all * 0.7, "{arrived} of {all} once it is lifted");
 }
 
 /// The granter crashes and starts again.
 #[rstest]
-fn the_granter_may_end(
+fn a_limit_is_respected_and_used_after_the_granter_crashes(
     #[values((1, 3), (3, 3), (3, 20), (3, 100))] size: (usize, usize),
     #[values(1.0, 4.9, 40.0)] limit_per_s: f64,
 ) {
-    let mut site = pressed(size.0, size.1, limit_per_s * 3.0, false, 6);
+    let mut site = loaded_site(size.0, size.1, limit_per_s * 3.0, false, 6);
     site.limit_per_s = Some(limit_per_s);
     site.run_for(6_000);
     let granter = site.granter();
     site.kill(granter);
     site.run_for(18_000);
-    check_use(
+    assert_limit_used(
         &site,
         limit_per_s,
         site.site.now_ms - 10_000,
@@ -151,8 +155,8 @@
     site.start_at(granter, site.site.now_ms + 50);
     site.run_for(10_000);
     let named_ms = site.first_named_ms.expect("a limit");
-    check_span(&site, limit_per_s, named_ms + CONTACT_MS);
-    check_use(
+    assert_within_limit(&site, limit_per_s, named_ms + PROPAGATION_MS);
+    assert_limit_used(
         &site,
         limit_per_s,
         site.site.now_ms - 5_000,
@@ -162,48 +166,48 @@
 
 /// The server's domain is cut off, so the other domains can't reach the server either.
 #[rstest]
-fn a_domain_that_is_cut_off_uses_its_server(
+fn an_isolated_domain_uses_the_limit_of_its_server(
     #[values((3, 3), (3, 20), (3, 100))] size: (usize, usize),
 ) {
     let limit_per_s = 4.9;
-    let mut site = pressed(size.0, size.1, 60.0, false, 7);
+    let mut site = loaded_site(size.0, size.1, 60.0, false, 7);
     site.limit_per_s = Some(limit_per_s);
     site.run_for(6_000);
-    site.site.cut = Some(0);
-    let cut_ms = site.site.now_ms;
+    site.site.isolated_domain = Some(0);
+    let isolated_ms = site.site.now_ms;
     site.run_for(8_000);
-    check_use(&site, limit_per_s, cut_ms + 1_000, site.site.now_ms);
-    site.site.cut = None;
+    assert_limit_used(&site, limit_per_s, isolated_ms + 1_000, site.site.now_ms);
+    site.site.isolated_domain = None;
     site.run_for(8_000);
-    check_span(
+    assert_within_limit(
         &site,
         limit_per_s,
-        site.first_named_ms.expect("a limit") + CONTACT_MS,
+        site.first_named_ms.expect("a limit") + PROPAGATION_MS,
     );
 }
 
 /// Some instances of each domain are cut off from the others, and all still reach the
 /// server. Both sides may grant permits.
 #[rstest]
-fn sides_of_a_cut_share_a_limit(
+fn sides_of_a_partition_share_a_limit(
     #[values((1, 3), (3, 2), (3, 3), (3, 20), (3, 100))] size: (usize, usize),
-    #[values(2, 3)] part: usize,
+    #[values(2, 3)] divisor: usize,
     #[values(4.9, 20.0)] limit_per_s: f64,
 ) {
-    let mut site = pressed(size.0, size.1, limit_per_s * 8.0, false, 8);
+    let mut site = loaded_site(size.0, size.1, limit_per_s * 8.0, false, 8);
     site.limit_per_s = Some(limit_per_s);
     site.run_for(6_000);
-    let apart = (0..size.0 * size.1).filter(|place| (place / size.0).is_multiple_of(part));
-    site.site.apart = apart.collect();
+    let partition = (0..size.0 * size.1).filter(|index| (index / size.0).is_multiple_of(divisor));
+    site.site.partition = partition.collect();
     site.run_for(20_000);
-    site.site.apart.clear();
+    site.site.partition.clear();
     site.run_for(8_000);
-    check_span(
+    assert_within_limit(
         &site,
         limit_per_s,
-        site.first_named_ms.expect("a limit") + CONTACT_MS,
+        site.first_named_ms.expect("a limit") + PROPAGATION_MS,
     );
-    check_use(
+    assert_limit_used(
         &site,
         limit_per_s,
         site.site.now_ms - 5_000,
@@ -213,28 +217,30 @@
 
 /// All instances restart together and receive the limit anew.
 #[rstest]
-fn a_limit_holds_when_all_start_again(#[values((3, 3), (3, 20), (3, 100))] size: (usize, usize)) {
+fn a_limit_is_respected_and_used_after_a_full_restart(
+    #[values((3, 3), (3, 20), (3, 100))] size: (usize, usize),
+) {
     let limit_per_s = 4.9;
-    let mut site = pressed(size.0, size.1, 15.0, false, 9);
+    let mut site = loaded_site(size.0, size.1, 15.0, false, 9);
     site.limit_per_s = Some(limit_per_s);
     site.run_for(6_000);
-    for place in 0..size.0 * size.1 {
-        let at_ms = site.site.now_ms + u64::try_from(place % 7).expect("a few") * 40;
-        site.start_at(place, at_ms);
+    for index in 0..size.0 * size.1 {
+        let at_ms = site.site.now_ms + u64::try_from(index % 7).expect("a few") * 40;
+        site.start_at(index, at_ms);
     }
     let started_ms = site.site.now_ms;
     site.run_for(15_000);
-    check_span(&site, limit_per_s, started_ms + SPAN_MS + 1_000);
-    check_use(&site, limit_per_s, started_ms + 5_000, site.site.now_ms);
+    assert_within_limit(&site, limit_per_s, started_ms + WINDOW_MS + 1_000);
+    assert_limit_used(&site, limit_per_s, started_ms + 5_000, site.site.now_ms);
 }
 
 /// Where permits are scarce the more urgent requests get them.
 #[rstest]
-fn the_less_urgent_are_turned_away_first(
+fn less_urgent_requests_are_refused_first(
     #[values((3, 3), (3, 20), (3, 100))] size: (usize, usize),
 ) {
-    let mut site = pressed(size.0, size.1, 12.0, false, 10);
-    site.patient_share = 0.5;
+    let mut site = loaded_site(size.0, size.1, 12.0, false, 10);
+    site.less_urgent_share = 0.5;
     site.limit_per_s = Some(6.0);
     site.run_for(4_000);
     site.outcomes.clear();
@@ -243,10 +249,10 @@
         let outcomes = site.outcomes[&urgency];
         count(outcomes.sent) / count(outcomes.sent + outcomes.refused)
     };
-    let (urgent, patient) = (served(URGENT), served(PATIENT));
+    let (urgent, less_urgent) = (served(URGENT), served(LESS_URGENT));
     assert!(
-        urgent > patient + 0.2,
-        "served {urgent} of the urgent, {patient} of the others"
+        urgent > less_urgent + 0.2,
+        "served {urgent} of the urgent, {less_urgent} of the others"
     );
 }
 
@@ -264,7 +270,7 @@
 #[case::not_a_number(f64::NAN, None)]
 #[case::without_end(f64::INFINITY, None)]
 #[case::huge(1e300, None)]
-fn what_can_not_be_meant_bounds_nothing(#[case] per_s: f64, #[case] bounded: Option<f64>) {
+fn an_invalid_rate_is_no_limit(#[case] per_s: f64, #[case] bounded: Option<f64>) {
     assert_eq!(
         RequestRate::from_per_s(per_s).map(RequestRate::per_s),
         bounded
@@ -272,7 +278,7 @@
 }
 
 #[test]
-fn a_server_that_names_nothing_gets_a_request_now_and_then() {
+fn a_server_with_limit_zero_gets_occasional_requests() {
     let now = Instant::now();
     let mut granter = PermitGranter::new(rate(0.0), now);
     let taken = (0..600).filter(|tenth| {
@@ -285,7 +291,7 @@
 
 /// Requests sent before the limit was known count until their window has passed.
 #[test]
-fn what_was_sent_before_holds_permits_back_for_a_span() {
+fn earlier_requests_count_for_one_window() {
     let now = Instant::now();
     let mut granter = PermitGranter::new(rate(3.0), now);
     for _ in 0..40 {
@@ -301,7 +307,7 @@
 /// More reported requests than are stored neither block the granter for good nor grow
 /// its memory without bound.
 #[test]
-fn a_flood_of_told_sends_is_forgotten() {
+fn a_flood_of_reported_requests_is_forgotten() {
     let now = Instant::now();
     let mut granter = PermitGranter::new(rate(3.0), now);
     for _ in 0..20_000 {
@@ -320,7 +326,7 @@
 }
 
 #[test]
-fn a_peers_word_does_not_outlive_the_servers_later_one() {
+fn a_newer_response_of_the_server_overrides_a_peers_observation() {
     let now = Instant::now() + Duration::from_mins(1);
     let mut limits = ServerLimits::new();
     assert_eq!(
@@ -349,7 +355,7 @@
 /// Passed back and forth between instances, an observation would return a little younger
 /// each time and never expire.
 #[test]
-fn a_word_that_is_passed_on_does_not_grow_younger() {
+fn an_observation_that_is_passed_on_does_not_grow_younger() {
     let now = Instant::now() + Duration::from_mins(1);
     let mut limits = ServerLimits::new();
     limits.record_limit(key(), rate(3.0), now);
@@ -361,7 +367,7 @@
 /// A response without a limit, to a request sent before the limit was named, may have
 /// been made before it.
 #[test]
-fn an_earlier_answer_lifts_no_limit() {
+fn a_response_to_an_earlier_request_lifts_no_limit() {
     let now = Instant::now();
     let mut limits = ServerLimits::new();
     let named_at = now + Duration::from_millis(50);
@@ -372,7 +378,7 @@
 }
 
 #[test]
-fn a_limit_is_of_one_start() {
+fn a_limit_applies_to_one_incarnation() {
     let now = Instant::now();
     let mut limits = ServerLimits::new();
     limits.record_limit(key(), rate(3.0), now);
@@ -381,16 +387,16 @@
 }
 
 #[test]
-fn a_more_urgent_request_is_not_kept_from_asking() {
+fn a_refusal_does_not_block_more_urgent_requests() {
     let now = Instant::now();
-    let mut book = PermitTracker::new();
+    let mut tracker = PermitTracker::new();
     let refusal = PermitRefusal {
         ask_again_ms: 1_000,
         spread_ms: 1_000,
     };
-    book.record_refusal(key(), PATIENT, refusal, 0.0, now);
-    assert!(book.refused_until(key(), PATIENT, now).is_some());
-    assert_eq!(book.refused_until(key(), URGENT, now), None);
+    tracker.record_refusal(key(), LESS_URGENT, refusal, 0.0, now);
+    assert!(tracker.refused_until(key(), LESS_URGENT, now).is_some());
+    assert_eq!(tracker.refused_until(key(), URGENT, now), None);
     let later = now + Duration::from_millis(1_001);
-    assert_eq!(book.refused_until(key(), PATIENT, later), None);
+    assert_eq!(tracker.refused_until(key(), LESS_URGENT, later), None);
 }
--- a/crates/rookferry_core/tests/link_pace.rs
+++ b/crates/rookferry_core/tests/link_pace.rs
@@ -11,15 +11,15 @@
 use rstest::rstest;
 
 /// How long callers wait for the first event, in milliseconds.
-const PATIENCE_MS: f64 = 2_000.0;
+const CALLER_TIMEOUT_MS: f64 = 2_000.0;
 
 /// Simulates 30 s of prompts that each occupy the shared link for `prompt_ms`. Returns
 /// how many arrived, and how many crossed the link before their callers' timeout. Without
 /// a rate limiter all are admitted.
-fn crossed(instances: usize, per_s: f64, prompt_ms: f64, has_pace: bool) -> (usize, usize) {
+fn simulate(instances: usize, per_s: f64, prompt_ms: f64, is_limited: bool) -> (usize, usize) {
     let mut rng = StdRng::seed_from_u64(7);
     let start = Instant::now();
-    let mut paces: Vec<_> = (0..instances)
+    let mut limiters: Vec<_> = (0..instances)
         .map(|_| LinkRateLimiter::new(rng.random()))
         .collect();
     let (mut arrived, mut in_time) = (0, 0);
@@ -29,12 +29,12 @@
         at_ms += 1_000.0 / per_s;
         arrived += 1;
         let now = start + Duration::from_secs_f64(at_ms / 1_000.0);
-        let pace = &mut paces[rng.random_range(0..instances)];
-        if has_pace && pace.reserve(prompt_ms, instances, now).is_err() {
+        let limiter = &mut limiters[rng.random_range(0..instances)];
+        if is_limited && limiter.reserve(prompt_ms, instances, now).is_err() {
             continue;
         }
         link_free_ms = link_free_ms.max(at_ms) + prompt_ms;
-        in_time += usize::from(link_free_ms - at_ms < PATIENCE_MS);
+        in_time += usize::from(link_free_ms - at_ms < CALLER_TIMEOUT_MS);
     }
     (arrived, in_time)
 }
@@ -42,30 +42,32 @@
 #[rstest]
 #[case::small_site(9, 14.0, 370.0)]
 #[case::of_hundreds(295, 300.0, 25.0)]
-fn of_streams_that_all_cross_as_many_are_served_as_the_link_carries(
+fn limited_streams_use_the_capacity_of_an_overloaded_link(
     #[case] instances: usize,
     #[case] per_s: f64,
     #[case] prompt_ms: f64,
 ) {
     let most = 30_000.0 / prompt_ms;
-    let (_, unpaced) = crossed(instances, per_s, prompt_ms, false);
-    let (_, paced) = crossed(instances, per_s, prompt_ms, true);
-    assert!((unpaced as f64) < most * 0.2, "{unpaced} of {most}");
-    assert!((paced as f64) > most * 0.4, "{paced} of {most}");
+    let (_, unlimited) = simulate(instances, per_s, prompt_ms, false);
+    let (_, limited) = simulate(instances, per_s, prompt_ms, true);
+    assert!((unlimited as f64) < most * 0.2, "{unlimited} of {most}");
+    assert!((limited as f64) > most * 0.4, "{limited} of {most}");
 }
 
 #[test]
-fn a_link_that_carries_all_turns_few_away() {
-    let (arrived, in_time) = crossed(9, 10.0, 5.0, true);
+fn a_link_with_enough_capacity_refuses_few() {
+    let (arrived, in_time) = simulate(9, 10.0, 5.0, true);
     assert!(in_time * 10 >= arrived * 9, "{in_time} of {arrived}");
 }
 
 #[test]
-fn one_that_is_turned_away_is_told_when_there_is_time() {
+fn a_refusal_states_when_the_link_has_capacity() {
     let start = Instant::now();
-    let mut pace = LinkRateLimiter::new(0.0);
-    assert_eq!(pace.reserve(100.0, 4, start), Ok(()));
-    let wait = pace.reserve(100.0, 4, start).expect_err("no time is left");
+    let mut limiter = LinkRateLimiter::new(0.0);
+    assert_eq!(limiter.reserve(100.0, 4, start), Ok(()));
+    let wait = limiter
+        .reserve(100.0, 4, start)
+        .expect_err("no time is left");
     let soon = start + wait + Duration::from_millis(1);
-    assert_eq!(pace.reserve(100.0, 4, soon), Ok(()));
+    assert_eq!(limiter.reserve(100.0, 4, soon), Ok(()));
 }
--- a/crates/rookferry_core/tests/list_history.rs
+++ b/crates/rookferry_core/tests/list_history.rs
@@ -52,38 +52,38 @@
 proptest! {
     /// Whatever changes, a delta turns the earlier list into the latest one.
     #[test]
-    fn what_differs_makes_the_later_list_of_the_earlier_one(
+    fn a_delta_turns_the_earlier_list_into_the_latest_one(
         edits in vec((0..40_usize, any::<bool>()), 1..40),
         from in 0..40_usize,
     ) {
         let mut list: Vec<BackendServer> = (0..40).map(|number| server(number, 0)).collect();
         let mut history = ListHistory::new();
-        let mut seen = Vec::new();
+        let mut lists = Vec::new();
         history.set_current(version(1), &list);
-        seen.push((history.fingerprint(), list.clone()));
-        for (place, (number, is_removed)) in edits.iter().enumerate() {
+        lists.push((history.fingerprint(), list.clone()));
+        for (step, (number, is_removed)) in edits.iter().enumerate() {
             let id = server(*number, 0).id;
             list.retain(|server| server.id != id);
-            let revision = u64::try_from(place).unwrap() + 2;
+            let revision = u64::try_from(step).unwrap() + 2;
             if !is_removed {
                 list.push(server(*number, revision));
             }
             history.set_current(version(revision), &list);
-            seen.push((history.fingerprint(), list.clone()));
+            lists.push((history.fingerprint(), list.clone()));
         }
         list.sort_by(|left, right| left.id.cmp(&right.id));
-        let (mark, earlier) = &seen[from.min(seen.len() - 1)];
-        if let Some(delta) = delta(&history, &list, *mark) {
-            let made = delta.applied(earlier, history.fingerprint().digest);
-            assert_eq!(made, Some(list));
+        let (fingerprint, earlier) = &lists[from.min(lists.len() - 1)];
+        if let Some(delta) = delta(&history, &list, *fingerprint) {
+            let rebuilt = delta.applied(earlier, history.fingerprint().digest);
+            assert_eq!(rebuilt, Some(list));
         } else {
-            assert!(*mark == history.fingerprint() || edits.len() >= 10);
+            assert!(*fingerprint == history.fingerprint() || edits.len() >= 10);
         }
     }
 }
 
 #[test]
-fn a_list_of_the_same_version_with_other_entries_is_given_whole() {
+fn a_list_of_the_same_version_with_other_entries_is_sent_whole() {
     let list: Vec<_> = (0..10).map(|number| server(number, 0)).collect();
     let mut others = list.clone();
     others[3].slots = 7;
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn what_does_not_come_to_the_digest_is_not_used() {
+fn a_delta_whose_result_mismatches_the_digest_is_rejected() {
     let list: Vec<_> = (0..10).map(|number| server(number, 0)).collect();
     let mut others = list.clone();
     others[3].slots = 7;
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_list_that_is_long_forgotten_is_given_whole() {
+fn a_list_older_than_the_history_is_sent_whole() {
     let list: Vec<_> = (0..10).map(|number| server(number, 0)).collect();
     let mut history = ListHistory::new();
     history.set_current(version(1), &list);
@@ -129,21 +129,21 @@
 #[case::three_hundred(300)]
 #[case::three_thousand(3_000)]
 #[case::twice_that(6_000)]
-fn a_release_costs_each_instance_its_changes(#[case] servers: usize) {
+fn the_bytes_of_a_release_grow_with_its_changes(#[case] servers: usize) {
     let mut list: Vec<_> = (0..servers).map(|number| server(number, 0)).collect();
     let mut history = ListHistory::new();
     history.set_current(version(1), &list);
-    let mut had = (history.fingerprint(), list.clone());
+    let mut known = (history.fingerprint(), list.clone());
     let whole_bytes = postcard::to_stdvec(&list).expect("bytes").len();
     let mut sent_bytes = 0;
     let changes = servers / 30;
     for change in 0..changes {
         list[change] = server(change, 1);
         history.set_current(version(u64::try_from(change).unwrap() + 2), &list);
-        let delta = delta(&history, &list, had.0).expect("it is remembered");
+        let delta = delta(&history, &list, known.0).expect("it is remembered");
         sent_bytes += postcard::to_stdvec(&delta).expect("bytes").len();
-        let made = delta.applied(&had.1, history.fingerprint().digest);
-        had = (history.fingerprint(), made.expect("the same list"));
+        let rebuilt = delta.applied(&known.1, history.fingerprint().digest);
+        known = (history.fingerprint(), rebuilt.expect("the same list"));
     }
     println!(
         "{servers}: {sent_bytes} bytes, as whole lists {}",
--- a/crates/rookferry_core/tests/members.rs
+++ b/crates/rookferry_core/tests/members.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn another_run_under_the_own_name_is_seen() {
+fn another_incarnation_under_the_own_name_is_detected() {
     let mut table = table();
     let now = Instant::now();
     assert_eq!(
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn silence_is_suspected_and_then_forgotten() {
+fn a_silent_member_is_suspected_and_later_removed() {
     let start = Instant::now();
     let mut table = table();
     assert!(table.on_heartbeat(start, heartbeat("a", 5, 1)).is_ok());
@@ -121,16 +121,16 @@
 
 /// At full size: 14 domains of 26 instances.
 #[test]
-fn the_plan_stays_within_its_bytes_at_full_size() {
+fn the_plan_stays_within_its_byte_budget_at_full_size() {
     const BUDGET: u32 = 4_000;
     const DATAGRAM: usize = 180;
     let mut plan = HeartbeatPlan::new("domain-0".into(), BUDGET);
     let peers = peers(14, 26);
     let round = plan.next_round(&peers, DATAGRAM);
-    let near = round
+    let local = round
         .iter()
         .filter(|peer| *peer.failure_domain == *"domain-0");
-    assert_eq!(near.count(), 26, "all of its own domain");
+    assert_eq!(local.count(), 26, "all of its own domain");
     assert_eq!(round.len(), 26 + 13, "one of each other domain");
     let interval = plan.interval(round.len(), DATAGRAM);
     let per_s = (round.len() * DATAGRAM) as f64 / interval.as_secs_f64();
@@ -138,12 +138,12 @@
 }
 
 #[test]
-fn every_far_peer_gets_its_turn() {
+fn every_remote_peer_gets_heartbeats_in_rotation() {
     let mut plan = HeartbeatPlan::new("domain-0".into(), 8_000);
     let peers = peers(3, 5);
-    let mut told: Vec<String> = Vec::new();
+    let mut targets: Vec<String> = Vec::new();
     for _ in 0..5 {
-        told.extend(
+        targets.extend(
             plan.next_round(&peers, 400)
                 .iter()
                 .map(|peer| peer.instance.to_string()),
@@ -152,12 +152,12 @@
     assert!(
         peers
             .iter()
-            .all(|peer| told.contains(&peer.instance.to_string()))
+            .all(|peer| targets.contains(&peer.instance.to_string()))
     );
 }
 
 #[test]
-fn when_an_instance_goes_only_its_names_move() {
+fn only_the_names_of_a_removed_instance_get_another_owner() {
     let all: Vec<InstanceId> = (0..9)
         .map(|number| format!("entry-{number}").into())
         .collect();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_changed_datagram_is_dropped() {
+fn a_modified_datagram_is_rejected() {
     let key = DatagramKey::from_secret("secret of the site");
     let sealed = key.seal(&heartbeat("a", 1, 1)).expect("it fits");
     assert_eq!(key.open(&sealed), Ok(heartbeat("a", 1, 1)));
@@ -190,7 +190,7 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_or_dropped(bytes in vec(any::<u8>(), 0..MAX_DATAGRAM_BYTES + 50)) {
+    fn arbitrary_bytes_are_rejected(bytes in vec(any::<u8>(), 0..MAX_DATAGRAM_BYTES + 50)) {
         let key = DatagramKey::from_secret("secret of the site");
         prop_assert!(key.open(&bytes).is_err());
     }
@@ -199,7 +199,7 @@
 /// Every engine is polled by exactly one instance of its domain while all know the same
 /// members, and by every instance without recent updates once that one is silent.
 #[test]
-fn each_engine_is_asked_by_one_and_missed_by_all() {
+fn each_engine_is_polled_by_one_instance_and_by_all_once_updates_stop() {
     let now = Instant::now();
     let names: Vec<InstanceId> = (0..26)
         .map(|number| format!("entry-{number}").into())
@@ -212,20 +212,20 @@
             is_described: true,
             last_update: Some(now),
         };
-        let asking = names
+        let polling = names
             .iter()
             .filter(|own| poll_reason(now, own, &input).is_some());
-        assert_eq!(asking.count(), 1);
+        assert_eq!(polling.count(), 1);
         let later = now + Duration::from_secs(5);
-        let asking = names
+        let polling = names
             .iter()
             .filter(|own| poll_reason(later, own, &input).is_some());
-        assert_eq!(asking.count(), names.len());
+        assert_eq!(polling.count(), names.len());
     }
 }
 
 #[test]
-fn asks_stay_within_their_bytes() {
+fn polls_stay_within_their_byte_budget() {
     let interval = poll_interval(8, 6_000, Duration::from_millis(250));
     assert!(
         8.0 * 550.0 / interval.as_secs_f64() <= 6_001.0,
@@ -241,7 +241,7 @@
 /// engines of other domains are rare: not every instance may poll all of them all the
 /// time.
 #[test]
-fn missed_engines_are_asked_within_the_budget() {
+fn extra_polls_stay_within_the_budget() {
     assert_eq!(extra_polls_allowed(8, 0, 8_000), 1);
     assert_eq!(extra_polls_allowed(3, 0, 8_000), 4);
     assert_eq!(
@@ -253,7 +253,7 @@
 
 /// A member with a longer heartbeat interval is suspected later.
 #[test]
-fn suspicion_follows_a_members_own_rounds() {
+fn suspicion_follows_a_members_own_interval() {
     let start = Instant::now();
     let mut table = table();
     let slow = Heartbeat {
@@ -271,19 +271,19 @@
 /// Members of other domains send to the own domain's instances in rotation, so each
 /// receives from them the less often the larger its domain is.
 #[test]
-fn far_members_are_waited_for_by_their_turns() {
+fn suspicion_of_remote_members_follows_their_rotation() {
     let start = Instant::now();
     let mut table = table();
     for number in 0..25 {
         let name = format!("near-{number}");
         assert!(table.on_heartbeat(start, heartbeat(&name, 1, 1)).is_ok());
     }
-    let far = Heartbeat {
+    let remote = Heartbeat {
         failure_domain: "domain-2".into(),
         interval_ms: 1_700,
         ..heartbeat("far", 1, 1)
     };
-    assert!(table.on_heartbeat(start, far).is_ok());
+    assert!(table.on_heartbeat(start, remote).is_ok());
     let suspected = table.tick(start + Duration::from_secs(1));
     assert!(suspected.is_empty());
     for number in 0..25 {
--- a/crates/rookferry_core/tests/news_budget.rs
+++ b/crates/rookferry_core/tests/news_budget.rs
@@ -11,24 +11,24 @@
 use rstest::rstest;
 
 #[rstest]
-fn all_waits_on_each_way_add_up_to_less_than_the_bound(#[values(2, 3, 4, 5)] bound_s: u64) {
+fn the_worst_case_of_each_propagation_path_is_within_the_bound(#[values(2, 3, 4, 5)] bound_s: u64) {
     let bound = Duration::from_secs(bound_s);
     let budget = PropagationBudget::new(bound);
-    for way in PropagationPath::ALL {
-        let longest = budget.worst_case(way);
+    for path in PropagationPath::ALL {
+        let longest = budget.worst_case(path);
         // A twentieth is reserved for slow machines.
-        assert!(longest <= bound * 19 / 20, "{way:?}: {longest:?}");
+        assert!(longest <= bound * 19 / 20, "{path:?}: {longest:?}");
     }
 }
 
 #[rstest]
-fn the_first_in_line_pauses_no_longer_than_planned(#[values(2, 3, 4)] bound_s: u64) {
+fn the_first_ranked_pauses_no_longer_than_budgeted(#[values(2, 3, 4)] bound_s: u64) {
     let budget = PropagationBudget::new(Duration::from_secs(bound_s));
     assert!(ranked_pause(20, 0) <= budget.retry_pause());
 }
 
 #[rstest]
-fn a_word_that_a_sound_reader_tells_is_relied_on(#[values(2, 3, 4)] bound_s: u64) {
+fn reports_of_a_healthy_reader_stay_valid(#[values(2, 3, 4)] bound_s: u64) {
     let budget = PropagationBudget::new(Duration::from_secs(bound_s));
     // The report was confirmed by the watch before the pending one, and then delivered.
     let oldest = 2 * budget.watch_wait() + budget.delivery();
@@ -36,7 +36,7 @@
 }
 
 #[rstest]
-fn instances_stop_relying_on_their_peers_one_after_the_other(#[values(2, 3, 4)] bound_s: u64) {
+fn instances_stop_relying_on_their_peers_in_rank_order(#[values(2, 3, 4)] bound_s: u64) {
     let bound = Duration::from_secs(bound_s);
     let budget = PropagationBudget::new(bound);
     assert_eq!(budget.rank_delay(0), Duration::ZERO);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_store_is_known_as_of_the_older_of_both_reads() {
+fn the_age_of_store_knowledge_is_that_of_the_older_read() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut contact = StoreContact::new();
@@ -62,7 +62,7 @@
 
 /// Peers take over at once, not only when the reader's report has expired.
 #[test]
-fn a_reader_whose_watch_is_overdue_is_not_relied_on() {
+fn a_reader_with_an_overdue_watch_advertises_no_age() {
     let start = Instant::now();
     let mut contact = StoreContact::new();
     contact.record_config_read(start);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_slow_store_is_waited_for_longer() {
+fn a_watch_of_a_slow_store_is_overdue_later() {
     let planned = Duration::from_millis(200);
     let mut contact = StoreContact::new();
     assert_eq!(contact.overdue_after(planned), planned);
--- a/crates/rookferry_core/tests/one_door.rs
+++ b/crates/rookferry_core/tests/one_door.rs
@@ -15,18 +15,18 @@
 use rstest::rstest;
 
 /// Requests that the engine can serve at once.
-const ROOM: u32 = 300;
+const CAPACITY: u32 = 300;
 /// Duration of a request.
 const REQUEST_MS: u64 = 2_000;
 /// Rate of requests as a multiple of the rate that the engine can serve.
-const OVERLOAD: f64 = 1.5;
+const LOAD_FACTOR: f64 = 1.5;
 const STEP_MS: u64 = 10;
 
 /// Load of the engine during an overload.
 #[derive(Debug, Default)]
-struct Played {
+struct EngineLoad {
     /// Highest and mean number of requests in flight, as shares of the capacity.
-    most: f64,
+    peak: f64,
     mean: f64,
 }
 
@@ -34,7 +34,7 @@
 struct Engine {
     members: Vec<usize>,
     /// When each finishes, and the instance that sent it.
-    under_way: BinaryHeap<std::cmp::Reverse<(u64, usize)>>,
+    in_flight: BinaryHeap<std::cmp::Reverse<(u64, usize)>>,
 }
 
 impl Engine {
@@ -42,57 +42,59 @@
         let members = 0..site.instances.len();
         Self {
             members: members
-                .filter(|place| site.instances[*place].domain == 0)
+                .filter(|index| site.instances[*index].domain == 0)
                 .collect(),
-            under_way: BinaryHeap::new(),
+            in_flight: BinaryHeap::new(),
         }
     }
 
-    fn end_due(&mut self, site: &mut Site) {
-        while let Some(std::cmp::Reverse((end_ms, place))) = self.under_way.peek().copied() {
+    fn finish_due(&mut self, site: &mut Site) {
+        while let Some(std::cmp::Reverse((end_ms, index))) = self.in_flight.peek().copied() {
             if end_ms > site.now_ms {
                 return;
             }
-            self.under_way.pop();
-            site.instances[place].requests -= 1;
+            self.in_flight.pop();
+            site.instances[index].requests -= 1;
         }
     }
 
     /// A request arrives at a random instance, which admits it if the loads known there
     /// leave capacity.
     fn arrive(&mut self, site: &mut Site) {
-        let place = self.members[site.rng.random_range(0..self.members.len())];
+        let index = self.members[site.rng.random_range(0..self.members.len())];
         let now = site.now();
-        let instance = &mut site.instances[place];
+        let instance = &mut site.instances[index];
         let others = instance.table.loads(now);
-        let others = others.get(&engine_key(0)).map_or(0, |load| load.requests);
-        if instance.requests + others < ROOM {
+        let others = others
+            .get(&engine_key(0))
+            .map_or(0, |server_load| server_load.requests);
+        if instance.requests + others < CAPACITY {
             instance.requests += 1;
             let end_ms = site.now_ms + REQUEST_MS;
-            self.under_way.push(std::cmp::Reverse((end_ms, place)));
+            self.in_flight.push(std::cmp::Reverse((end_ms, index)));
         }
     }
 
     /// Overloads the engine for some time.
-    fn overload(&mut self, site: &mut Site, for_ms: u64) -> Played {
-        let capacity_per_ms = f64::from(ROOM) / REQUEST_MS as f64;
-        let callers = capacity_per_ms * OVERLOAD * STEP_MS as f64;
+    fn overload(&mut self, site: &mut Site, for_ms: u64) -> EngineLoad {
+        let capacity_per_ms = f64::from(CAPACITY) / REQUEST_MS as f64;
+        let callers = capacity_per_ms * LOAD_FACTOR * STEP_MS as f64;
         let steps = for_ms / STEP_MS;
         let mut due = 0.0;
-        let mut played = Played::default();
+        let mut load = EngineLoad::default();
         for _ in 0..steps {
             site.run_for(STEP_MS);
-            self.end_due(site);
+            self.finish_due(site);
             due += callers;
             while due >= 1.0 {
                 due -= 1.0;
                 self.arrive(site);
             }
-            let part = self.under_way.len() as f64 / f64::from(ROOM);
-            played.most = played.most.max(part);
-            played.mean += part / steps as f64;
+            let share = self.in_flight.len() as f64 / f64::from(CAPACITY);
+            load.peak = load.peak.max(share);
+            load.mean += share / steps as f64;
         }
-        played
+        load
     }
 }
 
@@ -118,9 +120,9 @@
     let mut engine = Engine::new(&site);
     // Fills the engine.
     engine.overload(&mut site, 3_000);
-    let played = engine.overload(&mut site, 9_000);
-    assert!(played.most < 1.15, "{played:?}");
-    assert!(played.mean > 0.9, "{played:?}");
+    let load = engine.overload(&mut site, 9_000);
+    assert!(load.peak < 1.15, "{load:?}");
+    assert!(load.mean > 0.9, "{load:?}");
 }
 
 /// The two first-ranked instances aggregate the loads of a large domain. Until the next
@@ -128,17 +130,17 @@
 #[rstest]
 #[case::six(1, 6)]
 #[case::hundreds(5, 59)]
-fn an_overloaded_engine_is_not_flooded_when_the_first_two_instances_end(
+fn an_overloaded_engine_is_not_flooded_when_both_aggregators_crash(
     #[case] domains: usize,
     #[case] per_domain: usize,
 ) {
     let mut site = idle_site(domains, per_domain, 12);
     let mut engine = Engine::new(&site);
     engine.overload(&mut site, 6_000);
-    for place in engine.members.drain(..2) {
-        site.instances[place].is_up = false;
+    for index in engine.members.drain(..2) {
+        site.instances[index].is_up = false;
     }
-    let played = engine.overload(&mut site, 6_000);
-    assert!(played.most < 1.3, "{played:?}");
-    assert!(played.mean > 0.85, "{played:?}");
+    let load = engine.overload(&mut site, 6_000);
+    assert!(load.peak < 1.3, "{load:?}");
+    assert!(load.mean > 0.85, "{load:?}");
 }
--- a/crates/rookferry_core/tests/peers.rs
+++ b/crates/rookferry_core/tests/peers.rs
@@ -27,7 +27,7 @@
 #[case::sixty(3, 20, 1_500)]
 #[case::hundreds(5, 59, 3_000)]
 #[case::six_hundred(14, 43, 6_000)]
-fn all_are_known_soon_after_the_start(
+fn all_instances_are_known_soon_after_the_start(
     #[case] domains: usize,
     #[case] per_domain: usize,
     #[case] within_ms: u64,
@@ -35,25 +35,31 @@
     let mut site = Site::start(domains, per_domain, 1);
     site.run_for(within_ms);
     assert!(
-        site.least_known() > 0.95,
+        site.least_known_share() > 0.95,
         "{} are known",
-        site.least_known()
+        site.least_known_share()
     );
-    let informed = site.informed();
+    let informed_share = site.informed_share();
     site.run_for(4_000);
     assert_eq!(site.incomplete(), Vec::new());
-    assert!(informed > 0.98, "{informed} know the loads of their domain");
+    assert!(
+        informed_share > 0.98,
+        "{informed_share} know the loads of their domain"
+    );
 }
 
 #[rstest]
 #[case::hundreds(5, 59)]
 #[case::six_hundred(14, 43)]
-fn most_instances_send_a_bounded_number(#[case] domains: usize, #[case] per_domain: usize) {
+fn most_instances_send_a_bounded_number_of_datagrams(
+    #[case] domains: usize,
+    #[case] per_domain: usize,
+) {
     let mut site = Site::start(domains, per_domain, 2);
     site.run_for(4_000);
     let rates = site.sent_per_s(4);
-    let heads = 2 * domains;
-    let (busiest, others) = (rates[0], rates[heads]);
+    let aggregators = 2 * domains;
+    let (busiest, others) = (rates[0], rates[aggregators]);
     assert!(
         others.0 <= 25.0,
         "{others:?} datagrams a second of an instance that is no aggregator"
@@ -77,13 +83,16 @@
         instance.requests = 5;
     }
     site.run_for(600);
-    let informed = site.informed();
-    assert!(informed > 0.95, "{informed} know the loads of their domain");
+    let informed_share = site.informed_share();
+    assert!(
+        informed_share > 0.95,
+        "{informed_share} know the loads of their domain"
+    );
 }
 
 /// Delivers a heartbeat of a member of a domain, which reports some servers as
 /// unresponsive, to a table in domain 0.
-fn hear_out(table: &mut PeerTable, domain: usize, out: &[ServerKey], now: Instant) {
+fn deliver_unresponsive(table: &mut PeerTable, domain: usize, out: &[ServerKey], now: Instant) {
     let from = instance_addr(domain, 7);
     let beat = Heartbeat {
         out: out.to_vec(),
@@ -95,27 +104,30 @@
 }
 
 #[test]
-fn a_server_that_a_member_has_lost_is_left_alone_until_it_gives_a_sign() {
+fn a_server_that_a_member_has_lost_is_excluded_until_newer_liveness_evidence() {
     let lost = engine_key(0);
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut table = PeerTable::new(instance_addr(0, 1), domain_name(0).into());
-    hear_out(&mut table, 0, &[lost], at(1_000));
-    hear_out(&mut table, 0, &[lost], at(1_150));
-    let doubted = table.suspected_servers(at(1_200));
-    assert!(doubted.is_excluded(lost, None), "no liveness evidence");
+    deliver_unresponsive(&mut table, 0, &[lost], at(1_000));
+    deliver_unresponsive(&mut table, 0, &[lost], at(1_150));
+    let suspected = table.suspected_servers(at(1_200));
+    assert!(suspected.is_excluded(lost, None), "no liveness evidence");
     assert!(
-        doubted.is_excluded(lost, Some(at(900))),
+        suspected.is_excluded(lost, Some(at(900))),
         "evidence from before the report"
     );
     assert!(
-        !doubted.is_excluded(lost, Some(at(1_050))),
+        !suspected.is_excluded(lost, Some(at(1_050))),
         "evidence since the report"
     );
-    assert!(!doubted.is_excluded(engine_key(1), None), "another server");
-    hear_out(&mut table, 0, &[], at(1_300));
-    let doubted = table.suspected_servers(at(1_300));
-    assert!(!doubted.is_excluded(lost, None), "it responds again");
+    assert!(
+        !suspected.is_excluded(engine_key(1), None),
+        "another server"
+    );
+    deliver_unresponsive(&mut table, 0, &[], at(1_300));
+    let suspected = table.suspected_servers(at(1_300));
+    assert!(!suspected.is_excluded(lost, None), "it responds again");
 }
 
 /// Guards against a member that advertises the same unresponsive servers each time, so
@@ -125,8 +137,8 @@
 #[case::few(20)]
 #[case::a_sixteenth(180)]
 #[case::twice_that(360)]
-fn all_that_a_member_lost_are_doubted_however_many(#[case] lost: u16) {
-    const MOST: usize = 128;
+fn all_servers_that_a_member_has_lost_are_suspected_however_many(#[case] lost: u16) {
+    const MAX_ADVERTISED: usize = 128;
     let lost = some_engines(lost);
     let start = Instant::now();
     let from = instance_addr(0, 7);
@@ -135,40 +147,40 @@
         health.lost(*server, start);
     }
     let mut table = PeerTable::new(instance_addr(0, 1), domain_name(0).into());
-    let mut hear = |health: &ServerHealth, turn: usize| {
-        let now = start + Duration::from_millis(300) * u32::try_from(turn).expect("a turn");
+    let mut deliver = |health: &ServerHealth, round: usize| {
+        let now = start + Duration::from_millis(300) * u32::try_from(round).expect("a round");
         let beat = Heartbeat {
-            out: health.advertised(MOST, turn),
+            out: health.advertised(MAX_ADVERTISED, round),
             out_count: u32::try_from(health.unresponsive().len()).expect("a count"),
             ..bare_heartbeat(from, 0)
         };
-        assert!(beat.out.len() <= MOST);
+        assert!(beat.out.len() <= MAX_ADVERTISED);
         table.on_heartbeat(from, &beat, now);
         table.newly_unresponsive(from, &beat, now);
-        let doubted = table.suspected_servers(now);
-        let is_doubted = |server: &&ServerKey| doubted.is_excluded(**server, None);
-        lost.iter().filter(is_doubted).count()
+        let suspected = table.suspected_servers(now);
+        let is_suspected = |server: &&ServerKey| suspected.is_excluded(**server, None);
+        lost.iter().filter(is_suspected).count()
     };
-    let doubted: Vec<usize> = (0..20).map(|turn| hear(&health, turn)).collect();
+    let suspected: Vec<usize> = (0..20).map(|round| deliver(&health, round)).collect();
     // After the rotations of a second and a half, and from then on.
     assert!(
-        doubted[5..].iter().all(|count| *count == lost.len()),
-        "{doubted:?}"
+        suspected[5..].iter().all(|count| *count == lost.len()),
+        "{suspected:?}"
     );
     for server in &lost {
         health.succeeded(*server, start + Duration::from_secs(6));
     }
-    assert_eq!(hear(&health, 20), 0, "all respond again");
+    assert_eq!(deliver(&health, 20), 0, "all respond again");
 }
 
 #[test]
-fn the_word_of_a_silent_member_or_another_domain_is_no_doubt() {
+fn reports_of_a_silent_member_or_another_domain_suspect_no_server() {
     let lost = engine_key(0);
     let now = Instant::now();
     let mut table = PeerTable::new(instance_addr(0, 1), domain_name(0).into());
-    hear_out(&mut table, 1, &[lost], now);
+    deliver_unresponsive(&mut table, 1, &[lost], now);
     assert!(!table.suspected_servers(now).is_excluded(lost, None));
-    hear_out(&mut table, 0, &[lost], now);
+    deliver_unresponsive(&mut table, 0, &[lost], now);
     assert!(table.suspected_servers(now).is_excluded(lost, None));
     let later = now + Duration::from_secs(2);
     assert!(!table.suspected_servers(later).is_excluded(lost, None));
@@ -185,7 +197,7 @@
 #[case::nine(3, 3)]
 #[case::sixty(3, 20)]
 #[case::hundreds(5, 59)]
-fn engines_that_are_lost_are_asked_by_few_and_left_alone_by_their_domain(
+fn lost_engines_are_probed_by_few_and_excluded_by_their_domain(
     #[case] domains: usize,
     #[case] per_domain: usize,
 ) {
@@ -194,41 +206,45 @@
     let lost = some_engines(40);
     site.dead.clone_from(&lost);
     let last = domains * (per_domain - 1);
-    site.instances[last].out.clone_from(&lost);
+    site.instances[last].unresponsive.clone_from(&lost);
     site.run_for(1_000);
     let now = site.now();
-    let near = site.instances.iter().filter(|other| other.domain == 0);
-    for instance in near.filter(|other| other.addr != site.instances[last].addr) {
-        let doubted = instance.table.suspected_servers(now);
+    let local = site.instances.iter().filter(|other| other.domain == 0);
+    for instance in local.filter(|other| other.addr != site.instances[last].addr) {
+        let suspected = instance.table.suspected_servers(now);
         let used = lost
             .iter()
-            .filter(|addr| !doubted.is_excluded(**addr, None));
+            .filter(|addr| !suspected.is_excluded(**addr, None));
         assert_eq!(used.count(), 0, "{} uses some", instance.addr);
     }
-    let asked: usize = site.instances.iter().map(|instance| instance.asked).sum();
-    assert!(asked <= 3 * lost.len(), "{asked} probes");
+    let probes: usize = site.instances.iter().map(|instance| instance.probes).sum();
+    assert!(probes <= 3 * lost.len(), "{probes} probes");
 }
 
 #[test]
-fn an_instance_that_takes_its_own_delay_for_losses_slows_no_others() {
+fn false_losses_of_a_slow_instance_cause_probes_by_aggregators_only() {
     let mut site = Site::start(5, 59, 9);
     site.run_for(4_000);
-    let doubted = some_engines(40);
+    let suspected = some_engines(40);
     let slow = 5 * 30;
     for _ in 0..10 {
-        site.instances[slow].out.clone_from(&doubted);
+        site.instances[slow].unresponsive.clone_from(&suspected);
         site.run_for(500);
-        site.instances[slow].out.clear();
+        site.instances[slow].unresponsive.clear();
         site.run_for(500);
     }
-    let heads: Vec<usize> = vec![0, 5];
-    for (place, instance) in site.instances.iter().enumerate() {
-        let most = if heads.contains(&place) { 10 * 40 } else { 0 };
+    let aggregators: Vec<usize> = vec![0, 5];
+    for (index, instance) in site.instances.iter().enumerate() {
+        let max = if aggregators.contains(&index) {
+            10 * 40
+        } else {
+            0
+        };
         assert!(
-            instance.asked <= most,
+            instance.probes <= max,
             "{} probed {} times",
             instance.addr,
-            instance.asked
+            instance.probes
         );
     }
 }
@@ -238,94 +254,100 @@
 #[case::head(ProbeRole { has_requests: false, plans_layers: false, rank: 1 }, true)]
 #[case::planner(ProbeRole { has_requests: false, plans_layers: true, rank: 58 }, true)]
 #[case::in_use(ProbeRole { has_requests: true, plans_layers: false, rank: 58 }, true)]
-fn few_instances_ask_a_doubted_server(#[case] of: ProbeRole, #[case] is_asking: bool) {
-    assert_eq!(of.should_probe(), is_asking);
+fn few_instances_probe_a_suspected_server(#[case] role: ProbeRole, #[case] expected: bool) {
+    assert_eq!(role.should_probe(), expected);
 }
 
 /// Guards against an engine that goes unused after a start of all instances: while the
 /// aggregators are late, the advertised loads are old, and estimated growth must not fill
 /// an engine that is nearly idle.
 #[test]
-fn an_engine_with_little_under_way_stays_in_use_while_heads_are_late() {
+fn a_nearly_idle_engine_stays_in_use_while_aggregators_are_late() {
     let mut site = Site::start(1, 40, 3);
     site.run_for(4_000);
     let last = site.instances.len() - 1;
     let now = site.now();
     let table = &mut site.instances[last].table;
-    let told = table.loads(now)[&engine_key(0)].requests;
+    let advertised = table.loads(now)[&engine_key(0)].requests;
     // It has admitted requests of its own since, and the aggregators fall silent.
-    let own = peer_site::entry(0, 1_000);
+    let own = peer_site::load_entry(0, 1_000);
     table.set_own_loads(&[own]);
     let late = table.loads(now + Duration::from_millis(900));
     let late = late[&engine_key(0)].requests;
     assert!(
-        told < late && late <= told + told.div_ceil(2),
-        "{told}, then {late}"
+        advertised < late && late <= advertised + advertised.div_ceil(2),
+        "{advertised}, then {late}"
     );
 }
 
 #[test]
-fn the_sums_go_on_when_both_heads_end() {
+fn loads_are_known_again_after_both_aggregators_crash() {
     let mut site = Site::start(2, 60, 4);
     site.run_for(4_000);
-    for place in 0..4 {
-        site.instances[place].is_up = false;
+    for index in 0..4 {
+        site.instances[index].is_up = false;
     }
     site.run_for(2_500);
-    let informed = site.informed();
-    assert!(informed > 0.95, "{informed} know the loads of their domain");
+    let informed_share = site.informed_share();
+    assert!(
+        informed_share > 0.95,
+        "{informed_share} know the loads of their domain"
+    );
 }
 
 #[test]
-fn six_tenths_that_end_at_once_are_known_again_when_they_are_back() {
+fn instances_that_crash_together_are_known_again_after_their_restart() {
     let mut site = Site::start(5, 59, 5);
     site.run_for(4_000);
     let killed: Vec<usize> = (0..295)
-        .filter(|place| place % 5 != 0 && place % 4 != 0)
+        .filter(|index| index % 5 != 0 && index % 4 != 0)
         .collect();
-    for place in &killed {
-        site.instances[*place].is_up = false;
+    for index in &killed {
+        site.instances[*index].is_up = false;
     }
     site.run_for(1_350);
-    for place in &killed {
-        let at_ms = site.now_ms + 10 * u64::try_from(place % 20).unwrap();
-        site.start_at(*place, at_ms);
+    for index in &killed {
+        let at_ms = site.now_ms + 10 * u64::try_from(index % 20).unwrap();
+        site.start_at(*index, at_ms);
     }
     site.run_for(3_000);
     assert!(
-        site.least_known() > 0.95,
+        site.least_known_share() > 0.95,
         "{} are known",
-        site.least_known()
+        site.least_known_share()
     );
-    let informed = site.informed();
+    let informed_share = site.informed_share();
     site.run_for(4_000);
     assert_eq!(site.incomplete(), Vec::new());
-    assert!(informed > 0.98, "{informed} know the loads of their domain");
+    assert!(
+        informed_share > 0.98,
+        "{informed_share} know the loads of their domain"
+    );
 }
 
 #[test]
-fn a_domain_that_was_cut_off_is_known_again() {
+fn an_isolated_domain_is_known_again_after_the_partition_heals() {
     let mut site = Site::start(5, 59, 6);
     site.run_for(4_000);
-    site.cut = Some(2);
+    site.isolated_domain = Some(2);
     site.run_for(6_000);
-    let informed = site.informed();
+    let informed_share = site.informed_share();
     assert!(
-        informed > 0.98,
-        "{informed} know the loads of their domain during the cut"
+        informed_share > 0.98,
+        "{informed_share} know the loads of their domain during the partition"
     );
-    site.cut = None;
+    site.isolated_domain = None;
     site.run_for(2_000);
     assert_eq!(site.incomplete(), Vec::new());
-    let far = engine_key(2);
+    let remote = engine_key(2);
     let now = site.now();
     let others = site.up().filter(|instance| instance.domain != 2);
-    let told = others.filter(|instance| instance.table.loads(now).contains_key(&far));
-    assert!(told.count() >= 230, "its loads are known elsewhere");
+    let advertised = others.filter(|instance| instance.table.loads(now).contains_key(&remote));
+    assert!(advertised.count() >= 230, "its loads are known elsewhere");
 }
 
 #[test]
-fn the_place_in_line_is_the_domains_not_the_heard_ones() {
+fn rank_counts_all_instances_of_the_domain_not_only_received_ones() {
     let mut site = Site::start(2, 60, 7);
     site.run_for(4_000);
     let now = site.now();
@@ -333,7 +355,7 @@
     let wrong = ranks
         .iter()
         .enumerate()
-        .filter(|(place, rank)| **rank != place / 2);
+        .filter(|(index, rank)| **rank != index / 2);
     assert!(wrong.count() <= 3);
 }
 
@@ -345,7 +367,7 @@
 #[case::nine(3, 3)]
 #[case::sixty(3, 20)]
 #[case::hundreds(3, 100)]
-fn a_member_that_ended_is_forgotten_by_all(#[case] domains: usize, #[case] per_domain: usize) {
+fn a_crashed_member_is_forgotten_by_all(#[case] domains: usize, #[case] per_domain: usize) {
     let mut site = Site::start(domains, per_domain, 12);
     site.run_for(6_000);
     // Not one of the seeds, which are added again in every round.
@@ -362,7 +384,7 @@
 #[rstest]
 #[case::older_than_the_instance(1_000)]
 #[case::younger(100)]
-fn what_a_peer_knows_counts_for_an_instance_that_has_just_started(#[case] age_ms: u64) {
+fn a_peers_knowledge_from_before_the_own_start_is_used(#[case] age_ms: u64) {
     let epoch = Instant::now() + Duration::from_secs(10);
     let now = epoch + Duration::from_millis(500);
     let echo = Echo {
@@ -376,7 +398,7 @@
 }
 
 #[test]
-fn no_echo_makes_a_word_younger_than_it_is_told() {
+fn no_echo_makes_knowledge_younger_than_advertised() {
     let epoch = Instant::now();
     let now = epoch + Duration::from_millis(500);
     let echo = |sent_ms, held_ms| Echo { sent_ms, held_ms };
@@ -387,7 +409,7 @@
 }
 
 #[test]
-fn damaged_figures_change_nothing_but_the_senders_entry() {
+fn invalid_loads_change_only_the_senders_entry() {
     let mut site = Site::start(1, 3, 8);
     site.run_for(2_000);
     let now = site.now();
--- a/crates/rookferry_core/tests/room_queue.rs
+++ b/crates/rookferry_core/tests/room_queue.rs
@@ -16,18 +16,18 @@
 
 /// A queue that has recorded first events of one latency, and cache released at a steady
 /// interval.
-fn observed(first_event: Duration, freed_every: Duration) -> AdmissionQueue {
+fn observed(first_event: Duration, release_interval: Duration) -> AdmissionQueue {
     let mut queue = AdmissionQueue::new();
     let start = Instant::now();
     for number in 0..100 {
         queue.record_first_event(first_event);
-        queue.record_release(start + freed_every * number);
+        queue.record_release(start + release_interval * number);
     }
     queue
 }
 
 #[test]
-fn the_more_urgent_go_first_and_of_those_alike_the_earlier() {
+fn more_urgent_requests_go_first_and_equal_ones_in_order_of_arrival() {
     let mut queue = AdmissionQueue::new();
     let late = queue.join(urgency(2, 1));
     let route = queue.join(urgency(1, 2));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_new_request_waits_behind_those_alike_and_not_behind_the_less_urgent() {
+fn a_new_request_waits_behind_equally_urgent_ones_and_not_behind_less_urgent_ones() {
     let mut queue = AdmissionQueue::new();
     queue.join(urgency(1, 1));
     assert!(queue.would_wait(urgency(1, 1)));
@@ -58,12 +58,12 @@
     #[case] waits: bool,
 ) {
     let queue = observed(first_event, Duration::from_millis(30));
-    let patience = queue.max_wait(OBJECTIVE);
-    assert!(patience + first_event <= OBJECTIVE || patience.is_zero());
+    let max_wait = queue.max_wait(OBJECTIVE);
+    assert!(max_wait + first_event <= OBJECTIVE || max_wait.is_zero());
     assert_eq!(
-        patience >= Duration::from_millis(100),
+        max_wait >= Duration::from_millis(100),
         waits,
-        "{patience:?}"
+        "{max_wait:?}"
     );
 }
 
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn each_request_in_front_adds_to_the_wait() {
+fn each_request_ahead_adds_to_the_expected_wait() {
     let mut queue = observed(Duration::from_millis(60), Duration::from_millis(30));
     let tickets: Vec<_> = (0..10).map(|_| queue.join(urgency(1, 1))).collect();
     let waits: Vec<_> = tickets
--- a/crates/rookferry_core/tests/server_starts.rs
+++ b/crates/rookferry_core/tests/server_starts.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn keys_tell_starts_names_and_addresses_apart() {
+fn keys_distinguish_incarnations_names_and_addresses() {
     let keys = [
         ServerKey::new(addr(1), "e", Some(1)),
         ServerKey::new(addr(1), "e", Some(2)),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_an_earlier_start_wrote_late_replaces_nothing() {
+fn a_late_write_of_an_earlier_incarnation_replaces_nothing() {
     let now = Instant::now();
     let mut directory = Directory::new();
     assert!(update(&mut directory, server("e", 1, Some(20), 1)));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn of_two_names_at_one_address_the_later_start_is_in_use() {
+fn of_two_names_at_one_address_the_later_incarnation_is_used() {
     let mut directory = Directory::new();
     update(&mut directory, server("former", 1, None, 12));
     update(&mut directory, server("new", 1, None, 2));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn in_one_list_the_one_that_wrote_itself_less_often_is_later() {
+fn of_two_names_in_one_list_the_one_with_fewer_writes_is_later_unless_incarnations_differ() {
     let mut directory = Directory::new();
     let list = vec![server("a", 1, None, 12), server("b", 1, None, 2)];
     directory.replace(list, ListUncertainty::NONE, Instant::now());
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_start_at_another_address_leaves_the_former_address_free() {
+fn an_incarnation_at_another_address_frees_the_former_address() {
     let mut directory = Directory::new();
     update(&mut directory, server("e", 1, Some(10), 5));
     update(&mut directory, server("e", 2, Some(20), 1));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn an_entry_of_no_service_of_the_site_hides_no_server() {
+fn an_entry_of_an_unknown_service_hides_no_server() {
     let mut directory = Directory::new();
     update(&mut directory, server("e", 1, None, 12));
     let mut foreign = server("foreign", 1, None, 1);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn an_entry_that_stops_describing_a_server_takes_it_out_of_use() {
+fn a_server_whose_entry_becomes_unusable_is_not_used() {
     let now = Instant::now();
     let mut directory = Directory::new();
     update(&mut directory, server("e", 1, Some(10), 5));
@@ -150,59 +150,59 @@
 }
 
 #[test]
-fn what_was_refused_or_lost_is_of_the_former_start_only() {
+fn refusals_and_losses_apply_to_the_former_incarnation_only() {
     let now = Instant::now();
     let former = ServerKey::new(addr(1), "e", Some(10));
     let new = ServerKey::new(addr(1), "e", Some(20));
     let mut health = ServerHealth::new();
     health.lost(former, now);
     health.refused_for_capacity(former, 0.0, now);
-    let mut closed = RefusingServers::new(0.5);
-    closed.refused(former, 0.0, 1_000.0, now);
+    let mut refusing_servers = RefusingServers::new(0.5);
+    refusing_servers.refused(former, 0.0, 1_000.0, now);
     // A peer's report of it arrives late.
-    let told = RefusingObservation {
+    let report = RefusingObservation {
         server: former,
         age_ms: 100,
         refusals: 3,
     };
-    closed.merge(told, now);
-    assert!(health.is_unresponsive(former) && closed.is_refusing(former, now));
+    refusing_servers.merge(report, now);
+    assert!(health.is_unresponsive(former) && refusing_servers.is_refusing(former, now));
     assert!(!health.is_unresponsive(new) && !health.is_full(new, now));
-    assert!(!closed.is_refusing(new, now));
+    assert!(!refusing_servers.is_refusing(new, now));
 }
 
 /// Changes that may arrive for two incarnations under one name, in any order.
 #[derive(Clone, Copy, Debug)]
-enum News {
+enum Change {
     /// The entry of an incarnation, with its number of writes.
     Entry {
-        start: u64,
+        incarnation: u64,
         writes: u64,
     },
     /// A whole list that contains an incarnation.
     List {
-        start: u64,
+        incarnation: u64,
     },
     /// A whole list without the server, after an outage or not.
     Missing {
-        may_have_lapsed: bool,
+        after_outage: bool,
     },
-    Gone,
+    Removed,
     Unusable,
     /// Some tenths of a second pass. All of a case together are shorter than the time for
     /// which a removed incarnation is remembered.
-    Time(u64),
+    Elapsed(u64),
 }
 
-fn news() -> impl Strategy<Value = News> {
-    let start = prop_oneof![Just(10_u64), Just(20_u64)];
+fn change() -> impl Strategy<Value = Change> {
+    let incarnation = prop_oneof![Just(10_u64), Just(20_u64)];
     prop_oneof![
-        4 => (start.clone(), 1_u64..30).prop_map(|(start, writes)| News::Entry { start, writes }),
-        2 => start.prop_map(|start| News::List { start }),
-        1 => any::<bool>().prop_map(|may_have_lapsed| News::Missing { may_have_lapsed }),
-        1 => Just(News::Gone),
-        1 => Just(News::Unusable),
-        1 => (1_u64..7).prop_map(News::Time),
+        4 => (incarnation.clone(), 1_u64..30).prop_map(|(incarnation, writes)| Change::Entry { incarnation, writes }),
+        2 => incarnation.prop_map(|incarnation| Change::List { incarnation }),
+        1 => any::<bool>().prop_map(|after_outage| Change::Missing { after_outage }),
+        1 => Just(Change::Removed),
+        1 => Just(Change::Unusable),
+        1 => (1_u64..7).prop_map(Change::Elapsed),
     ]
 }
 
@@ -210,36 +210,36 @@
     /// Whatever changes arrive, and in whatever order: once the later incarnation was
     /// seen, the earlier one is never used again.
     #[test]
-    fn the_earlier_start_is_never_believed_again(all in vec(news(), 1..40)) {
+    fn the_earlier_incarnation_is_never_used_again(changes in vec(change(), 1..40)) {
         let mut now = Instant::now();
         let mut directory = Directory::new();
         let mut has_later = false;
-        for one in all {
-            match one {
-                News::Entry { start, writes } => {
-                    has_later |= start == 20;
-                    let entry = server("e", 1, Some(start), writes);
+        for change in changes {
+            match change {
+                Change::Entry { incarnation, writes } => {
+                    has_later |= incarnation == 20;
+                    let entry = server("e", 1, Some(incarnation), writes);
                     directory.apply(DirectoryChange::Updated(entry), now);
                 }
-                News::List { start } => {
-                    has_later |= start == 20;
-                    directory.replace(vec![server("e", 1, Some(start), 1)], ListUncertainty::NONE, now);
+                Change::List { incarnation } => {
+                    has_later |= incarnation == 20;
+                    directory.replace(vec![server("e", 1, Some(incarnation), 1)], ListUncertainty::NONE, now);
                 }
-                News::Missing { may_have_lapsed } => {
-                    let doubts = if may_have_lapsed {
+                Change::Missing { after_outage } => {
+                    let uncertainty = if after_outage {
                         ListUncertainty::AFTER_OUTAGE
                     } else {
                         ListUncertainty::NONE
                     };
-                    directory.replace(Vec::new(), doubts, now);
+                    directory.replace(Vec::new(), uncertainty, now);
                 }
-                News::Gone => {
+                Change::Removed => {
                     directory.apply(DirectoryChange::Removed("e".into()), now);
                 }
-                News::Unusable => {
+                Change::Unusable => {
                     directory.apply(DirectoryChange::Unusable("e".into()), now);
                 }
-                News::Time(tenths) => {
+                Change::Elapsed(tenths) => {
                     now += Duration::from_millis(tenths * 100);
                     directory.expire(now, GRACE);
                 }
@@ -247,7 +247,7 @@
             let used = in_use(&directory);
             prop_assert!(used.len() <= 1);
             if has_later {
-                let is_earlier = used.iter().any(|(_, start)| *start == Some(10));
+                let is_earlier = used.iter().any(|(_, incarnation)| *incarnation == Some(10));
                 prop_assert!(!is_earlier, "{used:?}");
             }
         }
@@ -255,15 +255,15 @@
 
     /// Whichever names share an address, exactly one of them is used.
     #[test]
-    fn one_address_is_one_process(entries in vec((0_u8..6, 1_u16..4, 0_u64..4, 1_u64..9), 1..20)) {
+    fn one_entry_is_used_for_each_address(entries in vec((0_u8..6, 1_u16..4, 0_u64..4, 1_u64..9), 1..20)) {
         let mut directory = Directory::new();
         for (name, port, incarnation, writes) in entries {
             let incarnation = (incarnation > 0).then_some(incarnation);
             update(&mut directory, server(&format!("e{name}"), port, incarnation, writes));
         }
         let used = directory.in_use(|_| true);
-        for (index, one) in used.iter().enumerate() {
-            let is_shared = used[..index].iter().any(|other| other.addr() == one.addr());
+        for (index, change) in used.iter().enumerate() {
+            let is_shared = used[..index].iter().any(|other| other.addr() == change.addr());
             prop_assert!(!is_shared, "{used:?}");
         }
         let listed = directory.entries().map(BackendServer::addr);
--- a/crates/rookferry_core/tests/serving.rs
+++ b/crates/rookferry_core/tests/serving.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_key_is_its_accounts_until_it_is_removed() {
+fn a_key_identifies_its_account() {
     let index = index();
     assert_eq!(
         index.account("k2").map(|account| &*account.name),
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn an_age_counts_from_the_confirmation_and_versions_only_rise() {
+fn the_age_counts_from_the_confirmation_and_versions_only_rise() {
     let start = Instant::now();
     let bound = Duration::from_secs(5);
     let mut age = ConfigAge::new();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_newer_version_from_a_peer_is_as_fresh_as_what_is_in_force() {
+fn a_newer_version_from_a_peer_is_as_fresh_as_the_active_one() {
     let start = Instant::now();
     let bound = Duration::from_secs(5);
     let mut age = ConfigAge::new();
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn entries_that_lapsed_are_kept_for_the_grace_and_no_longer() {
+fn lapsed_entries_are_retained_for_the_grace_period_only() {
     let grace = Duration::from_secs(2);
     let start = Instant::now();
     let mut directory = Directory::new();
@@ -176,14 +176,14 @@
     assert_eq!(ids(&directory), ["1", "2", "3"]);
     directory.apply(DirectoryChange::Updated(server("2")), start);
     assert!(directory.expire(start + grace / 2, grace).is_empty());
-    let gone = directory.expire(start + grace, grace).removed;
-    assert_eq!(gone.len(), 1);
+    let expired = directory.expire(start + grace, grace).removed;
+    assert_eq!(expired.len(), 1);
     assert_eq!(ids(&directory), ["1", "2"]);
     assert_eq!(directory.expires_at(grace), None);
 }
 
 #[test]
-fn a_list_without_an_outage_is_the_truth() {
+fn a_list_read_without_an_outage_replaces_all_entries() {
     let mut directory = Directory::new();
     let now = Instant::now();
     directory.replace(vec![server("1"), server("2")], ListUncertainty::NONE, now);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_silent_server_is_out_until_it_answers_and_a_failing_one_is_avoided() {
+fn a_lost_server_is_unresponsive_until_it_answers_and_failures_decay() {
     let addr = server("1").key;
     let start = Instant::now();
     let mut health = ServerHealth::new();
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_server_without_room_counts_as_smaller_until_that_wears_off() {
+fn a_refusal_for_capacity_reduces_the_assumed_capacity_for_a_time() {
     let addr = server("1").key;
     let start = Instant::now();
     let mut health = ServerHealth::new();
@@ -221,14 +221,14 @@
     health.refused_for_capacity(addr, 600.0, start);
     assert!(health.is_full(addr, start));
     let soon = start + Duration::from_secs(1);
-    let room = health.capacity_tokens(addr, 1_000.0, soon);
-    assert!((600.0..650.0).contains(&room), "{room}");
+    let capacity = health.capacity_tokens(addr, 1_000.0, soon);
+    assert!((600.0..650.0).contains(&capacity), "{capacity}");
     let late = start + Duration::from_secs(20);
     assert!((health.capacity_tokens(addr, 1_000.0, late) - 1_000.0).abs() < 1e-9);
 }
 
 #[test]
-fn a_server_that_turned_a_request_away_is_full_for_a_moment() {
+fn a_server_that_refused_a_request_counts_as_full_for_a_short_time() {
     let addr = server("1").key;
     let start = Instant::now();
     let mut health = ServerHealth::new();
@@ -238,22 +238,25 @@
 }
 
 #[test]
-fn repeats_of_all_instances_together_stay_within_the_sites_budget() {
+fn retries_of_all_instances_together_stay_within_the_sites_budget() {
     let instances = 9;
     let start = Instant::now();
     let window = Duration::from_secs(10);
     let mut windows = vec![RetryWindow::new(window, 0.2, 200.0, None); instances];
-    let mut repeats = 0;
+    let mut granted = 0;
     for step in 0..1_000_u32 {
         let now = start + Duration::from_millis(u64::from(step));
         for retries in &mut windows {
             retries.record_new_request(now);
-            repeats += u32::from(retries.take(now, instances));
+            granted += u32::from(retries.take(now, instances));
         }
     }
-    let fresh = 9_000.0;
-    assert!(f64::from(repeats) <= 0.2 * fresh + 200.0, "{repeats}");
-    assert!(repeats > 1_000, "{repeats}");
+    let new_requests = 9_000.0;
+    assert!(
+        f64::from(granted) <= 0.2 * new_requests + 200.0,
+        "{granted}"
+    );
+    assert!(granted > 1_000, "{granted}");
     let later = start + window * 2;
     assert!(windows[0].take(later, instances), "the window slides");
 }
@@ -261,13 +264,13 @@
 #[rstest]
 #[case::all_at_once(1)]
 #[case::twice(2)]
-fn instances_that_all_restart_stay_within_the_budget(#[case] restarts: u32) {
+fn retries_stay_within_the_budget_when_all_instances_restart(#[case] restarts: u32) {
     let start = Instant::now();
     let window = Duration::from_secs(10);
     let instances = 7;
     let mut windows = vec![RetryWindow::new(window, 0.2, 200.0, None); instances];
-    let mut repeats = 0;
-    let mut fresh = 0;
+    let mut granted = 0;
+    let mut new_requests = 0;
     for step in 0..900_u32 {
         let now = start + Duration::from_millis(u64::from(step) * 10);
         let restarts_at = |number: u32| step == number * 900 / (restarts + 1);
@@ -277,21 +280,21 @@
         for retries in &mut windows {
             if step % 10 == 0 {
                 retries.record_new_request(now);
-                fresh += 1;
+                new_requests += 1;
             }
-            repeats += u32::from(retries.take(now, instances));
+            granted += u32::from(retries.take(now, instances));
         }
     }
-    let allowed = 0.2 * f64::from(fresh) + 200.0;
-    assert!(f64::from(repeats) <= allowed, "{repeats} of {allowed}");
+    let allowed = 0.2 * f64::from(new_requests) + 200.0;
+    assert!(f64::from(granted) <= allowed, "{granted} of {allowed}");
 }
 
 #[test]
-fn instances_that_stand_further_back_spare_a_store_that_is_away() {
-    let without_line = Duration::from_millis(500);
+fn lower_ranked_instances_retry_an_unavailable_store_less_often() {
+    let unranked_pause = Duration::from_millis(500);
     let pauses: Vec<Duration> = (0..30).map(|rank| ranked_pause(20, rank)).collect();
     assert!(pauses.is_sorted());
-    assert!(pauses[0] < without_line, "the first-ranked retries soon");
+    assert!(pauses[0] < unranked_pause, "the first-ranked retries soon");
     assert!(
         pauses[29] <= Duration::from_secs(3),
         "the last-ranked still retries"
@@ -301,6 +304,6 @@
         "a single failure may be chance"
     );
     let calls_per_s: f64 = pauses.iter().map(|pause| 1.0 / pause.as_secs_f64()).sum();
-    let without: f64 = 30.0 / without_line.as_secs_f64();
-    assert!(calls_per_s < without / 2.0, "{calls_per_s} of {without}");
+    let unranked: f64 = 30.0 / unranked_pause.as_secs_f64();
+    assert!(calls_per_s < unranked / 2.0, "{calls_per_s} of {unranked}");
 }
--- a/crates/rookferry_core/tests/start_line.rs
+++ b/crates/rookferry_core/tests/start_line.rs
@@ -13,7 +13,7 @@
 use start_site::FAST_MBPS;
 use start_site::Policy;
 use start_site::SLOW_MBPS;
-use start_site::StartAnswer;
+use start_site::StartResponse;
 use start_site::StartSite;
 
 const RESTART: StartQueue = StartQueue {
@@ -24,7 +24,7 @@
 };
 
 #[test]
-fn of_hundreds_that_start_together_few_read_the_store_before_the_first_has_told() {
+fn only_the_first_ranked_reads_the_store_before_it_has_advertised() {
     // The first-ranked instance advertises what it read within 90 ms.
     let read_at = |rank| {
         StartQueue {
@@ -34,15 +34,15 @@
         }
         .first_read_after()
     };
-    let told_at = read_at(0) + Duration::from_millis(90);
-    let readers = (0..59).filter(|rank| read_at(*rank) < told_at);
+    let advertised_at = read_at(0) + Duration::from_millis(90);
+    let readers = (0..59).filter(|rank| read_at(*rank) < advertised_at);
     assert_eq!(readers.count(), 1);
     let last = read_at(1_000);
     assert!(last < Duration::from_secs(2), "the last waits for {last:?}");
 }
 
 #[test]
-fn an_instance_that_restarts_alone_reads_at_once_and_waits_only_while_a_peer_gives() {
+fn a_lone_restart_reads_the_store_soon_and_waits_longer_after_an_offer() {
     let alone = RESTART.first_read_after();
     let offered = StartQueue {
         offered_ago: Some(Duration::ZERO),
@@ -56,7 +56,7 @@
 #[rstest]
 #[case::fast(1_000.0)]
 #[case::slow(20.0)]
-fn however_large_the_domain_the_store_is_read_in_the_end(#[case] link_mbps: f64) {
+fn the_read_delay_is_bounded_in_a_domain_of_any_size(#[case] link_mbps: f64) {
     let last = StartQueue {
         rank: 4_000,
         offered_ago: Some(Duration::ZERO),
@@ -72,27 +72,27 @@
 #[rstest]
 #[case::hundred(5, 20, 2)]
 #[case::thousand(5, 200, 10)]
-fn a_start_of_all_costs_the_store_a_few_reads_a_domain(
+fn a_full_restart_costs_the_store_a_few_reads_per_domain(
     #[case] domains: usize,
     #[case] per_domain: usize,
     #[case] fast: usize,
 ) {
     let mut site = StartSite::restart(domains, per_domain, 1);
-    for (place, link_mbps) in site.link_mbps.iter_mut().enumerate() {
+    for (index, link_mbps) in site.link_mbps.iter_mut().enumerate() {
         // The fast machines are not those with the lowest addresses.
-        let number = place / domains;
+        let number = index / domains;
         let is_fast = number >= per_domain / 2 && number < per_domain / 2 + fast;
         *link_mbps = if is_fast { FAST_MBPS } else { SLOW_MBPS };
     }
-    site.tell_capacity();
-    let known_ms = site.run_until_known(8_000).expect("all know the site");
+    site.apply_capacities();
+    let ready_ms = site.run_until_ready(8_000).expect("all know the site");
     println!(
-        "{domains} x {per_domain}: {} reads, {known_ms} ms",
+        "{domains} x {per_domain}: {} reads, {ready_ms} ms",
         site.reads
     );
     let most = 3 * domains;
     assert!(site.reads <= most, "{} reads of the store", site.reads);
-    assert!(known_ms < 3_000, "the last knows after {known_ms} ms");
+    assert!(ready_ms < 3_000, "the last knows after {ready_ms} ms");
 }
 
 /// The same where all machines have slow links.
@@ -100,19 +100,19 @@
 #[case::nine(3, 3)]
 #[case::hundred(5, 20)]
 #[case::five_hundred(5, 100)]
-fn a_start_of_all_small_machines_costs_the_store_a_few_reads_a_domain(
+fn a_full_restart_of_small_machines_costs_the_store_a_few_reads_per_domain(
     #[case] domains: usize,
     #[case] per_domain: usize,
 ) {
     let mut site = StartSite::restart(domains, per_domain, 2);
-    let known_ms = site.run_until_known(20_000).expect("all know the site");
+    let ready_ms = site.run_until_ready(20_000).expect("all know the site");
     println!(
-        "small {domains} x {per_domain}: {} reads, {known_ms} ms",
+        "small {domains} x {per_domain}: {} reads, {ready_ms} ms",
         site.reads
     );
     let most = 12 * domains;
     assert!(site.reads <= most, "{} reads of the store", site.reads);
-    assert!(known_ms < 6_000, "the last knows after {known_ms} ms");
+    assert!(ready_ms < 6_000, "the last knows after {ready_ms} ms");
 }
 
 /// Compares two policies for callers that arrive while all instances start: fixed waits
@@ -120,31 +120,31 @@
 #[rstest]
 #[case::with_large_machines(5)]
 #[case::all_small(0)]
-fn callers_that_come_during_a_start_of_all_are_told_when_to_come_back(#[case] fast: usize) {
+fn queue_based_retry_times_lose_no_more_callers_during_a_full_restart(#[case] fast: usize) {
     const DOMAINS: usize = 5;
-    let before: Policy = |met| {
-        if met.has_waited {
-            StartAnswer::ComeBack(Duration::from_millis(400))
+    let before: Policy = |starting| {
+        if starting.has_waited {
+            StartResponse::RetryAfter(Duration::from_millis(400))
         } else {
-            StartAnswer::Wait(Duration::from_millis(330))
+            StartResponse::Wait(Duration::from_millis(330))
         }
     };
-    let after: Policy = |met| match met.line.max_wait(met.age) {
-        Some(longest) if !met.has_waited => StartAnswer::Wait(longest),
-        _ => StartAnswer::ComeBack(met.line.retry_after(met.age, met.chance)),
+    let after: Policy = |starting| match starting.queue.max_wait(starting.age) {
+        Some(longest) if !starting.has_waited => StartResponse::Wait(longest),
+        _ => StartResponse::RetryAfter(starting.queue.retry_after(starting.age, starting.chance)),
     };
     let [before, after] = [before, after].map(|policy| {
         let mut site = StartSite::restart(DOMAINS, 40, 3);
-        for (place, link_mbps) in site.link_mbps.iter_mut().enumerate() {
-            let is_fast = (20..20 + fast).contains(&(place / DOMAINS));
+        for (index, link_mbps) in site.link_mbps.iter_mut().enumerate() {
+            let is_fast = (20..20 + fast).contains(&(index / DOMAINS));
             *link_mbps = if is_fast { FAST_MBPS } else { SLOW_MBPS };
         }
-        site.tell_capacity();
+        site.apply_capacities();
         site.policy = Some(policy);
-        site.run_until_known(20_000).expect("all know the site");
-        site.calls
+        site.run_until_ready(20_000).expect("all know the site");
+        site.outcomes
     });
     println!("{fast} fast: {before:?}, then {after:?}");
-    assert!(after.late <= before.late, "{after:?}");
-    assert!(after.lost <= before.lost, "{after:?}");
+    assert!(after.retried_late <= before.retried_late, "{after:?}");
+    assert!(after.failed <= before.failed, "{after:?}");
 }
--- a/crates/rookferry_core/tests/store_era.rs
+++ b/crates/rookferry_core/tests/store_era.rs
@@ -22,11 +22,11 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const GRACE: Duration = Duration::from_secs(2);
-const STANDS_FOR: Duration = Duration::from_secs(5);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(5);
 /// Uncertainty of a list read right after a restore.
 const RESTORED: ListUncertainty = ListUncertainty {
     may_be_incomplete: true,
-    may_be_outdated: Some(STANDS_FOR),
+    may_be_outdated: Some(CONFIRMATION_TIMEOUT),
     may_have_unseen_removals: true,
 };
 
@@ -38,34 +38,34 @@
 }
 
 #[test]
-fn an_answer_of_an_era_that_is_over_is_late() {
+fn a_response_of_a_past_era_is_late() {
     let start = Instant::now();
     let mut eras = EraTracker::new();
     let changed = |before| EraVerdict::Changed { before };
     assert_eq!(eras.observe(Some(1), start, start), changed(None));
-    let asked_at = start + SECOND;
+    let sent_at = start + SECOND;
     assert_eq!(
-        eras.observe(Some(2), asked_at, asked_at + SECOND),
+        eras.observe(Some(2), sent_at, sent_at + SECOND),
         changed(Some(1))
     );
-    let late = eras.observe(Some(1), asked_at, asked_at + 2 * SECOND);
+    let late = eras.observe(Some(1), sent_at, sent_at + 2 * SECOND);
     assert_eq!(late, EraVerdict::Late);
     assert_eq!(eras.era(), 2);
     // Two restores happened between its calls.
-    let asked_at = start + 5 * SECOND;
-    assert_eq!(eras.observe(Some(4), asked_at, asked_at), changed(Some(2)));
+    let sent_at = start + 5 * SECOND;
+    assert_eq!(eras.observe(Some(4), sent_at, sent_at), changed(Some(2)));
 }
 
 #[rstest]
 #[case::it_tells_none(None)]
 #[case::it_tells_the_known_one(Some(3))]
-fn an_answer_without_an_era_holds(#[case] told: Option<u64>) {
+fn a_response_without_an_era_is_current(#[case] reported: Option<u64>) {
     let start = Instant::now();
     let mut eras = EraTracker::new();
     assert_eq!(eras.observe(None, start, start), EraVerdict::Current);
     assert_eq!(eras.era(), 0);
     eras.observe(Some(3), start, start);
-    assert_eq!(eras.observe(told, start, start), EraVerdict::Current);
+    assert_eq!(eras.observe(reported, start, start), EraVerdict::Current);
     assert_eq!(eras.era(), 3);
 }
 
@@ -73,7 +73,7 @@
 #[rstest]
 #[case::an_answer_told_it(true)]
 #[case::a_peer_told_it(false)]
-fn an_era_that_the_store_denies_is_dropped(#[case] by_an_answer: bool) {
+fn an_era_that_the_store_denies_is_discarded(#[case] by_an_answer: bool) {
     let start = Instant::now();
     let mut eras = EraTracker::new();
     eras.observe(Some(2), start, start);
@@ -82,14 +82,14 @@
     } else {
         assert!(eras.merge(999, start + SECOND));
     }
-    let asked_at = start + 2 * SECOND;
-    let denial = eras.observe(Some(2), asked_at, asked_at);
+    let sent_at = start + 2 * SECOND;
+    let denial = eras.observe(Some(2), sent_at, sent_at);
     assert_eq!(denial, EraVerdict::Changed { before: Some(999) });
     assert_eq!(eras.era(), 2);
     // Peers that still advertise the denied era don't reintroduce it.
-    assert!(!eras.merge(999, asked_at + SECOND));
+    assert!(!eras.merge(999, sent_at + SECOND));
     assert!(eras.is_denied(1_000) && !eras.is_denied(3));
-    assert!(eras.merge(3, asked_at + SECOND));
+    assert!(eras.merge(3, sent_at + SECOND));
     assert_eq!(eras.era(), 3);
 }
 
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_server_that_left_stays_out_of_use_after_a_restore() {
+fn a_server_that_left_stays_unused_after_a_restore() {
     let now = Instant::now();
     let mut directory = Directory::new();
     let before = ["a", "b", "c"].map(|id| server(id, 3, false));
@@ -126,8 +126,8 @@
     directory.apply(DirectoryChange::Removed("b".into()), now);
     // The backup is older than both changes, but has a write of each entry that this
     // instance hasn't seen.
-    let copy = ["a", "b", "c"].map(|id| server(id, 4, false));
-    directory.replace(copy.to_vec(), RESTORED, now + SECOND);
+    let backup = ["a", "b", "c"].map(|id| server(id, 4, false));
+    directory.replace(backup.to_vec(), RESTORED, now + SECOND);
     assert_eq!(used(&directory), ["c"]);
     // The entry of a server that has exited is removed again.
     directory.apply(DirectoryChange::Removed("b".into()), now + 4 * SECOND);
@@ -138,7 +138,7 @@
 #[rstest]
 #[case::its_entry_stands(false)]
 #[case::it_writes_again(true)]
-fn a_server_whose_entry_had_only_lapsed_is_back_after_a_restore(#[case] writes_again: bool) {
+fn a_server_whose_entry_had_only_lapsed_is_used_again_after_a_restore(#[case] writes_again: bool) {
     let now = Instant::now();
     let mut directory = Directory::new();
     directory.replace(vec![server("a", 3, false)], ListUncertainty::NONE, now);
@@ -148,8 +148,11 @@
     if writes_again {
         directory.apply(DirectoryChange::Updated(server("a", 9, false)), now);
     } else {
-        assert_eq!(directory.expires_at(GRACE), Some(now + STANDS_FOR));
-        let expired = directory.expire(now + STANDS_FOR, GRACE);
+        assert_eq!(
+            directory.expires_at(GRACE),
+            Some(now + CONFIRMATION_TIMEOUT)
+        );
+        let expired = directory.expire(now + CONFIRMATION_TIMEOUT, GRACE);
         assert_eq!(expired.restored, ["a".into()]);
     }
     assert_eq!(used(&directory), ["a"]);
@@ -158,12 +161,12 @@
 /// An instance that started right before the restore got a list without the server from
 /// its peers, and then reads the backup, which contains it.
 #[test]
-fn a_server_that_left_before_an_instance_started_stays_out_of_use_after_a_restore() {
+fn a_server_that_left_before_an_instance_started_stays_unused_after_a_restore() {
     let now = Instant::now();
     let mut directory = Directory::new();
     directory.replace(vec![server("a", 3, false)], ListUncertainty::NONE, now);
-    let copy = ["a", "b"].map(|id| server(id, 2, false));
-    directory.replace(copy.to_vec(), RESTORED, now);
+    let backup = ["a", "b"].map(|id| server(id, 2, false));
+    directory.replace(backup.to_vec(), RESTORED, now);
     assert_eq!(used(&directory), ["a"]);
     // A new server writes its entry again, or its entry outlasts the time in which
     // entries of exited servers expire.
@@ -172,14 +175,14 @@
 }
 
 #[test]
-fn an_instance_that_knows_no_list_takes_the_copys() {
+fn an_instance_without_a_list_uses_that_of_the_backup() {
     let mut directory = Directory::new();
     directory.replace(vec![server("a", 2, false)], RESTORED, Instant::now());
     assert_eq!(used(&directory), ["a"]);
 }
 
 #[test]
-fn a_server_that_the_copy_lacks_has_not_left() {
+fn a_server_missing_from_the_backup_stays_used_for_the_grace_period() {
     let now = Instant::now();
     let mut directory = Directory::new();
     directory.replace(vec![server("a", 3, false)], ListUncertainty::NONE, now);
@@ -190,7 +193,7 @@
 }
 
 #[test]
-fn what_a_start_wrote_before_replaces_nothing() {
+fn an_earlier_write_of_the_same_incarnation_replaces_nothing() {
     let now = Instant::now();
     let mut directory = Directory::new();
     let of_start = |writes, is_leaving| BackendServer {
@@ -227,7 +230,7 @@
 }
 
 #[test]
-fn a_holder_of_a_lease_that_a_restore_lost_gives_no_orders_until_it_is_written_again() {
+fn a_lease_lost_in_a_restore_has_no_fence_until_it_is_written_again() {
     let now = Instant::now();
     let mut holder = lease("n1");
     holder.observed(now, None);
@@ -252,7 +255,7 @@
 }
 
 #[test]
-fn another_holder_in_the_copy_is_waited_out() {
+fn a_lease_of_another_holder_in_the_backup_is_waited_out() {
     let now = Instant::now();
     let mut other = lease("n2");
     other.observed(now, None);
--- a/crates/rookferry_core/tests/stream.rs
+++ b/crates/rookferry_core/tests/stream.rs
@@ -256,7 +256,7 @@
     assert_eq!(pipeline.run(&mut resumed, None), Some(Ending::Finished));
     pipeline.shown = shown;
     // What it had heard before the pause it may still show.
-    let ending = pipeline.go_on(&mut owner);
+    let ending = pipeline.resume(&mut owner);
     assert_eq!(ending, Some(Ending::Abandoned(AbandonReason::TakenOver)));
     pipeline.assert_no_repeats();
     for start in [0, 2, 4] {
--- a/crates/rookferry_core/tests/support/limited_site.rs
+++ b/crates/rookferry_core/tests/support/limited_site.rs
@@ -24,66 +24,66 @@
 use rookferry_core::Urgency;
 
 use crate::peer_site::DELAY_MS;
-use crate::peer_site::LOSS;
+use crate::peer_site::LOSS_RATE;
 use crate::peer_site::Site;
 use crate::peer_site::domain_name;
 use crate::peer_site::engine_key;
 
 /// Time from a request's arrival at the server to its response.
-const SERVING_MS: u64 = 40;
+const SERVICE_TIME_MS: u64 = 40;
 /// How long an instance waits for the answer to a permit request.
-const PATIENCE_MS: u64 = 80;
+const PERMIT_TIMEOUT_MS: u64 = 80;
 /// Age from which an instance grants permits.
-const GRANTS_AFTER_MS: u64 = 1_000;
+const MIN_GRANTER_AGE_MS: u64 = 1_000;
 /// How long an instance must have known the limit before its requests count against it.
-const TOLD_BEFORE_MS: u64 = 500;
+const MIN_KNOWN_MS: u64 = 500;
 /// Domain of the server.
-const HOME: usize = 0;
+const HOME_DOMAIN: usize = 0;
 
 pub const URGENT: Urgency = Urgency {
     account: 1,
     route: 1,
 };
-pub const PATIENT: Urgency = Urgency {
+pub const LESS_URGENT: Urgency = Urgency {
     account: 1,
     route: 5,
 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Request {
-    place: usize,
+    index: usize,
     urgency: Urgency,
-    asked_ms: u64,
+    requested_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A caller's request arrives at an instance, and the next one is scheduled.
-    Comes(usize),
-    Asked(u64),
-    Answered(u64),
-    Unanswered(u64),
-    Arrives(usize),
-    ServerAnswered {
-        place: usize,
+    RequestDue(usize),
+    PermitRequested(u64),
+    PermitAnswered(u64),
+    PermitTimedOut(u64),
+    RequestArrived(usize),
+    ServerResponded {
+        index: usize,
         sent_ms: u64,
         centi_per_s: Option<u32>,
     },
 }
 
-struct Question {
+struct PermitExchange {
     from: usize,
     to: usize,
-    ask: PermitRequest,
+    permit_request: PermitRequest,
     request: Option<Request>,
     answer: Option<PermitAnswer>,
     /// Granters that are still to be tried, the next one last.
-    others: Vec<SocketAddr>,
+    remaining: Vec<SocketAddr>,
 }
 
 #[derive(Default)]
-struct Desk {
-    book: PermitTracker,
+struct PermitState {
+    tracker: PermitTracker,
     granter: Option<PermitGranter>,
 }
 
@@ -102,16 +102,16 @@
     /// Requests a second that arrive at each instance.
     pub demand_per_s: Vec<f64>,
     /// Share of the requests that are less urgent.
-    pub patient_share: f64,
+    pub less_urgent_share: f64,
     pub first_named_ms: Option<u64>,
     /// Arrivals at the server: the time, and the instance that sent the request.
     pub arrivals: Vec<(u64, usize)>,
     /// When each instance first received the limit from the server.
-    pub told_ms: BTreeMap<usize, u64>,
+    pub informed_ms: BTreeMap<usize, u64>,
     pub outcomes: BTreeMap<Urgency, Outcomes>,
-    desks: Vec<Desk>,
+    permit_states: Vec<PermitState>,
     due: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    questions: BTreeMap<u64, Question>,
+    exchanges: BTreeMap<u64, PermitExchange>,
     number: u64,
     rng: StdRng,
 }
@@ -122,26 +122,26 @@
         let count = site.instances.len();
         Self {
             site,
-            server: engine_key(HOME),
+            server: engine_key(HOME_DOMAIN),
             limit_per_s: None,
             demand_per_s: vec![0.0; count],
-            patient_share: 0.0,
+            less_urgent_share: 0.0,
             first_named_ms: None,
             arrivals: Vec::new(),
-            told_ms: BTreeMap::new(),
+            informed_ms: BTreeMap::new(),
             outcomes: BTreeMap::new(),
-            desks: (0..count).map(|_| Desk::default()).collect(),
+            permit_states: (0..count).map(|_| PermitState::default()).collect(),
             due: BinaryHeap::new(),
-            questions: BTreeMap::new(),
+            exchanges: BTreeMap::new(),
             number: 0,
             rng: StdRng::seed_from_u64(seed ^ 0x5eed),
         }
     }
 
     /// Starts the requests at all instances, at the rate of each.
-    pub fn open(&mut self) {
-        for place in 0..self.demand_per_s.len() {
-            self.next_comes(place);
+    pub fn start_requests(&mut self) {
+        for index in 0..self.demand_per_s.len() {
+            self.schedule_request(index);
         }
     }
 
@@ -155,7 +155,7 @@
                 break;
             };
             self.site.run_for(at_ms - self.site.now_ms);
-            self.take(event);
+            self.handle(event);
         }
         self.site.run_for(until_ms - self.site.now_ms);
     }
@@ -168,44 +168,46 @@
             let granters =
                 instance
                     .table
-                    .permit_granters(self.server, &domain_name(HOME).into(), now);
-            *votes.entry(self.site.places[&granters[0]]).or_default() += 1;
+                    .permit_granters(self.server, &domain_name(HOME_DOMAIN).into(), now);
+            *votes
+                .entry(self.site.index_by_addr[&granters[0]])
+                .or_default() += 1;
         }
         let most = votes.into_iter().max_by_key(|(_, votes)| *votes);
         most.expect("an instance").0
     }
 
-    pub fn kill(&mut self, place: usize) {
-        self.site.instances[place].is_up = false;
+    pub fn kill(&mut self, index: usize) {
+        self.site.instances[index].is_up = false;
     }
 
-    pub fn start_at(&mut self, place: usize, at_ms: u64) {
-        self.desks[place] = Desk::default();
-        self.site.start_at(place, at_ms);
+    pub fn start_at(&mut self, index: usize, at_ms: u64) {
+        self.permit_states[index] = PermitState::default();
+        self.site.start_at(index, at_ms);
     }
 
     /// Most arrivals within any window that ends at an arrival after a time. Counts only
     /// requests of instances that had received the limit from the server half a second
     /// before the window's end.
-    pub fn most_in_span(&self, span_ms: u64, ending_after_ms: u64) -> usize {
+    pub fn max_in_window(&self, window_ms: u64, ending_after_ms: u64) -> usize {
         let ends = self.arrivals.iter().enumerate();
         let ends = ends.filter(|(_, (end_ms, _))| *end_ms >= ending_after_ms);
-        let counts = ends.map(|(index, (end_ms, _))| {
+        let counts = ends.map(|(last, (end_ms, _))| {
             let begin = self
                 .arrivals
-                .partition_point(|(at_ms, _)| at_ms + span_ms <= *end_ms);
-            let was_told = |place| {
-                let told_ms = self.told_ms.get(place);
-                told_ms.is_some_and(|told_ms| told_ms + TOLD_BEFORE_MS <= *end_ms)
+                .partition_point(|(at_ms, _)| at_ms + window_ms <= *end_ms);
+            let was_informed = |index| {
+                let informed_ms = self.informed_ms.get(index);
+                informed_ms.is_some_and(|informed_ms| informed_ms + MIN_KNOWN_MS <= *end_ms)
             };
-            let arrivals = self.arrivals[begin..=index].iter();
-            arrivals.filter(|(_, place)| was_told(place)).count()
+            let arrivals = self.arrivals[begin..=last].iter();
+            arrivals.filter(|(_, index)| was_informed(index)).count()
         });
         counts.max().unwrap_or(0)
     }
 
     /// Number of arrivals between two times.
-    pub fn arrived(&self, from_ms: u64, to_ms: u64) -> usize {
+    pub fn arrivals_between(&self, from_ms: u64, to_ms: u64) -> usize {
         let arrivals = self.arrivals.iter();
         let within = arrivals.filter(|(at_ms, _)| (from_ms..to_ms).contains(at_ms));
         within.count()
@@ -217,70 +219,74 @@
         self.due.push(Reverse((at_ms, self.number, event)));
     }
 
-    fn next_comes(&mut self, place: usize) {
-        let per_s = self.demand_per_s[place];
+    fn schedule_request(&mut self, index: usize) {
+        let per_s = self.demand_per_s[index];
         if per_s <= 0.0 {
             return;
         }
         let draw: f64 = self.rng.random_range(f64::EPSILON..1.0);
         let pause = Duration::from_secs_f64(-draw.ln() / per_s);
         let pause_ms = u64::try_from(pause.as_millis()).expect("a time").max(1);
-        self.push(pause_ms, Event::Comes(place));
+        self.push(pause_ms, Event::RequestDue(index));
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Comes(place) => {
-                self.next_comes(place);
-                if self.site.instances[place].is_up {
-                    self.request(place);
+            Event::RequestDue(index) => {
+                self.schedule_request(index);
+                if self.site.instances[index].is_up {
+                    self.on_request(index);
                 }
             }
-            Event::Asked(number) => self.asked(number),
-            Event::Answered(number) => self.answered(number),
-            Event::Unanswered(number) => self.unanswered(number),
-            Event::Arrives(place) => self.arrives(place),
-            Event::ServerAnswered {
-                place,
+            Event::PermitRequested(number) => self.on_permit_request(number),
+            Event::PermitAnswered(number) => self.on_permit_answer(number),
+            Event::PermitTimedOut(number) => self.on_permit_timeout(number),
+            Event::RequestArrived(index) => self.on_arrival(index),
+            Event::ServerResponded {
+                index,
                 sent_ms,
                 centi_per_s,
-            } => self.server_answered(place, sent_ms, centi_per_s),
+            } => self.on_server_response(index, sent_ms, centi_per_s),
         }
     }
 
-    fn request(&mut self, place: usize) {
-        let is_patient = self.patient_share > 0.0 && self.rng.random_bool(self.patient_share);
+    fn on_request(&mut self, index: usize) {
+        let is_less_urgent =
+            self.less_urgent_share > 0.0 && self.rng.random_bool(self.less_urgent_share);
         let request = Request {
-            place,
-            urgency: if is_patient { PATIENT } else { URGENT },
-            asked_ms: self.site.now_ms,
+            index,
+            urgency: if is_less_urgent { LESS_URGENT } else { URGENT },
+            requested_ms: self.site.now_ms,
         };
         let now = self.site.now();
-        if self.site.instances[place].limits.of(self.server).is_none() {
-            self.desks[place].book.record_sent(self.server, now);
+        if self.site.instances[index].limits.of(self.server).is_none() {
+            self.permit_states[index]
+                .tracker
+                .record_sent(self.server, now);
             return self.send(request);
         }
-        let refused = self.desks[place]
-            .book
-            .refused_until(self.server, request.urgency, now);
+        let refused =
+            self.permit_states[index]
+                .tracker
+                .refused_until(self.server, request.urgency, now);
         if refused.is_some() {
             return self.refuse(request);
         }
-        self.ask(place, Some(request));
+        self.request_permit(index, Some(request));
     }
 
     /// Requests a permit, or without a request only reports what was sent.
-    fn ask(&mut self, place: usize, request: Option<Request>) {
+    fn request_permit(&mut self, index: usize, request: Option<Request>) {
         let now = self.site.now();
-        let instance = &self.site.instances[place];
+        let instance = &self.site.instances[index];
         let Some(rate) = instance.limits.of(self.server) else {
             return;
         };
         let age = instance.limits.age(self.server, now).expect("an age");
-        let home = domain_name(HOME).into();
-        let mut others = instance.table.permit_granters(self.server, &home, now);
-        others.reverse();
-        let ask = PermitRequest {
+        let home = domain_name(HOME_DOMAIN).into();
+        let mut remaining = instance.table.permit_granters(self.server, &home, now);
+        remaining.reverse();
+        let permit_request = PermitRequest {
             number: 0,
             seen: LimitObservation {
                 server: self.server,
@@ -288,21 +294,23 @@
                 age_ms: u64::try_from(age.as_millis()).expect("a time"),
             },
             urgency: request.map(|request| request.urgency),
-            sent_ms_ago: self.desks[place].book.take_sent(self.server, now),
+            sent_ms_ago: self.permit_states[index]
+                .tracker
+                .take_sent(self.server, now),
         };
-        self.ask_next(place, ask, request, others);
+        self.request_from_next(index, permit_request, request, remaining);
     }
 
-    fn ask_next(
+    fn request_from_next(
         &mut self,
         from: usize,
-        ask: PermitRequest,
+        permit_request: PermitRequest,
         request: Option<Request>,
-        mut others: Vec<SocketAddr>,
+        mut remaining: Vec<SocketAddr>,
     ) {
-        let Some(to) = others.pop() else {
+        let Some(to) = remaining.pop() else {
             if let Some(request) = request {
-                self.note_refused(
+                self.on_permit_refused(
                     request,
                     PermitRefusal {
                         ask_again_ms: 100,
@@ -312,75 +320,82 @@
             }
             return;
         };
-        let to = self.site.places[&to];
-        others.truncate(1);
-        let question = Question {
+        let to = self.site.index_by_addr[&to];
+        remaining.truncate(1);
+        let exchange = PermitExchange {
             from,
             to,
-            ask,
+            permit_request,
             request,
             answer: None,
-            others,
+            remaining,
         };
         self.number += 1;
         let number = self.number;
-        self.questions.insert(number, question);
+        self.exchanges.insert(number, exchange);
         if from == to {
-            return self.push(0, Event::Asked(number));
+            return self.push(0, Event::PermitRequested(number));
         }
         if !self.is_lost(from, to) {
-            self.push(DELAY_MS, Event::Asked(number));
+            self.push(DELAY_MS, Event::PermitRequested(number));
         }
-        self.push(PATIENCE_MS, Event::Unanswered(number));
+        self.push(PERMIT_TIMEOUT_MS, Event::PermitTimedOut(number));
     }
 
     fn is_lost(&mut self, from: usize, to: usize) -> bool {
-        self.rng.random_bool(LOSS) || self.site.is_cut(from, to) || !self.site.instances[to].is_up
+        self.rng.random_bool(LOSS_RATE)
+            || self.site.is_partitioned(from, to)
+            || !self.site.instances[to].is_up
     }
 
-    fn asked(&mut self, number: u64) {
-        let Some(question) = self.questions.get(&number) else {
+    fn on_permit_request(&mut self, number: u64) {
+        let Some(exchange) = self.exchanges.get(&number) else {
             return;
         };
-        let (from, to, ask) = (question.from, question.to, question.ask.clone());
+        let (from, to, permit_request) =
+            (exchange.from, exchange.to, exchange.permit_request.clone());
         if !self.site.instances[to].is_up {
             return;
         }
-        let answer = self.judge(to, &ask);
-        if let Some(question) = self.questions.get_mut(&number) {
-            question.answer = Some(answer);
+        let answer = self.answer_permit_request(to, &permit_request);
+        if let Some(exchange) = self.exchanges.get_mut(&number) {
+            exchange.answer = Some(answer);
         }
         if from == to {
-            return self.push(0, Event::Answered(number));
+            return self.push(0, Event::PermitAnswered(number));
         }
         if !self.is_lost(to, from) {
-            self.push(DELAY_MS, Event::Answered(number));
+            self.push(DELAY_MS, Event::PermitAnswered(number));
         }
     }
 
-    fn judge(&mut self, place: usize, ask: &PermitRequest) -> PermitAnswer {
+    fn answer_permit_request(
+        &mut self,
+        index: usize,
+        permit_request: &PermitRequest,
+    ) -> PermitAnswer {
         let now = self.site.now();
-        let home = domain_name(HOME).into();
-        let instance = &mut self.site.instances[place];
-        instance.limits.merge(ask.seen, now);
+        let home = domain_name(HOME_DOMAIN).into();
+        let instance = &mut self.site.instances[index];
+        instance.limits.merge(permit_request.seen, now);
         let granters = instance.table.permit_granters(self.server, &home, now);
         if granters[0] != instance.addr {
             return PermitAnswer::Elsewhere(Some(granters[0]));
         }
-        if self.site.now_ms < instance.started_ms + GRANTS_AFTER_MS {
+        if self.site.now_ms < instance.started_ms + MIN_GRANTER_AGE_MS {
             return PermitAnswer::Elsewhere(None);
         }
         let Some(rate) = instance.limits.of(self.server) else {
             return PermitAnswer::Granted;
         };
         let share = instance.table.permit_share(&home, now);
-        let granter = &mut self.desks[place].granter;
+        let granter = &mut self.permit_states[index].granter;
         let granter = granter.get_or_insert_with(|| PermitGranter::new(rate, now));
         granter.set_rate(rate);
-        for ago_ms in &ask.sent_ms_ago {
+        for ago_ms in &permit_request.sent_ms_ago {
             granter.record_sent(Duration::from_millis(u64::from(*ago_ms)), now);
         }
-        let Some(urgency) = ask.urgency else {
+        let Some(urgency) = permit_request.urgency else {
             return PermitAnswer::Granted;
         };
         match granter.take(urgency, share, now) {
@@ -389,49 +404,59 @@
         }
     }
 
-    fn answered(&mut self, number: u64) {
-        let Some(question) = self.questions.remove(&number) else {
+    fn on_permit_answer(&mut self, number: u64) {
+        let Some(exchange) = self.exchanges.remove(&number) else {
             return;
         };
-        let Some(request) = question.request else {
+        let Some(request) = exchange.request else {
             return;
         };
-        if !self.site.instances[question.from].is_up {
+        if !self.site.instances[exchange.from].is_up {
             return;
         }
-        match question.answer.expect("an answer") {
+        match exchange.answer.expect("an answer") {
             PermitAnswer::Granted => {
-                let asked_at = self.site.start + Duration::from_millis(request.asked_ms);
-                let permit = Permit::requested_at(self.server, asked_at);
+                let requested_at = self.site.start + Duration::from_millis(request.requested_ms);
+                let permit = Permit::requested_at(self.server, requested_at);
                 if permit.allows(self.server, self.site.now()) {
                     self.send(request);
                 }
             }
-            PermitAnswer::Refused(refusal) => self.note_refused(request, refusal),
-            PermitAnswer::Elsewhere(Some(other)) if question.others.len() == 1 => {
-                self.ask_next(question.from, question.ask, Some(request), vec![other]);
+            PermitAnswer::Refused(refusal) => self.on_permit_refused(request, refusal),
+            PermitAnswer::Elsewhere(Some(other)) if exchange.remaining.len() == 1 => {
+                self.request_from_next(
+                    exchange.from,
+                    exchange.permit_request,
+                    Some(request),
+                    vec![other],
+                );
             }
             PermitAnswer::Elsewhere(_) => {
-                self.ask_next(question.from, question.ask, Some(request), Vec::new());
+                self.request_from_next(
+                    exchange.from,
+                    exchange.permit_request,
+                    Some(request),
+                    Vec::new(),
+                );
             }
         }
     }
 
-    fn unanswered(&mut self, number: u64) {
-        if let Some(question) = self.questions.remove(&number) {
-            self.ask_next(
-                question.from,
-                question.ask,
-                question.request,
-                question.others,
+    fn on_permit_timeout(&mut self, number: u64) {
+        if let Some(exchange) = self.exchanges.remove(&number) {
+            self.request_from_next(
+                exchange.from,
+                exchange.permit_request,
+                exchange.request,
+                exchange.remaining,
             );
         }
     }
 
-    fn note_refused(&mut self, request: Request, refusal: PermitRefusal) {
+    fn on_permit_refused(&mut self, request: Request, refusal: PermitRefusal) {
         let chance = self.rng.random_range(0.0..1.0);
         let now = self.site.now();
-        self.desks[request.place].book.record_refusal(
+        self.permit_states[request.index].tracker.record_refusal(
             self.server,
             request.urgency,
             refusal,
@@ -447,47 +472,49 @@
 
     fn send(&mut self, request: Request) {
         self.outcomes.entry(request.urgency).or_default().sent += 1;
-        if self.site.cut == Some(HOME) && self.site.instances[request.place].domain != HOME {
+        if self.site.isolated_domain == Some(HOME_DOMAIN)
+            && self.site.instances[request.index].domain != HOME_DOMAIN
+        {
             return;
         }
-        self.push(DELAY_MS, Event::Arrives(request.place));
+        self.push(DELAY_MS, Event::RequestArrived(request.index));
     }
 
-    fn arrives(&mut self, place: usize) {
+    fn on_arrival(&mut self, index: usize) {
         let now_ms = self.site.now_ms;
-        self.arrivals.push((now_ms, place));
+        self.arrivals.push((now_ms, index));
         if self.limit_per_s.is_some() {
             self.first_named_ms
-                .get_or_insert(now_ms + SERVING_MS + DELAY_MS);
+                .get_or_insert(now_ms + SERVICE_TIME_MS + DELAY_MS);
         }
         let centi_per_s = self.limit_per_s.map(|per_s| {
             #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
             let centi = (per_s * 100.0).round() as u32;
             centi
         });
-        let answered = Event::ServerAnswered {
-            place,
+        let response = Event::ServerResponded {
+            index,
             sent_ms: now_ms - DELAY_MS,
             centi_per_s,
         };
-        self.push(SERVING_MS + DELAY_MS, answered);
+        self.push(SERVICE_TIME_MS + DELAY_MS, response);
     }
 
-    fn server_answered(&mut self, place: usize, sent_ms: u64, centi_per_s: Option<u32>) {
+    fn on_server_response(&mut self, index: usize, sent_ms: u64, centi_per_s: Option<u32>) {
         let now = self.site.now();
         let sent_at: Instant = self.site.start + Duration::from_millis(sent_ms);
-        let instance = &mut self.site.instances[place];
+        let instance = &mut self.site.instances[index];
         let rate = centi_per_s.and_then(|centi| RequestRate::from_per_s(f64::from(centi) / 100.0));
         if rate.is_some() {
-            self.told_ms.entry(place).or_insert(self.site.now_ms);
+            self.informed_ms.entry(index).or_insert(self.site.now_ms);
         }
         let change = match rate {
             Some(rate) => instance.limits.record_limit(self.server, rate, now),
             None => instance.limits.record_unlimited(self.server, sent_at, now),
         };
         if change.is_some() {
-            self.desks[place].book.clear_refusal(self.server);
-            self.ask(place, None);
+            self.permit_states[index].tracker.clear_refusal(self.server);
+            self.request_permit(index, None);
         }
     }
 }
--- a/crates/rookferry_core/tests/support/mod.rs
+++ b/crates/rookferry_core/tests/support/mod.rs
@@ -77,7 +77,7 @@
 }
 
 #[derive(Clone, Default)]
-struct Held {
+struct StreamState {
     gate: StageGate,
     kv: Vec<Vec<u64>>,
 }
@@ -86,8 +86,8 @@
 #[derive(Clone)]
 pub struct FakeEngine {
     layers: LayerRange,
-    held: Option<Held>,
-    life: u32,
+    stream: Option<StreamState>,
+    incarnation: u32,
     /// Number of runs by (incarnation, position).
     pub runs: BTreeMap<(u32, u32), u32>,
 }
@@ -96,50 +96,53 @@
     fn new(start: u16, end: u16) -> Self {
         Self {
             layers: LayerRange { start, end },
-            held: None,
-            life: 0,
+            stream: None,
+            incarnation: 0,
             runs: BTreeMap::new(),
         }
     }
 
-    fn die(&mut self) {
-        self.held = None;
-        self.life += 1;
+    fn crash(&mut self) {
+        self.stream = None;
+        self.incarnation += 1;
     }
 
     fn step(&mut self, step: &Step) -> Result<Vec<u64>, Refusal> {
-        let held = self.held.get_or_insert_default();
-        match held.gate.check(step) {
+        let stream = self.stream.get_or_insert_default();
+        match stream.gate.check(step) {
             GateVerdict::Refuse(refusal) => return Err(refusal),
             GateVerdict::Recorded => {}
             GateVerdict::Run { from } => {
                 let skip = (from - step.position) as usize;
                 for (position, input) in (from..).zip(&step.input[skip..]) {
                     let zeros = vec![0; usize::from(self.layers.len())];
-                    let before = held.kv.last().unwrap_or(&zeros).clone();
+                    let before = stream.kv.last().unwrap_or(&zeros).clone();
                     let mut activation = *input;
                     let mut values = Vec::new();
                     for (layer, former) in (self.layers.start..self.layers.end).zip(before) {
                         activation = fold(former, activation, layer, position);
                         values.push(activation);
                     }
-                    held.kv.push(values);
-                    held.gate.record(&[activation]);
-                    *self.runs.entry((self.life, position)).or_default() += 1;
+                    stream.kv.push(values);
+                    stream.gate.record(&[activation]);
+                    *self.runs.entry((self.incarnation, position)).or_default() += 1;
                 }
             }
         }
-        Ok(held.gate.outputs(step.position, step.input.len()).to_vec())
+        Ok(stream
+            .gate
+            .outputs(step.position, step.input.len())
+            .to_vec())
     }
 
     fn open(&mut self, request: AttemptRequest) -> AttemptAnswer {
-        if request.must_exist && self.held.is_none() {
+        if request.must_exist && self.stream.is_none() {
             return AttemptAnswer::Refused { newest: 0 };
         }
-        let held = self.held.get_or_insert_default();
-        let answer = held.gate.open(request.attempt, request.keep);
+        let stream = self.stream.get_or_insert_default();
+        let answer = stream.gate.open(request.attempt, request.keep);
         if let AttemptAnswer::Opened { kept } = answer {
-            held.kv.truncate(kept as usize);
+            stream.kv.truncate(kept as usize);
         }
         answer
     }
@@ -157,10 +160,10 @@
     pub engines: BTreeMap<EngineId, FakeEngine>,
     pub shown: Vec<u64>,
     /// Steps that frozen engines run when they wake.
-    asleep: Vec<(EngineId, Step)>,
+    deferred_steps: Vec<(EngineId, Step)>,
     /// Pending actions of a driver that was stopped.
-    stopped: Vec<StreamAction>,
-    sends: usize,
+    pending_actions: Vec<StreamAction>,
+    exchanges: usize,
     /// Faults by the number of the request that they apply to, from 1.
     pub faults: BTreeMap<usize, Fault>,
 }
@@ -177,9 +180,9 @@
         Self {
             engines,
             shown: Vec::new(),
-            asleep: Vec::new(),
-            stopped: Vec::new(),
-            sends: 0,
+            deferred_steps: Vec::new(),
+            pending_actions: Vec::new(),
+            exchanges: 0,
             faults: faults.into_iter().collect(),
         }
     }
@@ -208,16 +211,16 @@
     /// Runs a driver until it finishes, or stops it after `stop_after` requests.
     pub fn run(&mut self, driver: &mut StreamDriver, stop_after: Option<usize>) -> Option<Ending> {
         let actions = driver.start();
-        self.carry_on(driver, actions, stop_after)
+        self.drive(driver, actions, stop_after)
     }
 
     /// Continues a driver that was stopped, with its pending actions.
-    pub fn go_on(&mut self, driver: &mut StreamDriver) -> Option<Ending> {
-        let actions = std::mem::take(&mut self.stopped);
-        self.carry_on(driver, actions, None)
+    pub fn resume(&mut self, driver: &mut StreamDriver) -> Option<Ending> {
+        let actions = std::mem::take(&mut self.pending_actions);
+        self.drive(driver, actions, None)
     }
 
-    fn carry_on(
+    fn drive(
         &mut self,
         driver: &mut StreamDriver,
         mut actions: Vec<StreamAction>,
@@ -227,8 +230,8 @@
             let mut events = Vec::new();
             let mut due = std::mem::take(&mut actions).into_iter();
             while let Some(action) = due.next() {
-                if stop_after.is_some_and(|limit| self.sends >= limit) {
-                    self.stopped = std::iter::once(action).chain(due).collect();
+                if stop_after.is_some_and(|limit| self.exchanges >= limit) {
+                    self.pending_actions = std::iter::once(action).chain(due).collect();
                     return None;
                 }
                 match action {
@@ -242,7 +245,7 @@
                     }
                     StreamAction::Finish => return Some(Ending::Finished),
                     StreamAction::Abandon { reason } => return Some(Ending::Abandoned(reason)),
-                    other => events.extend(self.carry_out(other)),
+                    other => events.extend(self.execute(other)),
                 }
             }
             for event in events {
@@ -254,14 +257,14 @@
 
     /// Wakes the frozen engines, which run the steps they were sent.
     pub fn wake(&mut self) {
-        for (name, step) in std::mem::take(&mut self.asleep) {
+        for (name, step) in std::mem::take(&mut self.deferred_steps) {
             if let Some(engine) = self.engines.get_mut(&name) {
                 let _ = engine.step(&step);
             }
         }
     }
 
-    fn carry_out(&mut self, action: StreamAction) -> Vec<StageEvent> {
+    fn execute(&mut self, action: StreamAction) -> Vec<StageEvent> {
         match action {
             StreamAction::Open { engine, request } => vec![self.open(engine, request)],
             StreamAction::Send { engine, step } => self.send(engine, &step),
@@ -283,14 +286,14 @@
 
     fn open(&mut self, engine: EngineId, request: AttemptRequest) -> StageEvent {
         let attempt = request.attempt;
-        self.sends += 1;
-        let fault = self.faults.remove(&self.sends);
-        let held = self.engines.get_mut(&engine).expect("a known engine");
+        self.exchanges += 1;
+        let fault = self.faults.remove(&self.exchanges);
+        let target = self.engines.get_mut(&engine).expect("a known engine");
         if matches!(fault, Some(Fault::DiesBefore | Fault::DiesAfter)) {
-            held.die();
+            target.crash();
             return StageEvent::Lost { engine, attempt };
         }
-        let answer = held.open(request);
+        let answer = target.open(request);
         if matches!(fault, Some(Fault::AnswerLost | Fault::Frozen)) {
             return StageEvent::Lost { engine, attempt };
         }
@@ -310,9 +313,9 @@
 
     fn send(&mut self, engine: EngineId, step: &Step) -> Vec<StageEvent> {
         let attempt = step.attempt;
-        self.sends += 1;
-        let fault = self.faults.remove(&self.sends);
-        let held = self.engines.get_mut(&engine).expect("a known engine");
+        self.exchanges += 1;
+        let fault = self.faults.remove(&self.exchanges);
+        let target = self.engines.get_mut(&engine).expect("a known engine");
         let lost = StageEvent::Lost {
             engine: engine.clone(),
             attempt,
@@ -324,28 +327,28 @@
         };
         match fault {
             Some(Fault::DiesBefore) => {
-                held.die();
+                target.crash();
                 return vec![lost];
             }
             Some(Fault::DiesAfter) => {
-                let _ = held.step(step);
-                held.die();
+                let _ = target.step(step);
+                target.crash();
                 return vec![lost];
             }
             Some(Fault::AnswerLost) => {
-                let _ = held.step(step);
+                let _ = target.step(step);
                 return vec![lost];
             }
             Some(Fault::Frozen) => {
-                self.asleep.push((engine, step.clone()));
+                self.deferred_steps.push((engine, step.clone()));
                 return vec![lost];
             }
             Some(Fault::Leaving) => return vec![refused(Refusal::Leaving)],
             Some(Fault::Overloaded) => return vec![refused(Refusal::Overloaded)],
-            Some(Fault::Evicted) => held.die(),
+            Some(Fault::Evicted) => target.crash(),
             Some(Fault::Twice) | None => {}
         }
-        let event = match held.step(step) {
+        let event = match target.step(step) {
             Ok(output) => StageEvent::Done {
                 engine,
                 attempt,
@@ -362,8 +365,11 @@
     /// Asserts that no engine ran a position twice within one incarnation.
     pub fn assert_no_repeats(&self) {
         for (name, engine) in &self.engines {
-            for ((life, position), runs) in &engine.runs {
-                assert_eq!(*runs, 1, "{name}, incarnation {life}, position {position}");
+            for ((incarnation, position), runs) in &engine.runs {
+                assert_eq!(
+                    *runs, 1,
+                    "{name}, incarnation {incarnation}, position {position}"
+                );
             }
         }
     }
--- a/crates/rookferry_core/tests/support/news_site.rs
+++ b/crates/rookferry_core/tests/support/news_site.rs
@@ -16,9 +16,9 @@
 use crate::peer_site::engine_key;
 
 /// Response time of the store.
-const ANSWER_MS: u64 = 4;
+const STORE_RESPONSE_MS: u64 = 4;
 /// Timeout of a call to the store.
-const CALL_MS: u64 = 900;
+const CALL_TIMEOUT_MS: u64 = 900;
 /// How much longer than its requested wait a watch may take before it times out.
 const WATCH_GRACE_MS: u64 = 600;
 /// Step of the simulation.
@@ -26,56 +26,56 @@
 
 /// What an instance currently does to read the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reading {
+enum ReadState {
     /// It checks at that time whether it has to read.
-    LooksAt(u64),
-    Watches {
+    IdleUntil(u64),
+    Watching {
         sent_ms: u64,
         /// Whether its connection is dead.
-        is_silent: bool,
+        is_stalled: bool,
     },
     /// A call that checks the store while a watch is overdue.
-    Asks { sent_ms: u64, watch_sent_ms: u64 },
+    Checking { sent_ms: u64, watch_sent_ms: u64 },
 }
 
 /// Connectivity from an instance to the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreLink {
     #[default]
-    Sound,
+    Connected,
     /// Nothing passes in either direction, on new connections as well.
-    Cut,
+    Disconnected,
 }
 
-pub struct NewsSite {
+pub struct PropagationSite {
     pub site: Site,
     pub links: Vec<StoreLink>,
     budget: PropagationBudget,
-    readings: Vec<Reading>,
+    read_states: Vec<ReadState>,
     failures: Vec<u32>,
     /// When the store recorded that the server is leaving.
-    pub left_ms: Option<u64>,
+    pub leaving_ms: Option<u64>,
     /// Number of calls to the store.
     pub calls: u64,
 }
 
-impl NewsSite {
+impl PropagationSite {
     /// A site that has run for five to six seconds.
     pub fn start(domains: usize, per_domain: usize, bound: Duration, seed: u64) -> Self {
         let site = Site::start(domains, per_domain, seed);
         let count = site.instances.len();
-        let mut news = Self {
+        let mut simulation = Self {
             site,
-            links: vec![StoreLink::Sound; count],
+            links: vec![StoreLink::Connected; count],
             budget: PropagationBudget::new(bound),
-            readings: vec![Reading::LooksAt(0); count],
+            read_states: vec![ReadState::IdleUntil(0); count],
             failures: vec![0; count],
-            left_ms: None,
+            leaving_ms: None,
             calls: 0,
         };
-        let settle_ms = 5_000 + news.site.rng.random_range(0..1_000);
-        news.run_for(settle_ms);
-        news
+        let settle_ms = 5_000 + simulation.site.rng.random_range(0..1_000);
+        simulation.run_for(settle_ms);
+        simulation
     }
 
     pub fn server() -> ServerKey {
@@ -86,9 +86,9 @@
         let until_ms = self.site.now_ms + ms;
         while self.site.now_ms < until_ms {
             self.site.run_for(STEP_MS);
-            for place in 0..self.readings.len() {
-                if self.site.instances[place].is_up {
-                    self.step(place);
+            for index in 0..self.read_states.len() {
+                if self.site.instances[index].is_up {
+                    self.step(index);
                 }
             }
         }
@@ -96,37 +96,38 @@
 
     /// Indices of the instances that currently read the store.
     pub fn readers(&self) -> Vec<usize> {
-        let places = 0..self.readings.len();
-        let reads = |place: &usize| !matches!(self.readings[*place], Reading::LooksAt(_));
-        places.filter(reads).collect()
+        let indices = 0..self.read_states.len();
+        let is_reader =
+            |index: &usize| !matches!(self.read_states[*index], ReadState::IdleUntil(_));
+        indices.filter(is_reader).collect()
     }
 
     /// Kills the connections of all current watches; new ones work.
-    pub fn silence_watches(&mut self) {
-        for reading in &mut self.readings {
-            if let Reading::Watches { is_silent, .. } = reading {
-                *is_silent = true;
+    pub fn stall_watches(&mut self) {
+        for read_state in &mut self.read_states {
+            if let ReadState::Watching { is_stalled, .. } = read_state {
+                *is_stalled = true;
             }
         }
     }
 
     /// Records in the store that the server is leaving.
-    pub fn server_leaves(&mut self) {
-        self.left_ms = Some(self.site.now_ms);
+    pub fn record_leaving(&mut self) {
+        self.leaving_ms = Some(self.site.now_ms);
     }
 
     /// Milliseconds from the store's record to the last of some instances that knows the
     /// server is leaving; none if one of them doesn't within `at_most_ms`.
-    pub fn last_knew_after_ms(&mut self, of: &[usize], at_most_ms: u64) -> Option<u64> {
-        let left_ms = self.left_ms.expect("a server that leaves");
+    pub fn propagation_ms(&mut self, of: &[usize], at_most_ms: u64) -> Option<u64> {
+        let leaving_ms = self.leaving_ms.expect("a server that leaves");
         let mut known = BTreeMap::new();
-        while self.site.now_ms < left_ms + at_most_ms {
-            for place in of {
-                if self.site.instances[*place]
+        while self.site.now_ms < leaving_ms + at_most_ms {
+            for index in of {
+                if self.site.instances[*index]
                     .departed
                     .contains(Self::server())
                 {
-                    known.entry(*place).or_insert(self.site.now_ms);
+                    known.entry(*index).or_insert(self.site.now_ms);
                 }
             }
             if known.len() == of.len() {
@@ -139,97 +140,104 @@
             .max()
             .copied()
             .filter(|_| known.len() == of.len());
-        last.map(|last_ms| last_ms - left_ms)
+        last.map(|last_ms| last_ms - leaving_ms)
     }
 
-    fn step(&mut self, place: usize) {
+    fn step(&mut self, index: usize) {
         let now_ms = self.site.now_ms;
         let wait_ms = millis(self.budget.watch_wait());
-        match self.readings[place] {
-            Reading::LooksAt(at_ms) if at_ms > now_ms => {}
-            Reading::LooksAt(_) if self.relies_on_peers(place) => {
-                self.readings[place] =
-                    Reading::LooksAt(now_ms + millis(self.budget.poll_interval()));
+        match self.read_states[index] {
+            ReadState::IdleUntil(at_ms) if at_ms > now_ms => {}
+            ReadState::IdleUntil(_) if self.relies_on_peers(index) => {
+                self.read_states[index] =
+                    ReadState::IdleUntil(now_ms + millis(self.budget.poll_interval()));
             }
-            Reading::LooksAt(_) => self.watch(place),
-            Reading::Watches { sent_ms, is_silent } => {
-                let is_dead = is_silent || self.links[place] == StoreLink::Cut;
-                let ends_ms = sent_ms + wait_ms + ANSWER_MS;
-                if !is_dead && (self.has_news(place, sent_ms) || now_ms >= ends_ms) {
-                    return self.answered(place, sent_ms);
+            ReadState::IdleUntil(_) => self.watch(index),
+            ReadState::Watching {
+                sent_ms,
+                is_stalled,
+            } => {
+                let is_dead = is_stalled || self.links[index] == StoreLink::Disconnected;
+                let returns_ms = sent_ms + wait_ms + STORE_RESPONSE_MS;
+                if !is_dead && (self.has_change(index, sent_ms) || now_ms >= returns_ms) {
+                    return self.on_store_response(index, sent_ms);
                 }
-                let contact = &mut self.site.instances[place].contact;
+                let contact = &mut self.site.instances[index].contact;
                 let overdue_ms = millis(contact.overdue_after(self.budget.overdue()));
                 if now_ms >= sent_ms + wait_ms + overdue_ms {
                     contact.watch_overdue();
                     self.calls += 1;
-                    self.readings[place] = Reading::Asks {
+                    self.read_states[index] = ReadState::Checking {
                         sent_ms: now_ms,
                         watch_sent_ms: sent_ms,
                     };
                 }
             }
-            Reading::Asks {
+            ReadState::Checking {
                 sent_ms,
                 watch_sent_ms,
             } => {
-                if self.links[place] == StoreLink::Sound && now_ms >= sent_ms + ANSWER_MS {
-                    return self.answered(place, sent_ms);
+                if self.links[index] == StoreLink::Connected
+                    && now_ms >= sent_ms + STORE_RESPONSE_MS
+                {
+                    return self.on_store_response(index, sent_ms);
                 }
-                let watch_ends_ms = watch_sent_ms + wait_ms + WATCH_GRACE_MS;
-                if now_ms >= watch_ends_ms.max(sent_ms + CALL_MS) {
-                    self.failures[place] += 1;
-                    let rank = self.site.instances[place].table.rank(self.site.now());
-                    let pause = ranked_pause(self.failures[place], rank);
-                    self.readings[place] = Reading::LooksAt(now_ms + millis(pause));
+                let watch_timeout_ms = watch_sent_ms + wait_ms + WATCH_GRACE_MS;
+                if now_ms >= watch_timeout_ms.max(sent_ms + CALL_TIMEOUT_MS) {
+                    self.failures[index] += 1;
+                    let rank = self.site.instances[index].table.rank(self.site.now());
+                    let pause = ranked_pause(self.failures[index], rank);
+                    self.read_states[index] = ReadState::IdleUntil(now_ms + millis(pause));
                 }
             }
         }
     }
 
-    fn watch(&mut self, place: usize) {
+    fn watch(&mut self, index: usize) {
         self.calls += 1;
-        self.readings[place] = Reading::Watches {
+        self.read_states[index] = ReadState::Watching {
             sent_ms: self.site.now_ms,
-            is_silent: false,
+            is_stalled: false,
         };
     }
 
     /// Whether a watch sent at a time would have returned a change by now.
-    fn has_news(&self, place: usize, sent_ms: u64) -> bool {
-        let told_ms = self.left_ms.map(|left_ms| left_ms.max(sent_ms) + ANSWER_MS);
-        told_ms.is_some_and(|told_ms| self.site.now_ms >= told_ms)
-            && !self.site.instances[place].departed.contains(Self::server())
+    fn has_change(&self, index: usize, sent_ms: u64) -> bool {
+        let visible_ms = self
+            .leaving_ms
+            .map(|leaving_ms| leaving_ms.max(sent_ms) + STORE_RESPONSE_MS);
+        visible_ms.is_some_and(|visible_ms| self.site.now_ms >= visible_ms)
+            && !self.site.instances[index].departed.contains(Self::server())
     }
 
     /// Handles the store's response to a call that was sent at a time.
-    fn answered(&mut self, place: usize, sent_ms: u64) {
+    fn on_store_response(&mut self, index: usize, sent_ms: u64) {
         let sent_at = self.at(sent_ms);
         let now = self.site.now();
         let is_after = self
-            .left_ms
-            .is_some_and(|left_ms| left_ms <= self.site.now_ms);
-        let instance = &mut self.site.instances[place];
+            .leaving_ms
+            .is_some_and(|leaving_ms| leaving_ms <= self.site.now_ms);
+        let instance = &mut self.site.instances[index];
         instance.contact.record_config_read(sent_at);
         instance.contact.record_servers_read(sent_at);
-        self.failures[place] = 0;
-        let is_news = is_after
+        self.failures[index] = 0;
+        let is_change = is_after
             && instance
                 .departed
                 .record(Self::server(), Departure::Leaving, now);
-        if is_news {
-            self.site.tell_soon(place);
+        if is_change {
+            self.site.schedule_early_round(index);
         }
-        if self.relies_on_peers(place) {
-            self.readings[place] = Reading::LooksAt(self.site.now_ms);
+        if self.relies_on_peers(index) {
+            self.read_states[index] = ReadState::IdleUntil(self.site.now_ms);
         } else {
-            self.watch(place);
+            self.watch(index);
         }
     }
 
-    fn relies_on_peers(&self, place: usize) -> bool {
+    fn relies_on_peers(&self, index: usize) -> bool {
         let now = self.site.now();
-        let instance = &self.site.instances[place];
+        let instance = &self.site.instances[index];
         let bound = instance.table.max_store_age(self.budget, now);
         instance.contact.is_fresh(now, bound) && !instance.table.is_store_reader(self.budget, now)
     }
--- a/crates/rookferry_core/tests/support/peer_site.rs
+++ b/crates/rookferry_core/tests/support/peer_site.rs
@@ -31,12 +31,12 @@
 pub const ROUND_MS: u64 = 150;
 pub const DELAY_MS: u64 = 1;
 /// Delay of a round that a change causes to be sent early.
-pub const NEWS_PAUSE_MS: u64 = 30;
+pub const EARLY_ROUND_DELAY_MS: u64 = 30;
 /// Additional delay before a slow instance handles a datagram.
-pub const SLOW_MS: u64 = 200;
+pub const SLOW_DELAY_MS: u64 = 200;
 /// Share of datagrams that are lost.
-pub const LOSS: f64 = 0.01;
-pub const SEEDS: usize = 3;
+pub const LOSS_RATE: f64 = 0.01;
+pub const SEED_COUNT: usize = 3;
 
 pub struct Instance {
     pub addr: SocketAddr,
@@ -51,9 +51,9 @@
     /// Its requests in flight at the domain's engine.
     pub requests: u32,
     /// Servers that don't respond to it.
-    pub out: Vec<ServerKey>,
+    pub unresponsive: Vec<ServerKey>,
     /// Number of its probes of servers that peers report as unresponsive.
-    pub asked: usize,
+    pub probes: usize,
     pub sent: u64,
     /// Bytes that it sent and that were sent to it, while `counts_bytes` is set.
     pub sent_bytes: usize,
@@ -82,18 +82,18 @@
 
     /// Probes a server that a peer reports as unresponsive, if an instance of its rank
     /// without work there does so.
-    pub fn look_into(&mut self, server: ServerKey, dead: &[ServerKey], now: Instant) {
-        let of = ProbeRole {
+    pub fn probe_if_responsible(&mut self, server: ServerKey, dead: &[ServerKey], now: Instant) {
+        let role = ProbeRole {
             has_requests: false,
             plans_layers: false,
             rank: self.table.rank(now),
         };
-        if !of.should_probe() || self.out.contains(&server) {
+        if !role.should_probe() || self.unresponsive.contains(&server) {
             return;
         }
-        self.asked += 1;
+        self.probes += 1;
         if dead.contains(&server) {
-            self.out.push(server);
+            self.unresponsive.push(server);
         }
     }
 }
@@ -102,7 +102,7 @@
 pub enum Due {
     Tick(usize),
     /// A round that is sent early because of a change.
-    News(usize),
+    EarlyRound(usize),
     Arrival(usize, usize, u64),
 }
 
@@ -110,14 +110,14 @@
     pub start: Instant,
     pub now_ms: u64,
     pub instances: Vec<Instance>,
-    pub places: BTreeMap<SocketAddr, usize>,
+    pub index_by_addr: BTreeMap<SocketAddr, usize>,
     pub due: BinaryHeap<std::cmp::Reverse<(u64, Due)>>,
     pub messages: BTreeMap<u64, Heartbeat>,
     pub sent: u64,
     /// A domain that is cut off from the others.
-    pub cut: Option<usize>,
+    pub isolated_domain: Option<usize>,
     /// Instances that reach only each other.
-    pub apart: BTreeSet<usize>,
+    pub partition: BTreeSet<usize>,
     /// Servers that respond to no instance.
     pub dead: Vec<ServerKey>,
     /// Instances that handle datagrams late.
@@ -152,22 +152,22 @@
             start: Instant::now(),
             now_ms: 0,
             instances: Vec::new(),
-            places: BTreeMap::new(),
+            index_by_addr: BTreeMap::new(),
             due: BinaryHeap::new(),
             messages: BTreeMap::new(),
             sent: 0,
-            cut: None,
-            apart: BTreeSet::new(),
+            isolated_domain: None,
+            partition: BTreeSet::new(),
             dead: Vec::new(),
             slow: BTreeSet::new(),
-            loss: LOSS,
+            loss: LOSS_RATE,
             counts_bytes: false,
             rng: StdRng::seed_from_u64(seed),
         };
-        for place in 0..domains * per_domain {
-            let (domain, number) = (place % domains, place / domains);
+        for index in 0..domains * per_domain {
+            let (domain, number) = (index % domains, index / domains);
             let addr = instance_addr(domain, number);
-            site.places.insert(addr, place);
+            site.index_by_addr.insert(addr, index);
             site.instances.push(Instance {
                 addr,
                 domain,
@@ -179,8 +179,8 @@
                 domain_window: 0,
                 is_up: false,
                 requests: 1,
-                out: Vec::new(),
-                asked: 0,
+                unresponsive: Vec::new(),
+                probes: 0,
                 sent: 0,
                 sent_bytes: 0,
                 received_bytes: 0,
@@ -193,14 +193,14 @@
                 offered_at: None,
             });
             let at_ms = site.rng.random_range(0..300);
-            site.start_at(place, at_ms);
+            site.start_at(index, at_ms);
         }
         site
     }
 
-    pub fn start_at(&mut self, place: usize, at_ms: u64) {
-        self.due.push(std::cmp::Reverse((at_ms, Due::Tick(place))));
-        let instance = &mut self.instances[place];
+    pub fn start_at(&mut self, index: usize, at_ms: u64) {
+        self.due.push(std::cmp::Reverse((at_ms, Due::Tick(index))));
+        let instance = &mut self.instances[index];
         instance.incarnation += 1;
         instance.started_ms = at_ms;
         instance.round = 0;
@@ -228,36 +228,38 @@
             };
             self.now_ms = at_ms;
             match due {
-                Due::Tick(place) => self.tick(place),
-                Due::News(place) => self.send_round(place, true),
-                Due::Arrival(from, to, message) => self.arrive(from, to, message),
+                Due::Tick(index) => self.tick(index),
+                Due::EarlyRound(index) => self.send_round(index, true),
+                Due::Arrival(from, to, message) => self.deliver(from, to, message),
             }
         }
         self.now_ms = until_ms;
     }
 
     /// Schedules an early round of an instance.
-    pub fn tell_soon(&mut self, place: usize) {
-        let due = Due::News(place);
+    pub fn schedule_early_round(&mut self, index: usize) {
+        let due = Due::EarlyRound(index);
         self.due
-            .push(std::cmp::Reverse((self.now_ms + NEWS_PAUSE_MS, due)));
+            .push(std::cmp::Reverse((self.now_ms + EARLY_ROUND_DELAY_MS, due)));
     }
 
-    pub fn tick(&mut self, place: usize) {
-        if !self.instances[place].is_up {
+    pub fn tick(&mut self, index: usize) {
+        if !self.instances[index].is_up {
             return;
         }
-        self.send_round(place, false);
+        self.send_round(index, false);
         self.due.push(std::cmp::Reverse((
             self.now_ms + ROUND_MS,
-            Due::Tick(place),
+            Due::Tick(index),
         )));
     }
 
-    fn send_round(&mut self, place: usize, has_news: bool) {
+    fn send_round(&mut self, index: usize, is_early: bool) {
         let now = self.now();
-        let seeds: Vec<_> = (0..SEEDS).map(|seed| self.instances[seed].addr).collect();
-        let instance = &mut self.instances[place];
+        let seeds: Vec<_> = (0..SEED_COUNT)
+            .map(|seed| self.instances[seed].addr)
+            .collect();
+        let instance = &mut self.instances[index];
         if !instance.is_up {
             return;
         }
@@ -268,7 +270,7 @@
         instance.round += 1;
         let round = Round {
             number: instance.round,
-            has_changes: has_news,
+            has_changes: is_early,
             is_rank_known: self.now_ms >= instance.started_ms + 400,
             is_joining: instance.is_joining(now),
         };
@@ -282,7 +284,7 @@
             instance.domain_window += 32;
         }
         let sums_members = instance.table.members(instance.domain_window, 32, now);
-        let all = domain_entries(instance, now);
+        let all = domain_load_entries(instance, now);
         let sums = instance.table.aggregate_loads(all, now);
         let with_sums = targets.local_with_loads.into_iter().map(|to| {
             let domain_loads = Some(instance.table.loads_for_member(to, &sums));
@@ -293,9 +295,9 @@
             };
             (to, beat)
         });
-        let far_loads = sums.clone().into_domain_loads();
+        let remote_loads = sums.clone().into_domain_loads();
         let with_loads = targets.remote_with_loads.into_iter().map(|to| {
-            let domain_loads = Some(far_loads.clone());
+            let domain_loads = Some(remote_loads.clone());
             (
                 to,
                 Heartbeat {
@@ -307,8 +309,8 @@
                 },
             )
         });
-        let near = targets.local.into_iter().map(|to| (to, beat.clone()));
-        let far = targets.remote.into_iter().map(|to| {
+        let local = targets.local.into_iter().map(|to| (to, beat.clone()));
+        let remote = targets.remote.into_iter().map(|to| {
             let out = Vec::new();
             (
                 to,
@@ -319,16 +321,20 @@
                 },
             )
         });
-        let outgoing: Vec<_> = near.chain(far).chain(with_sums).chain(with_loads).collect();
+        let outgoing: Vec<_> = local
+            .chain(remote)
+            .chain(with_sums)
+            .chain(with_loads)
+            .collect();
         for (to, beat) in outgoing {
-            self.send(place, to, beat);
+            self.send(index, to, beat);
         }
     }
 
     pub fn send(&mut self, from: usize, to: SocketAddr, beat: Heartbeat) {
         self.instances[from].sent += 1;
         self.sent += 1;
-        let Some(to) = self.places.get(&to).copied() else {
+        let Some(to) = self.index_by_addr.get(&to).copied() else {
             return;
         };
         if self.counts_bytes {
@@ -341,22 +347,26 @@
         }
         let message = self.sent;
         self.messages.insert(message, beat);
-        let late_ms = if self.slow.contains(&to) { SLOW_MS } else { 0 };
-        let at_ms = self.now_ms + DELAY_MS + late_ms;
+        let extra_ms = if self.slow.contains(&to) {
+            SLOW_DELAY_MS
+        } else {
+            0
+        };
+        let at_ms = self.now_ms + DELAY_MS + extra_ms;
         self.due
             .push(std::cmp::Reverse((at_ms, Due::Arrival(from, to, message))));
     }
 
-    pub fn arrive(&mut self, from: usize, to: usize, message: u64) {
+    pub fn deliver(&mut self, from: usize, to: usize, message: u64) {
         let Some(beat) = self.messages.remove(&message) else {
             return;
         };
         let now = self.now();
-        let is_cut = self.is_cut(from, to);
+        let is_partitioned = self.is_partitioned(from, to);
         let sender = &self.instances[from];
         let (from_addr, from_domain) = (sender.addr, sender.domain);
         let receiver = &mut self.instances[to];
-        if !receiver.is_up || is_cut {
+        if !receiver.is_up || is_partitioned {
             return;
         }
         for seen in &beat.limits {
@@ -377,7 +387,7 @@
         }
         receiver.table.on_heartbeat(from_addr, &beat, now);
         for server in receiver.table.newly_unresponsive(from_addr, &beat, now) {
-            receiver.look_into(server, &self.dead, now);
+            receiver.probe_if_responsible(server, &self.dead, now);
         }
         if beat.is_joining {
             let domain = domain_name(from_domain).into();
@@ -391,11 +401,11 @@
     }
 
     /// Whether no datagram gets from one instance to another.
-    pub fn is_cut(&self, from: usize, to: usize) -> bool {
+    pub fn is_partitioned(&self, from: usize, to: usize) -> bool {
         let (from_domain, to_domain) = (self.instances[from].domain, self.instances[to].domain);
-        self.cut
-            .is_some_and(|cut| (from_domain == cut) != (to_domain == cut))
-            || self.apart.contains(&from) != self.apart.contains(&to)
+        self.isolated_domain.is_some_and(|isolated_domain| {
+            (from_domain == isolated_domain) != (to_domain == isolated_domain)
+        }) || self.partition.contains(&from) != self.partition.contains(&to)
     }
 
     pub fn up(&self) -> impl Iterator<Item = &Instance> {
@@ -403,14 +413,14 @@
     }
 
     /// Requests in flight of the other running instances of an instance's domain.
-    pub fn others_requests(&self, instance: &Instance) -> u32 {
-        let near = self.up().filter(|other| other.domain == instance.domain);
-        near.map(|other| other.requests).sum::<u32>() - instance.requests
+    pub fn other_requests(&self, instance: &Instance) -> u32 {
+        let local = self.up().filter(|other| other.domain == instance.domain);
+        local.map(|other| other.requests).sum::<u32>() - instance.requests
     }
 
     /// Share of the running instances that know the exact number of requests in flight of
     /// the others in their domain.
-    pub fn informed(&self) -> f64 {
+    pub fn informed_share(&self) -> f64 {
         let now = self.now();
         let is_informed = |instance: &&Instance| {
             let loads = instance.table.loads(now);
@@ -418,7 +428,7 @@
                 .get(&engine_key(instance.domain))
                 .copied()
                 .unwrap_or_default();
-            known.requests == self.others_requests(instance)
+            known.requests == self.other_requests(instance)
         };
         self.up().filter(is_informed).count() as f64 / self.up().count() as f64
     }
@@ -433,7 +443,7 @@
     }
 
     /// Least share of all instances that any running instance knows.
-    pub fn least_known(&self) -> f64 {
+    pub fn least_known_share(&self) -> f64 {
         let known = self.up().map(|instance| instance.table.instances());
         known.min().unwrap_or(0) as f64 / self.instances.len() as f64
     }
@@ -495,9 +505,9 @@
     let table = &instance.table;
     Heartbeat {
         incarnation: instance.incarnation,
-        loads: vec![entry(instance.domain, instance.requests)],
-        out: instance.out.clone(),
-        out_count: u32::try_from(instance.out.len()).unwrap(),
+        loads: vec![load_entry(instance.domain, instance.requests)],
+        out: instance.unresponsive.clone(),
+        out_count: u32::try_from(instance.unresponsive.len()).unwrap(),
         limits: instance
             .limits
             .advertised(32, usize::try_from(instance.round / 2).unwrap(), now),
@@ -506,7 +516,7 @@
             usize::try_from(instance.round / 2).unwrap(),
             now,
         ),
-        store_age_ms: told_ms(&instance.contact, now),
+        store_age_ms: advertised_age_ms(&instance.contact, now),
         members: table.members(members_from, members, now),
         instances: u32::try_from(table.instances()).unwrap(),
         is_joining: instance.is_joining(now),
@@ -525,12 +535,12 @@
 }
 
 /// Age in milliseconds of the instance's knowledge of the store, as advertised.
-fn told_ms(contact: &StoreContact, now: Instant) -> Option<u64> {
+fn advertised_age_ms(contact: &StoreContact, now: Instant) -> Option<u64> {
     let age = contact.advertised_age(now)?;
     u64::try_from(age.as_millis()).ok()
 }
 
-pub fn entry(domain: usize, requests: u32) -> LoadEntry {
+pub fn load_entry(domain: usize, requests: u32) -> LoadEntry {
     LoadEntry {
         server: engine_key(domain),
         requests,
@@ -540,11 +550,14 @@
     }
 }
 
-pub fn domain_entries(instance: &Instance, now: Instant) -> Vec<LoadEntry> {
-    let near = instance.table.local_loads(now);
-    let others = near
+pub fn domain_load_entries(instance: &Instance, now: Instant) -> Vec<LoadEntry> {
+    let local = instance.table.local_loads(now);
+    let others = local
         .get(&engine_key(instance.domain))
         .copied()
         .unwrap_or_default();
-    vec![entry(instance.domain, others.requests + instance.requests)]
+    vec![load_entry(
+        instance.domain,
+        others.requests + instance.requests,
+    )]
 }
--- a/crates/rookferry_core/tests/support/start_site.rs
+++ b/crates/rookferry_core/tests/support/start_site.rs
@@ -23,17 +23,17 @@
 const PEER_BODY_KBIT: f64 = 2_400.0;
 /// Mean pause of an instance that was offered no other source, and the number of
 /// requests before it waits for a new offer.
-const PAUSE_MS: u64 = 80;
-const MAX_ASKED: u32 = 8;
+const RETRY_PAUSE_MS: u64 = 80;
+const MAX_REQUESTS: u32 = 8;
 const VERSION: u64 = 1;
 
 /// Interval between callers; each chooses an instance at random.
-const CALL_EVERY_MS: u64 = 5;
+const CALLER_INTERVAL_MS: u64 = 5;
 
 /// State of a starting instance when a caller's request arrives.
 #[derive(Clone, Copy, Debug)]
-pub struct Met {
-    pub line: StartQueue,
+pub struct StartingInstance {
+    pub queue: StartQueue,
     pub age: Duration,
     /// Random number of the caller, from 0 to 1, that spreads retry times.
     pub chance: f64,
@@ -43,69 +43,69 @@
 
 /// Response to a caller of an instance that doesn't know the site yet.
 #[derive(Clone, Copy, Debug)]
-pub enum StartAnswer {
+pub enum StartResponse {
     /// The request waits, at most for this time.
     Wait(Duration),
     /// The request is refused at once, and the caller retries after this time.
-    ComeBack(Duration),
+    RetryAfter(Duration),
 }
 
 /// Decides how a starting instance responds to a caller.
-pub type Policy = fn(&Met) -> StartAnswer;
+pub type Policy = fn(&StartingInstance) -> StartResponse;
 
 /// A caller's request to an instance: its first try or its retry.
 #[derive(Clone, Copy, Debug)]
-struct Call {
-    place: usize,
+struct CallerRequest {
+    index: usize,
     at_ms: u64,
-    is_second: bool,
+    is_retry: bool,
     /// Whether it has waited there.
     has_waited: bool,
 }
 
 /// Outcomes of the callers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Calls {
+pub struct CallerOutcomes {
     /// Served at the first try, where it may have waited.
     pub in_time: usize,
     /// Refused at once, and served at its retry.
-    pub came_back: usize,
+    pub retried: usize,
     /// Refused after its wait timed out, and served at its retry.
-    pub late: usize,
+    pub retried_late: usize,
     /// Refused twice.
-    pub lost: usize,
+    pub failed: usize,
 }
 
 /// What a starting instance currently does to get the site's data.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Doing {
-    Waits,
-    Reads {
+enum StartState {
+    Waiting,
+    Reading {
         left_kbit: f64,
     },
-    Asks {
+    Requesting {
         source: usize,
         from_ms: u64,
-        asked: u32,
+        attempts: u32,
     },
-    Gets {
+    Receiving {
         source: usize,
         left_kbit: f64,
     },
-    Knows,
+    Ready,
 }
 
 pub struct StartSite {
     pub site: Site,
     pub link_mbps: Vec<f64>,
-    doing: Vec<Doing>,
+    states: Vec<StartState>,
     sources: Vec<BodySource<u64>>,
     /// Number of reads of the store.
     pub reads: usize,
     /// How instances respond to callers; none come without it.
     pub policy: Option<Policy>,
-    pub calls: Calls,
-    open: Vec<(Call, bool)>,
+    pub outcomes: CallerOutcomes,
+    pending: Vec<(CallerRequest, bool)>,
 }
 
 impl StartSite {
@@ -116,19 +116,19 @@
         let mut start = Self {
             site,
             link_mbps: vec![SLOW_MBPS; count],
-            doing: vec![Doing::Waits; count],
+            states: vec![StartState::Waiting; count],
             sources: Vec::new(),
             reads: 0,
             policy: None,
-            calls: Calls::default(),
-            open: Vec::new(),
+            outcomes: CallerOutcomes::default(),
+            pending: Vec::new(),
         };
-        start.tell_capacity();
+        start.apply_capacities();
         start
     }
 
     /// Sets the capacity of each instance by the bandwidth of its link.
-    pub fn tell_capacity(&mut self) {
+    pub fn apply_capacities(&mut self) {
         self.sources.clear();
         for (instance, link_mbps) in self.site.instances.iter_mut().zip(&self.link_mbps) {
             let capacity = Capacity::of_machine(link_mbps * CORES_PER_MBPS, *link_mbps);
@@ -140,19 +140,21 @@
 
     /// Milliseconds until all instances know the site; none if that takes longer than
     /// `at_most_ms`.
-    pub fn run_until_known(&mut self, at_most_ms: u64) -> Option<u64> {
+    pub fn run_until_ready(&mut self, at_most_ms: u64) -> Option<u64> {
         while self.site.now_ms < at_most_ms {
-            if self.doing.iter().all(|doing| *doing == Doing::Knows) && self.open.is_empty() {
+            if self.states.iter().all(|state| *state == StartState::Ready)
+                && self.pending.is_empty()
+            {
                 return Some(self.site.now_ms);
             }
             if let Some(policy) = self.policy {
-                self.take_calls(policy);
+                self.handle_callers(policy);
             }
             self.site.run_for(STEP_MS);
             let sending = self.sending();
-            for place in 0..self.doing.len() {
-                if self.site.instances[place].started_ms <= self.site.now_ms {
-                    self.step(place, &sending);
+            for index in 0..self.states.len() {
+                if self.site.instances[index].started_ms <= self.site.now_ms {
+                    self.step(index, &sending);
                 }
             }
         }
@@ -161,197 +163,199 @@
 
     /// Number of transfers from each instance.
     fn sending(&self) -> Vec<u32> {
-        let mut sending = vec![0; self.doing.len()];
-        for doing in &self.doing {
-            if let Doing::Gets { source, .. } = doing {
+        let mut sending = vec![0; self.states.len()];
+        for state in &self.states {
+            if let StartState::Receiving { source, .. } = state {
                 sending[*source] += 1;
             }
         }
         sending
     }
 
-    fn step(&mut self, place: usize, sending: &[u32]) {
+    fn step(&mut self, index: usize, sending: &[u32]) {
         let now_ms = self.site.now_ms;
         let step_kbit = |link_mbps: f64| link_mbps * STEP_MS as f64;
-        let own_kbit = step_kbit(self.link_mbps[place]);
-        match self.doing[place] {
-            Doing::Waits => {
-                if let Some(source) = self.site.instances[place].offered_by {
-                    self.doing[place] = Doing::Asks {
-                        source: self.site.places[&source],
+        let own_kbit = step_kbit(self.link_mbps[index]);
+        match self.states[index] {
+            StartState::Waiting => {
+                if let Some(source) = self.site.instances[index].offered_by {
+                    self.states[index] = StartState::Requesting {
+                        source: self.site.index_by_addr[&source],
                         from_ms: now_ms,
-                        asked: 0,
+                        attempts: 0,
                     };
-                } else if self.reads_now(place) {
-                    self.read(place);
+                } else if self.is_read_due(index) {
+                    self.read(index);
                 }
             }
-            Doing::Reads { left_kbit } => {
-                self.doing[place] = Doing::Reads {
+            StartState::Reading { left_kbit } => {
+                self.states[index] = StartState::Reading {
                     left_kbit: left_kbit - own_kbit,
                 };
                 if left_kbit <= own_kbit {
-                    self.know(place);
+                    self.finish(index);
                 }
             }
-            Doing::Asks { .. } | Doing::Gets { .. } if self.reads_now(place) => {
-                if let Doing::Gets { source, .. } = self.doing[place] {
+            StartState::Requesting { .. } | StartState::Receiving { .. }
+                if self.is_read_due(index) =>
+            {
+                if let StartState::Receiving { source, .. } = self.states[index] {
                     self.sources[source].finish_transfer(VERSION, None);
                 }
-                self.read(place);
+                self.read(index);
             }
-            Doing::Asks {
+            StartState::Requesting {
                 source,
                 from_ms,
-                asked,
-            } if from_ms <= now_ms => self.ask(place, source, asked),
-            Doing::Asks { .. } | Doing::Knows => {}
-            Doing::Gets { source, left_kbit } => {
+                attempts,
+            } if from_ms <= now_ms => self.request_body(index, source, attempts),
+            StartState::Requesting { .. } | StartState::Ready => {}
+            StartState::Receiving { source, left_kbit } => {
                 let shared = step_kbit(self.link_mbps[source]) / f64::from(sending[source].max(1));
                 let left_kbit = left_kbit - shared.min(own_kbit);
-                self.doing[place] = Doing::Gets { source, left_kbit };
+                self.states[index] = StartState::Receiving { source, left_kbit };
                 if left_kbit <= 0.0 {
-                    let addr = self.site.instances[place].addr;
+                    let addr = self.site.instances[index].addr;
                     self.sources[source].finish_transfer(VERSION, Some(addr));
-                    self.know(place);
+                    self.finish(index);
                 }
             }
         }
     }
 
-    fn ask(&mut self, place: usize, source: usize, asked: u32) {
+    fn request_body(&mut self, index: usize, source: usize, attempts: u32) {
         let now_ms = self.site.now_ms;
-        let asked = asked + 1;
-        self.doing[place] = match self.sources[source].offer(VERSION) {
-            BodyOffer::Body => Doing::Gets {
+        let attempts = attempts + 1;
+        self.states[index] = match self.sources[source].offer(VERSION) {
+            BodyOffer::Body => StartState::Receiving {
                 source,
                 left_kbit: PEER_BODY_KBIT,
             },
-            BodyOffer::Elsewhere(_) if asked >= MAX_ASKED => {
+            BodyOffer::Elsewhere(_) if attempts >= MAX_REQUESTS => {
                 // The next heartbeat that advertises a list starts over.
-                self.site.instances[place].offered_by = None;
-                Doing::Waits
+                self.site.instances[index].offered_by = None;
+                StartState::Waiting
             }
             BodyOffer::Elsewhere(others) if others.is_empty() => {
                 let rng = &mut self.site.rng;
-                Doing::Asks {
+                StartState::Requesting {
                     source,
-                    from_ms: now_ms + rng.random_range(PAUSE_MS / 2..PAUSE_MS * 3 / 2),
-                    asked,
+                    from_ms: now_ms + rng.random_range(RETRY_PAUSE_MS / 2..RETRY_PAUSE_MS * 3 / 2),
+                    attempts,
                 }
             }
             BodyOffer::Elsewhere(others) => {
                 let other = others[self.site.rng.random_range(0..others.len())];
-                Doing::Asks {
-                    source: self.site.places[&other],
+                StartState::Requesting {
+                    source: self.site.index_by_addr[&other],
                     from_ms: now_ms + 2,
-                    asked,
+                    attempts,
                 }
             }
         };
     }
 
-    fn reads_now(&self, place: usize) -> bool {
-        let age_ms = self.site.now_ms - self.site.instances[place].started_ms;
-        Duration::from_millis(age_ms) >= self.line(place).first_read_after()
+    fn is_read_due(&self, index: usize) -> bool {
+        let age_ms = self.site.now_ms - self.site.instances[index].started_ms;
+        Duration::from_millis(age_ms) >= self.queue(index).first_read_after()
     }
 
-    fn line(&self, place: usize) -> StartQueue {
+    fn queue(&self, index: usize) -> StartQueue {
         let now = self.site.now();
-        let instance = &self.site.instances[place];
+        let instance = &self.site.instances[index];
         let offered_at = instance.offered_at;
         StartQueue {
             is_first_start: false,
             rank: instance.table.rank(now).max(instance.table.known_rank()),
             offered_ago: offered_at.map(|at| now.saturating_duration_since(at)),
-            link_mbps: Some(self.link_mbps[place]),
+            link_mbps: Some(self.link_mbps[index]),
         }
     }
 
     /// Adds a new caller while some instances don't know the site, and handles the
     /// requests that are due.
-    fn take_calls(&mut self, policy: Policy) {
+    fn handle_callers(&mut self, policy: Policy) {
         let now_ms = self.site.now_ms;
-        let is_starting = self.doing.iter().any(|doing| *doing != Doing::Knows);
-        if is_starting && now_ms.is_multiple_of(CALL_EVERY_MS) {
-            let call = Call {
-                place: self.any_instance(),
+        let is_starting = self.states.iter().any(|state| *state != StartState::Ready);
+        if is_starting && now_ms.is_multiple_of(CALLER_INTERVAL_MS) {
+            let request = CallerRequest {
+                index: self.random_instance(),
                 at_ms: now_ms,
-                is_second: false,
+                is_retry: false,
                 has_waited: false,
             };
-            self.open.push((call, false));
+            self.pending.push((request, false));
         }
-        let (due, open) = std::mem::take(&mut self.open)
+        let (due, pending) = std::mem::take(&mut self.pending)
             .into_iter()
-            .partition(|(call, _)| call.at_ms <= now_ms);
-        self.open = open;
-        for (call, was_late) in due {
-            self.take_call(call, was_late, policy);
+            .partition(|(request, _)| request.at_ms <= now_ms);
+        self.pending = pending;
+        for (request, had_waited) in due {
+            self.handle_request(request, had_waited, policy);
         }
     }
 
-    fn take_call(&mut self, call: Call, was_late: bool, policy: Policy) {
+    fn handle_request(&mut self, request: CallerRequest, had_waited: bool, policy: Policy) {
         let now_ms = self.site.now_ms;
-        if self.doing[call.place] == Doing::Knows {
-            let served = match (call.is_second, was_late) {
-                (false, _) => &mut self.calls.in_time,
-                (true, false) => &mut self.calls.came_back,
-                (true, true) => &mut self.calls.late,
+        if self.states[request.index] == StartState::Ready {
+            let served = match (request.is_retry, had_waited) {
+                (false, _) => &mut self.outcomes.in_time,
+                (true, false) => &mut self.outcomes.retried,
+                (true, true) => &mut self.outcomes.retried_late,
             };
             *served += 1;
             return;
         }
-        let age_ms = now_ms.saturating_sub(self.site.instances[call.place].started_ms);
+        let age_ms = now_ms.saturating_sub(self.site.instances[request.index].started_ms);
         let age = Duration::from_millis(age_ms);
-        let met = Met {
-            line: self.line(call.place),
+        let starting = StartingInstance {
+            queue: self.queue(request.index),
             age,
             chance: self.site.rng.random_range(0.0..1.0),
-            has_waited: call.has_waited,
+            has_waited: request.has_waited,
         };
-        let away = match policy(&met) {
-            StartAnswer::Wait(longest) => {
+        let delay = match policy(&starting) {
+            StartResponse::Wait(longest) => {
                 let at_ms = now_ms + millis(longest);
-                let waited = Call {
+                let waited = CallerRequest {
                     at_ms,
                     has_waited: true,
-                    ..call
+                    ..request
                 };
-                self.open.push((waited, was_late));
+                self.pending.push((waited, had_waited));
                 return;
             }
-            StartAnswer::ComeBack(away) => away,
+            StartResponse::RetryAfter(delay) => delay,
         };
-        if call.is_second {
-            self.calls.lost += 1;
+        if request.is_retry {
+            self.outcomes.failed += 1;
             return;
         }
-        let back = Call {
-            place: self.any_instance(),
-            at_ms: now_ms + millis(away),
-            is_second: true,
+        let retry = CallerRequest {
+            index: self.random_instance(),
+            at_ms: now_ms + millis(delay),
+            is_retry: true,
             has_waited: false,
         };
-        self.open.push((back, call.has_waited));
+        self.pending.push((retry, request.has_waited));
     }
 
-    fn any_instance(&mut self) -> usize {
-        let count = self.doing.len();
+    fn random_instance(&mut self) -> usize {
+        let count = self.states.len();
         self.site.rng.random_range(0..count)
     }
 
-    fn read(&mut self, place: usize) {
+    fn read(&mut self, index: usize) {
         self.reads += 1;
-        self.doing[place] = Doing::Reads {
+        self.states[index] = StartState::Reading {
             left_kbit: STORE_BODY_KBIT,
         };
     }
 
-    fn know(&mut self, place: usize) {
-        self.doing[place] = Doing::Knows;
-        self.site.instances[place].has_list = true;
-        self.site.tell_soon(place);
+    fn finish(&mut self, index: usize) {
+        self.states[index] = StartState::Ready;
+        self.site.instances[index].has_list = true;
+        self.site.schedule_early_round(index);
     }
 }
 
