--- a/crates/rookferry_core/tests/news.rs
+++ b/crates/rookferry_core/tests/propagation.rs
@@ -3,7 +3,7 @@
 
 #[path = "support/peer_site.rs"]
 mod peer_site;
-#[path = "support/news_site.rs"]
+#[path = "support/propagation_site.rs"]
 mod propagation_site;
 
 use std::time::Duration;
