--- a/crates/rookferry_core/tests/departed.rs
+++ b/crates/rookferry_core/tests/departed.rs
@@ -125,7 +125,7 @@
     for born in 0..leaving {
         departed.record(incarnation(born), Departure::Leaving, now);
     }
-    // The rotations of four seconds, two rounds each.
+    // 13 rotation rounds take four seconds, at two heartbeat rounds each.
     let advertised = (0..13).flat_map(|round| {
         let advertised = departed.advertised(MAX_ADVERTISED, round, now + SECOND);
         assert!(advertised.len() <= MAX_ADVERTISED);
--- a/crates/rookferry_core/tests/peers.rs
+++ b/crates/rookferry_core/tests/peers.rs
@@ -162,7 +162,7 @@
         lost.iter().filter(is_suspected).count()
     };
     let suspected: Vec<usize> = (0..20).map(|round| deliver(&health, round)).collect();
-    // After the rotations of a second and a half, and from then on.
+    // After five rotation rounds, 1.5 s, and from then on.
     assert!(
         suspected[5..].iter().all(|count| *count == lost.len()),
         "{suspected:?}"
--- a/crates/rookferry_core/tests/start_queue.rs
+++ b/crates/rookferry_core/tests/start_queue.rs
@@ -90,8 +90,8 @@
         "{domains} x {per_domain}: {} reads, {ready_ms} ms",
         site.reads
     );
-    let most = 3 * domains;
-    assert!(site.reads <= most, "{} reads of the store", site.reads);
+    let max_reads = 3 * domains;
+    assert!(site.reads <= max_reads, "{} reads of the store", site.reads);
     assert!(ready_ms < 3_000, "the last knows after {ready_ms} ms");
 }
 
@@ -110,8 +110,8 @@
         "small {domains} x {per_domain}: {} reads, {ready_ms} ms",
         site.reads
     );
-    let most = 12 * domains;
-    assert!(site.reads <= most, "{} reads of the store", site.reads);
+    let max_reads = 12 * domains;
+    assert!(site.reads <= max_reads, "{} reads of the store", site.reads);
     assert!(ready_ms < 6_000, "the last knows after {ready_ms} ms");
 }
 
@@ -122,18 +122,18 @@
 #[case::all_small(0)]
 fn queue_based_retry_times_lose_no_more_callers_during_a_full_restart(#[case] fast: usize) {
     const DOMAINS: usize = 5;
-    let before: Policy = |starting| {
+    let fixed: Policy = |starting| {
         if starting.has_waited {
             StartResponse::RetryAfter(Duration::from_millis(400))
         } else {
             StartResponse::Wait(Duration::from_millis(330))
         }
     };
-    let after: Policy = |starting| match starting.queue.max_wait(starting.age) {
+    let queue_based: Policy = |starting| match starting.queue.max_wait(starting.age) {
         Some(longest) if !starting.has_waited => StartResponse::Wait(longest),
         _ => StartResponse::RetryAfter(starting.queue.retry_after(starting.age, starting.chance)),
     };
-    let [before, after] = [before, after].map(|policy| {
+    let [fixed, queue_based] = [fixed, queue_based].map(|policy| {
         let mut site = StartSite::restart(DOMAINS, 40, 3);
         for (index, link_mbps) in site.link_mbps.iter_mut().enumerate() {
             let is_fast = (20..20 + fast).contains(&(index / DOMAINS));
@@ -144,7 +144,10 @@
         site.run_until_ready(20_000).expect("all know the site");
         site.outcomes
     });
-    println!("{fast} fast: {before:?}, then {after:?}");
-    assert!(after.retried_late <= before.retried_late, "{after:?}");
-    assert!(after.failed <= before.failed, "{after:?}");
+    println!("{fast} fast: {fixed:?}, then {queue_based:?}");
+    assert!(
+        queue_based.retried_late <= fixed.retried_late,
+        "{queue_based:?}"
+    );
+    assert!(queue_based.failed <= fixed.failed, "{queue_based:?}");
 }
--- a/crates/rookferry_core/tests/store_era.rs
+++ b/crates/rookferry_core/tests/store_era.rs
@@ -22,11 +22,11 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const GRACE: Duration = Duration::from_secs(2);
-const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(5);
+const MIN_PERSISTENCE: Duration = Duration::from_secs(5);
 /// Uncertainty of a list read right after a restore.
 const RESTORED: ListUncertainty = ListUncertainty {
     may_be_incomplete: true,
-    may_be_outdated: Some(CONFIRMATION_TIMEOUT),
+    may_be_outdated: Some(MIN_PERSISTENCE),
     may_have_unseen_removals: true,
 };
 
@@ -148,11 +148,8 @@
     if writes_again {
         directory.apply(DirectoryChange::Updated(server("a", 9, false)), now);
     } else {
-        assert_eq!(
-            directory.expires_at(GRACE),
-            Some(now + CONFIRMATION_TIMEOUT)
-        );
-        let expired = directory.expire(now + CONFIRMATION_TIMEOUT, GRACE);
+        assert_eq!(directory.expires_at(GRACE), Some(now + MIN_PERSISTENCE));
+        let expired = directory.expire(now + MIN_PERSISTENCE, GRACE);
         assert_eq!(expired.restored, ["a".into()]);
     }
     assert_eq!(used(&directory), ["a"]);
--- a/crates/rookferry_core/tests/support/start_site.rs
+++ b/crates/rookferry_core/tests/support/start_site.rs
@@ -290,15 +290,15 @@
             .into_iter()
             .partition(|(request, _)| request.at_ms <= now_ms);
         self.pending = pending;
-        for (request, had_waited) in due {
-            self.handle_request(request, had_waited, policy);
+        for (request, first_try_waited) in due {
+            self.handle_request(request, first_try_waited, policy);
         }
     }
 
-    fn handle_request(&mut self, request: CallerRequest, had_waited: bool, policy: Policy) {
+    fn handle_request(&mut self, request: CallerRequest, first_try_waited: bool, policy: Policy) {
         let now_ms = self.site.now_ms;
         if self.states[request.index] == StartState::Ready {
-            let served = match (request.is_retry, had_waited) {
+            let served = match (request.is_retry, first_try_waited) {
                 (false, _) => &mut self.outcomes.in_time,
                 (true, false) => &mut self.outcomes.retried,
                 (true, true) => &mut self.outcomes.retried_late,
@@ -322,7 +322,7 @@
                     has_waited: true,
                     ..request
                 };
-                self.pending.push((waited, had_waited));
+                self.pending.push((waited, first_try_waited));
                 return;
             }
             StartResponse::RetryAfter(delay) => delay,
