--- a/crates/rookferry_core/tests/backoffs.rs
+++ b/crates/rookferry_core/tests/backoffs.rs
@@ -22,7 +22,7 @@
 #[case::seconds(3 * SECOND, 3 * SECOND)]
 #[case::a_minute(MINUTE, MINUTE)]
 #[case::days(Duration::from_hours(72), MINUTE)]
-#[case::for_ever(Duration::MAX, MINUTE)]
+#[case::unbounded(Duration::MAX, MINUTE)]
 fn a_backoff_lasts_as_long_as_requested_within_a_bound(
     #[case] requested: Duration,
     #[case] applied: Duration,
--- a/crates/rookferry_core/tests/limits.rs
+++ b/crates/rookferry_core/tests/limits.rs
@@ -71,8 +71,11 @@
 
 fn assert_within_limit(site: &LimitedSite, limit_per_s: f64, since_ms: u64) {
     let worst = count(site.max_in_window(WINDOW_MS, since_ms));
-    let most = max_in_window(limit_per_s);
-    assert!(worst <= most, "{worst} requests in 4 s, {most} allowed");
+    let max_allowed = max_in_window(limit_per_s);
+    assert!(
+        worst <= max_allowed,
+        "{worst} requests in 4 s, {max_allowed} allowed"
+    );
 }
 
 fn assert_limit_used(site: &LimitedSite, limit_per_s: f64, from_ms: u64, to_ms: u64) {
@@ -268,7 +271,7 @@
 #[rstest]
 #[case::negative(-1.0, None)]
 #[case::not_a_number(f64::NAN, None)]
-#[case::without_end(f64::INFINITY, None)]
+#[case::infinite(f64::INFINITY, None)]
 #[case::huge(1e300, None)]
 fn an_invalid_rate_is_no_limit(#[case] per_s: f64, #[case] bounded: Option<f64>) {
     assert_eq!(
--- a/crates/rookferry_core/tests/members.rs
+++ b/crates/rookferry_core/tests/members.rs
@@ -275,25 +275,25 @@
     let start = Instant::now();
     let mut table = table();
     for number in 0..25 {
-        let name = format!("near-{number}");
+        let name = format!("local-{number}");
         assert!(table.on_heartbeat(start, heartbeat(&name, 1, 1)).is_ok());
     }
     let remote = Heartbeat {
         failure_domain: "domain-2".into(),
         interval_ms: 1_700,
-        ..heartbeat("far", 1, 1)
+        ..heartbeat("remote", 1, 1)
     };
     assert!(table.on_heartbeat(start, remote).is_ok());
     let suspected = table.tick(start + Duration::from_secs(1));
     assert!(suspected.is_empty());
     for number in 0..25 {
-        let name = format!("near-{number}");
+        let name = format!("local-{number}");
         let later = start + Duration::from_secs(44);
         assert!(table.on_heartbeat(later, heartbeat(&name, 1, 2)).is_ok());
     }
     let suspected = table.tick(start + Duration::from_secs(44));
     assert!(
-        !suspected.contains(&InstanceId::from("far")),
+        !suspected.contains(&InstanceId::from("remote")),
         "{suspected:?}"
     );
     assert_eq!(table.live_by_domain().len(), 2);
--- a/crates/rookferry_core/tests/peers.rs
+++ b/crates/rookferry_core/tests/peers.rs
@@ -251,7 +251,7 @@
 
 #[rstest]
 #[case::idle_among_many(ProbeRole { has_requests: false, plans_layers: false, rank: 2 }, false)]
-#[case::head(ProbeRole { has_requests: false, plans_layers: false, rank: 1 }, true)]
+#[case::aggregator(ProbeRole { has_requests: false, plans_layers: false, rank: 1 }, true)]
 #[case::planner(ProbeRole { has_requests: false, plans_layers: true, rank: 58 }, true)]
 #[case::in_use(ProbeRole { has_requests: true, plans_layers: false, rank: 58 }, true)]
 fn few_instances_probe_a_suspected_server(#[case] role: ProbeRole, #[case] expected: bool) {
--- a/crates/rookferry_core/tests/quarantine.rs
+++ b/crates/rookferry_core/tests/quarantine.rs
@@ -107,7 +107,7 @@
 }
 
 #[rstest]
-#[case::as_it_had_begun(RunProgress::Begun, 3)]
+#[case::after_the_start(RunProgress::Begun, 3)]
 #[case::after_part_of_the_answer(RunProgress::Answering, 5)]
 fn a_request_is_quarantined_after_some_crashes(
     #[case] progress: RunProgress,
@@ -514,8 +514,8 @@
 /// each has as many crashes as the faulty one: 29 and 36 requests were quarantined where
 /// one was faulty.
 #[rstest]
-#[case::none_had_an_answer_yet(RunProgress::Begun)]
-#[case::some_of_the_answer_had_come(RunProgress::Answering)]
+#[case::before_any_of_the_answer(RunProgress::Begun)]
+#[case::after_part_of_the_answer(RunProgress::Answering)]
 fn requests_beside_a_faulty_one_are_not_quarantined(#[case] progress: RunProgress) {
     let mut quarantine = Quarantine::new();
     let start = Instant::now();
--- a/crates/rookferry_core/tests/serving.rs
+++ b/crates/rookferry_core/tests/serving.rs
@@ -37,11 +37,11 @@
         is_public: false,
         targets: vec![
             RouteTarget {
-                service: "near".into(),
+                service: "local".into(),
                 weight: 3,
             },
             RouteTarget {
-                service: "far".into(),
+                service: "remote".into(),
                 weight: 1,
             },
         ],
@@ -106,7 +106,7 @@
     let route = route("r", "h", "/");
     let draws = (0..4).filter_map(|draw| route.target(draw));
     let names: Vec<&str> = draws.map(|target| &*target.service).collect();
-    assert_eq!(names, ["near", "near", "near", "far"]);
+    assert_eq!(names, ["local", "local", "local", "remote"]);
 }
 
 #[test]
--- a/crates/rookferry_core/tests/store_era.rs
+++ b/crates/rookferry_core/tests/store_era.rs
@@ -57,8 +57,8 @@
 }
 
 #[rstest]
-#[case::it_tells_none(None)]
-#[case::it_tells_the_known_one(Some(3))]
+#[case::none_known(None)]
+#[case::the_known_one(Some(3))]
 fn a_response_without_an_era_is_current(#[case] reported: Option<u64>) {
     let start = Instant::now();
     let mut eras = EraTracker::new();
@@ -71,8 +71,8 @@
 
 /// If a wrong era were retained, all later responses would count as late.
 #[rstest]
-#[case::an_answer_told_it(true)]
-#[case::a_peer_told_it(false)]
+#[case::from_a_response(true)]
+#[case::from_a_peer(false)]
 fn an_era_that_the_store_denies_is_discarded(#[case] by_an_answer: bool) {
     let start = Instant::now();
     let mut eras = EraTracker::new();
@@ -136,7 +136,7 @@
 }
 
 #[rstest]
-#[case::its_entry_stands(false)]
+#[case::its_entry_persists(false)]
 #[case::it_writes_again(true)]
 fn a_server_whose_entry_had_only_lapsed_is_used_again_after_a_restore(#[case] writes_again: bool) {
     let now = Instant::now();
