--- a/crates/rookferry_core/tests/refusing_servers.rs
+++ b/crates/rookferry_core/tests/refusing_servers.rs
@@ -51,7 +51,8 @@
 type DelayedObservation = (Duration, usize, RefusingObservation);
 
 /// Simulates streams for `length` while the engines in `leaving` refuse all of them, and
-/// returns how many tries were refused. With `shares_reports` instances advertise refusals.
+/// returns how many tries were refused. With `shares_reports` instances advertise
+/// refusals.
 fn refused_tries(leaving: &[u16], shares_reports: bool, length: Duration) -> usize {
     let start = Instant::now();
     let mut rng = StdRng::seed_from_u64(1);
