--- a/crates/rookferry_core/tests/fleet_costs.rs
+++ b/crates/rookferry_core/tests/fleet_costs.rs
@@ -1,5 +1,5 @@
-//! What heartbeats cost an instance, by the size of the site: the table of docs/CAPACITY.md
-//! rests on these counts.
+//! Cost of heartbeats for an instance, by the size of the site. The table of
+//! docs/CAPACITY.md is based on these counts.
 
 #[path = "support/peer_site.rs"]
 mod peer_site;
@@ -9,13 +9,12 @@
 use rstest::rstest;
 
 const DOMAINS: usize = 5;
-/// Large machines in each domain, which carry its duties.
+/// Number of large machines in each domain, which carry its duties.
 const LARGE: usize = 2;
-/// What an instance may send and be sent for control in a second, by the users' first
-/// letter.
-const BUDGET_BYTES: usize = 17_000;
+/// Most bytes of control traffic that an instance may send, and receive, in a second.
+const MAX_CONTROL_BYTES: usize = 17_000;
 
-/// What one instance sends and is sent in a second.
+/// Datagrams and bytes that one instance sends and receives in a second.
 #[derive(Clone, Copy, Debug)]
 struct Cost {
     datagrams: usize,
@@ -23,11 +22,11 @@
     received_bytes: usize,
 }
 
-/// A site that starts.
+/// A site whose instances are starting.
 fn site(per_domain: usize) -> Site {
     let mut site = Site::start(DOMAINS, per_domain, 1);
-    for (place, instance) in site.instances.iter_mut().enumerate() {
-        if place / DOMAINS < LARGE {
+    for (index, instance) in site.instances.iter_mut().enumerate() {
+        if index / DOMAINS < LARGE {
             instance.capacity = Capacity::of_machine(1.0, 1_000.0);
             instance.table = instance.table.clone().capacity(instance.capacity);
         }
@@ -35,8 +34,8 @@
     site
 }
 
-/// The costs of all instances of a site that has been up for a while; by the datagrams
-/// that they send.
+/// Costs of all instances of a site that has run for two seconds, sorted by the number of
+/// datagrams that they send.
 fn costs(per_domain: usize) -> Vec<Cost> {
     let mut site = site(per_domain);
     site.run_for(2_000);
@@ -55,29 +54,31 @@
     costs
 }
 
-/// What a small machine pays for the others doesn't grow with their number, and what the
-/// large ones pay grows no faster than it.
+/// The cost of a small machine must not grow with the number of instances, and that of
+/// the large ones no faster than that number.
 #[rstest]
 #[case::three_hundred(60)]
 #[case::thousand(200)]
 #[case::two_thousand(400)]
-fn a_small_machine_pays_the_same_in_a_site_of_any_size(#[case] per_domain: usize) {
+fn heartbeat_costs_of_a_small_machine_are_bounded_in_a_site_of_any_size(#[case] per_domain: usize) {
     let costs = costs(per_domain);
-    let middle = costs[costs.len() / 2];
+    let median = costs[costs.len() / 2];
     let busiest = costs[costs.len() - 1];
-    println!("{DOMAINS} x {per_domain}: middle {middle:?}, busiest {busiest:?}");
-    assert!(middle.sent_bytes <= BUDGET_BYTES, "{middle:?}");
-    assert!(middle.received_bytes <= BUDGET_BYTES, "{middle:?}");
+    println!("{DOMAINS} x {per_domain}: middle {median:?}, busiest {busiest:?}");
+    assert!(median.sent_bytes <= MAX_CONTROL_BYTES, "{median:?}");
+    assert!(median.received_bytes <= MAX_CONTROL_BYTES, "{median:?}");
     let members = DOMAINS * per_domain;
     assert!(busiest.datagrams <= 400 + members, "{busiest:?}");
 }
 
-/// All start at once and hear nobody yet: none writes to all of its domain because of
-/// that.
+/// All instances start at once and have received no heartbeats yet. None may send to its
+/// whole domain because of that.
 #[rstest]
 #[case::three_hundred(60)]
 #[case::thousand(200)]
-fn a_start_of_all_costs_each_the_same_in_a_site_of_any_size(#[case] per_domain: usize) {
+fn datagrams_per_instance_during_a_full_start_are_bounded_in_a_site_of_any_size(
+    #[case] per_domain: usize,
+) {
     let mut site = site(per_domain);
     site.run_for(700);
     let sent: u64 = site.instances.iter().map(|instance| instance.sent).sum();
--- a/crates/rookferry_core/tests/store_era.rs
+++ b/crates/rookferry_core/tests/store_era.rs
@@ -1,5 +1,5 @@
-//! The store is restored from a copy: which versions, answers, entries and leases
-//! still hold.
+//! The store is restored from a backup: which versions, responses, entries and leases are
+//! still valid.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,11 +22,11 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const GRACE: Duration = Duration::from_secs(2);
-const STANDS_FOR: Duration = Duration::from_secs(5);
-/// A list from right after a restore.
+const MIN_PERSISTENCE: Duration = Duration::from_secs(5);
+/// Uncertainty of a list read right after a restore.
 const RESTORED: ListUncertainty = ListUncertainty {
     may_be_incomplete: true,
-    may_be_outdated: Some(STANDS_FOR),
+    may_be_outdated: Some(MIN_PERSISTENCE),
     may_have_unseen_removals: true,
 };
 
@@ -38,42 +38,42 @@
 }
 
 #[test]
-fn an_answer_of_an_era_that_is_over_is_late() {
+fn a_response_of_a_past_era_is_late() {
     let start = Instant::now();
     let mut eras = EraTracker::new();
     let changed = |before| EraVerdict::Changed { before };
     assert_eq!(eras.observe(Some(1), start, start), changed(None));
-    let asked_at = start + SECOND;
+    let sent_at = start + SECOND;
     assert_eq!(
-        eras.observe(Some(2), asked_at, asked_at + SECOND),
+        eras.observe(Some(2), sent_at, sent_at + SECOND),
         changed(Some(1))
     );
-    let late = eras.observe(Some(1), asked_at, asked_at + 2 * SECOND);
+    let late = eras.observe(Some(1), sent_at, sent_at + 2 * SECOND);
     assert_eq!(late, EraVerdict::Late);
     assert_eq!(eras.era(), 2);
-    // Two restores that none of its calls saw.
-    let asked_at = start + 5 * SECOND;
-    assert_eq!(eras.observe(Some(4), asked_at, asked_at), changed(Some(2)));
+    // Two restores happened between its calls.
+    let sent_at = start + 5 * SECOND;
+    assert_eq!(eras.observe(Some(4), sent_at, sent_at), changed(Some(2)));
 }
 
 #[rstest]
-#[case::it_tells_none(None)]
-#[case::it_tells_the_known_one(Some(3))]
-fn an_answer_without_an_era_holds(#[case] told: Option<u64>) {
+#[case::none_known(None)]
+#[case::the_known_one(Some(3))]
+fn a_response_without_an_era_is_current(#[case] reported: Option<u64>) {
     let start = Instant::now();
     let mut eras = EraTracker::new();
     assert_eq!(eras.observe(None, start, start), EraVerdict::Current);
     assert_eq!(eras.era(), 0);
     eras.observe(Some(3), start, start);
-    assert_eq!(eras.observe(told, start, start), EraVerdict::Current);
+    assert_eq!(eras.observe(reported, start, start), EraVerdict::Current);
     assert_eq!(eras.era(), 3);
 }
 
-/// Without it all later answers would be late.
+/// If a wrong era were retained, all later responses would count as late.
 #[rstest]
-#[case::an_answer_told_it(true)]
-#[case::a_peer_told_it(false)]
-fn an_era_that_the_store_denies_is_dropped(#[case] by_an_answer: bool) {
+#[case::from_a_response(true)]
+#[case::from_a_peer(false)]
+fn an_era_that_the_store_denies_is_discarded(#[case] by_an_answer: bool) {
     let start = Instant::now();
     let mut eras = EraTracker::new();
     eras.observe(Some(2), start, start);
@@ -82,14 +82,14 @@
     } else {
         assert!(eras.merge(999, start + SECOND));
     }
-    let asked_at = start + 2 * SECOND;
-    let denial = eras.observe(Some(2), asked_at, asked_at);
+    let sent_at = start + 2 * SECOND;
+    let denial = eras.observe(Some(2), sent_at, sent_at);
     assert_eq!(denial, EraVerdict::Changed { before: Some(999) });
     assert_eq!(eras.era(), 2);
-    // Those that still believe it don't bring it back.
-    assert!(!eras.merge(999, asked_at + SECOND));
+    // Peers that still advertise the denied era don't reintroduce it.
+    assert!(!eras.merge(999, sent_at + SECOND));
     assert!(eras.is_denied(1_000) && !eras.is_denied(3));
-    assert!(eras.merge(3, asked_at + SECOND));
+    assert!(eras.merge(3, sent_at + SECOND));
     assert_eq!(eras.era(), 3);
 }
 
@@ -109,7 +109,7 @@
     }
 }
 
-/// The names of servers that get new work.
+/// Names of the servers that get new work.
 fn used(directory: &Directory) -> Vec<String> {
     let servers = directory.in_use(|_| true).into_iter();
     let used = servers.filter(|server| !server.is_leaving);
@@ -117,27 +117,28 @@
 }
 
 #[test]
-fn a_server_that_left_stays_out_of_use_after_a_restore() {
+fn a_server_that_left_stays_unused_after_a_restore() {
     let now = Instant::now();
     let mut directory = Directory::new();
     let before = ["a", "b", "c"].map(|id| server(id, 3, false));
     directory.replace(before.to_vec(), ListUncertainty::NONE, now);
     directory.apply(DirectoryChange::Updated(server("a", 5, true)), now);
     directory.apply(DirectoryChange::Removed("b".into()), now);
-    // The copy is from before, but for the entry's unseen writes.
-    let copy = ["a", "b", "c"].map(|id| server(id, 4, false));
-    directory.replace(copy.to_vec(), RESTORED, now + SECOND);
+    // The backup is older than both changes, but has a write of each entry that this
+    // instance hasn't seen.
+    let backup = ["a", "b", "c"].map(|id| server(id, 4, false));
+    directory.replace(backup.to_vec(), RESTORED, now + SECOND);
     assert_eq!(used(&directory), ["c"]);
-    // The entry of one that has ended goes again.
+    // The entry of a server that has exited is removed again.
     directory.apply(DirectoryChange::Removed("b".into()), now + 4 * SECOND);
     assert!(directory.expire(now + 10 * SECOND, GRACE).is_empty());
     assert_eq!(used(&directory), ["c"]);
 }
 
 #[rstest]
-#[case::its_entry_stands(false)]
+#[case::its_entry_persists(false)]
 #[case::it_writes_again(true)]
-fn a_server_whose_entry_had_only_lapsed_is_back_after_a_restore(#[case] writes_again: bool) {
+fn a_server_whose_entry_had_only_lapsed_is_used_again_after_a_restore(#[case] writes_again: bool) {
     let now = Instant::now();
     let mut directory = Directory::new();
     directory.replace(vec![server("a", 3, false)], ListUncertainty::NONE, now);
@@ -147,48 +148,49 @@
     if writes_again {
         directory.apply(DirectoryChange::Updated(server("a", 9, false)), now);
     } else {
-        assert_eq!(directory.expires_at(GRACE), Some(now + STANDS_FOR));
-        let expired = directory.expire(now + STANDS_FOR, GRACE);
+        assert_eq!(directory.expires_at(GRACE), Some(now + MIN_PERSISTENCE));
+        let expired = directory.expire(now + MIN_PERSISTENCE, GRACE);
         assert_eq!(expired.restored, ["a".into()]);
     }
     assert_eq!(used(&directory), ["a"]);
 }
 
-/// An instance that started right before the restore had a list from its peers, in which
-/// the server was gone, and then read the copy, in which it stands.
+/// An instance that started right before the restore got a list without the server from
+/// its peers, and then reads the backup, which contains it.
 #[test]
-fn a_server_that_left_before_an_instance_started_stays_out_of_use_after_a_restore() {
+fn a_server_that_left_before_an_instance_started_stays_unused_after_a_restore() {
     let now = Instant::now();
     let mut directory = Directory::new();
     directory.replace(vec![server("a", 3, false)], ListUncertainty::NONE, now);
-    let copy = ["a", "b"].map(|id| server(id, 2, false));
-    directory.replace(copy.to_vec(), RESTORED, now);
+    let backup = ["a", "b"].map(|id| server(id, 2, false));
+    directory.replace(backup.to_vec(), RESTORED, now);
     assert_eq!(used(&directory), ["a"]);
-    // One that is new writes again, or outlasts the time for entries to go.
+    // A new server writes its entry again, or its entry outlasts the time in which
+    // entries of exited servers expire.
     directory.apply(DirectoryChange::Updated(server("b", 4, false)), now);
     assert_eq!(used(&directory), ["a", "b"]);
 }
 
 #[test]
-fn an_instance_that_knows_no_list_takes_the_copys() {
+fn an_instance_without_a_list_uses_that_of_the_backup() {
     let mut directory = Directory::new();
     directory.replace(vec![server("a", 2, false)], RESTORED, Instant::now());
     assert_eq!(used(&directory), ["a"]);
 }
 
 #[test]
-fn a_server_that_the_copy_lacks_has_not_left() {
+fn a_server_missing_from_the_backup_stays_used_for_the_grace_period() {
     let now = Instant::now();
     let mut directory = Directory::new();
     directory.replace(vec![server("a", 3, false)], ListUncertainty::NONE, now);
     directory.replace(Vec::new(), RESTORED, now);
     assert_eq!(used(&directory), ["a"]);
     let expired = directory.expire(now + GRACE, GRACE);
-    assert_eq!(expired.removed, ["a".into()], "it did not write again");
+    assert_eq!(expired.removed, ["a".into()], "it didn't rewrite its entry");
 }
 
 #[test]
-fn what_a_start_wrote_before_replaces_nothing() {
+fn an_earlier_write_of_the_same_incarnation_replaces_nothing() {
     let now = Instant::now();
     let mut directory = Directory::new();
     let of_start = |writes, is_leaving| BackendServer {
@@ -225,7 +227,7 @@
 }
 
 #[test]
-fn a_holder_of_a_lease_that_a_restore_lost_gives_no_orders_until_it_is_written_again() {
+fn a_lease_lost_in_a_restore_has_no_fence_until_it_is_written_again() {
     let now = Instant::now();
     let mut holder = lease("n1");
     holder.on_read(now, None);
@@ -237,17 +239,20 @@
     assert_eq!(
         holder.next_action(now),
         LeaseAction::Wait,
-        "what it read is void, too"
+        "what it read before is discarded"
     );
-    // The copy has none; its revision was given out before.
+    // The backup has no lease, and its revisions were already used before the restore.
     holder.on_read(now, None);
     let (expected, again) = write(holder.next_action(now));
     assert_eq!(expected, 0);
-    assert!(again.fence > first.fence, "engines may have seen the first");
+    assert!(
+        again.fence > first.fence,
+        "engines may have seen the first fence"
+    );
 }
 
 #[test]
-fn another_holder_in_the_copy_is_waited_out() {
+fn a_lease_of_another_holder_in_the_backup_is_waited_out() {
     let now = Instant::now();
     let mut other = lease("n2");
     other.on_read(now, None);
--- /dev/null
+++ b/crates/rookferry_core/tests/support/propagation_site.rs
@@ -0,0 +1,252 @@
+//! Simulates a site in which one instance of each domain reads the store and the
+//! instances advertise leaving servers to each other. Watches stall, and store readers
+//! stop or lose the store.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+use std::time::Instant;
+
+use rand::RngExt;
+use rookferry_core::Departure;
+use rookferry_core::PropagationBudget;
+use rookferry_core::ServerKey;
+use rookferry_core::ranked_pause;
+
+use crate::peer_site::Site;
+use crate::peer_site::engine_key;
+
+/// Response time of the store.
+const STORE_RESPONSE_MS: u64 = 4;
+/// Timeout of a call to the store.
+const CALL_TIMEOUT_MS: u64 = 900;
+/// How much longer than its requested wait a watch may take before it times out.
+const WATCH_GRACE_MS: u64 = 600;
+/// Step of the simulation.
+const STEP_MS: u64 = 2;
+
+/// What an instance currently does to read the store.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ReadState {
+    /// It checks at that time whether it has to read.
+    IdleUntil(u64),
+    Watching {
+        sent_ms: u64,
+        /// Whether its connection is dead.
+        is_stalled: bool,
+    },
+    /// A call that checks the store while a watch is overdue.
+    Checking { sent_ms: u64, watch_sent_ms: u64 },
+}
+
+/// Connectivity from an instance to the store.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum StoreLink {
+    #[default]
+    Connected,
+    /// Nothing passes in either direction, on new connections as well.
+    Disconnected,
+}
+
+pub struct PropagationSite {
+    pub site: Site,
+    pub links: Vec<StoreLink>,
+    budget: PropagationBudget,
+    read_states: Vec<ReadState>,
+    failures: Vec<u32>,
+    /// When the store recorded that the server is leaving.
+    pub leaving_ms: Option<u64>,
+    /// Number of calls to the store.
+    pub calls: u64,
+}
+
+impl PropagationSite {
+    /// A site that has run for five to six seconds.
+    pub fn start(domains: usize, per_domain: usize, bound: Duration, seed: u64) -> Self {
+        let site = Site::start(domains, per_domain, seed);
+        let count = site.instances.len();
+        let mut simulation = Self {
+            site,
+            links: vec![StoreLink::Connected; count],
+            budget: PropagationBudget::new(bound),
+            read_states: vec![ReadState::IdleUntil(0); count],
+            failures: vec![0; count],
+            leaving_ms: None,
+            calls: 0,
+        };
+        let settle_ms = 5_000 + simulation.site.rng.random_range(0..1_000);
+        simulation.run_for(settle_ms);
+        simulation
+    }
+
+    pub fn server() -> ServerKey {
+        engine_key(0)
+    }
+
+    pub fn run_for(&mut self, ms: u64) {
+        let until_ms = self.site.now_ms + ms;
+        while self.site.now_ms < until_ms {
+            self.site.run_for(STEP_MS);
+            for index in 0..self.read_states.len() {
+                if self.site.instances[index].is_up {
+                    self.step(index);
+                }
+            }
+        }
+    }
+
+    /// Indices of the instances that currently read the store.
+    pub fn readers(&self) -> Vec<usize> {
+        let indices = 0..self.read_states.len();
+        let is_reader =
+            |index: &usize| !matches!(self.read_states[*index], ReadState::IdleUntil(_));
+        indices.filter(is_reader).collect()
+    }
+
+    /// Kills the connections of all current watches; new ones work.
+    pub fn stall_watches(&mut self) {
+        for read_state in &mut self.read_states {
+            if let ReadState::Watching { is_stalled, .. } = read_state {
+                *is_stalled = true;
+            }
+        }
+    }
+
+    /// Records in the store that the server is leaving.
+    pub fn record_leaving(&mut self) {
+        self.leaving_ms = Some(self.site.now_ms);
+    }
+
+    /// Milliseconds from the store's record to the last of some instances that knows the
+    /// server is leaving; none if one of them doesn't within `at_most_ms`.
+    pub fn propagation_ms(&mut self, of: &[usize], at_most_ms: u64) -> Option<u64> {
+        let leaving_ms = self.leaving_ms.expect("a server that leaves");
+        let mut known = BTreeMap::new();
+        while self.site.now_ms < leaving_ms + at_most_ms {
+            for index in of {
+                if self.site.instances[*index]
+                    .departed
+                    .contains(Self::server())
+                {
+                    known.entry(*index).or_insert(self.site.now_ms);
+                }
+            }
+            if known.len() == of.len() {
+                break;
+            }
+            self.run_for(STEP_MS);
+        }
+        let last = known
+            .values()
+            .max()
+            .copied()
+            .filter(|_| known.len() == of.len());
+        last.map(|last_ms| last_ms - leaving_ms)
+    }
+
+    fn step(&mut self, index: usize) {
+        let now_ms = self.site.now_ms;
+        let wait_ms = millis(self.budget.watch_wait());
+        match self.read_states[index] {
+            ReadState::IdleUntil(at_ms) if at_ms > now_ms => {}
+            ReadState::IdleUntil(_) if self.relies_on_peers(index) => {
+                self.read_states[index] =
+                    ReadState::IdleUntil(now_ms + millis(self.budget.poll_interval()));
+            }
+            ReadState::IdleUntil(_) => self.watch(index),
+            ReadState::Watching {
+                sent_ms,
+                is_stalled,
+            } => {
+                let is_dead = is_stalled || self.links[index] == StoreLink::Disconnected;
+                let returns_ms = sent_ms + wait_ms + STORE_RESPONSE_MS;
+                if !is_dead && (self.has_change(index, sent_ms) || now_ms >= returns_ms) {
+                    return self.on_store_response(index, sent_ms);
+                }
+                let contact = &mut self.site.instances[index].contact;
+                let overdue_ms = millis(contact.overdue_after(self.budget.overdue()));
+                if now_ms >= sent_ms + wait_ms + overdue_ms {
+                    contact.watch_overdue();
+                    self.calls += 1;
+                    self.read_states[index] = ReadState::Checking {
+                        sent_ms: now_ms,
+                        watch_sent_ms: sent_ms,
+                    };
+                }
+            }
+            ReadState::Checking {
+                sent_ms,
+                watch_sent_ms,
+            } => {
+                if self.links[index] == StoreLink::Connected
+                    && now_ms >= sent_ms + STORE_RESPONSE_MS
+                {
+                    return self.on_store_response(index, sent_ms);
+                }
+                let watch_timeout_ms = watch_sent_ms + wait_ms + WATCH_GRACE_MS;
+                if now_ms >= watch_timeout_ms.max(sent_ms + CALL_TIMEOUT_MS) {
+                    self.failures[index] += 1;
+                    let rank = self.site.instances[index].table.rank(self.site.now());
+                    let pause = ranked_pause(self.failures[index], rank);
+                    self.read_states[index] = ReadState::IdleUntil(now_ms + millis(pause));
+                }
+            }
+        }
+    }
+
+    fn watch(&mut self, index: usize) {
+        self.calls += 1;
+        self.read_states[index] = ReadState::Watching {
+            sent_ms: self.site.now_ms,
+            is_stalled: false,
+        };
+    }
+
+    /// Whether a watch sent at a time would have returned a change by now.
+    fn has_change(&self, index: usize, sent_ms: u64) -> bool {
+        let visible_ms = self
+            .leaving_ms
+            .map(|leaving_ms| leaving_ms.max(sent_ms) + STORE_RESPONSE_MS);
+        visible_ms.is_some_and(|visible_ms| self.site.now_ms >= visible_ms)
+            && !self.site.instances[index].departed.contains(Self::server())
+    }
+
+    /// Handles the store's response to a call that was sent at a time.
+    fn on_store_response(&mut self, index: usize, sent_ms: u64) {
+        let sent_at = self.at(sent_ms);
+        let now = self.site.now();
+        let is_after = self
+            .leaving_ms
+            .is_some_and(|leaving_ms| leaving_ms <= self.site.now_ms);
+        let instance = &mut self.site.instances[index];
+        instance.contact.record_config_read(sent_at);
+        instance.contact.record_servers_read(sent_at);
+        self.failures[index] = 0;
+        let is_change = is_after
+            && instance
+                .departed
+                .record(Self::server(), Departure::Leaving, now);
+        if is_change {
+            self.site.schedule_early_round(index);
+        }
+        if self.relies_on_peers(index) {
+            self.read_states[index] = ReadState::IdleUntil(self.site.now_ms);
+        } else {
+            self.watch(index);
+        }
+    }
+
+    fn relies_on_peers(&self, index: usize) -> bool {
+        let now = self.site.now();
+        let instance = &self.site.instances[index];
+        let bound = instance.table.max_store_age(self.budget, now);
+        instance.contact.is_fresh(now, bound) && !instance.table.is_store_reader(self.budget, now)
+    }
+
+    fn at(&self, ms: u64) -> Instant {
+        self.site.start + Duration::from_millis(ms)
+    }
+}
+
+fn millis(time: Duration) -> u64 {
+    u64::try_from(time.as_millis()).expect("a short time")
+}
