--- a/crates/rookferry_entry/src/admission.rs
+++ b/crates/rookferry_entry/src/admission.rs
@@ -1,9 +1,11 @@
-//! Places streams on chains of engines, or has them wait for their turn.
+//! Admission control: assigns each stream to a chain of engines, or queues it.
 //!
-//! While nobody waits and a chain has room, a stream is placed without a lock.
-//! Otherwise it joins the queue of its pool and model, which shares turns
-//! among client accounts, and is placed when a stream ends or a load report
-//! shows room. Whoever can't be served in time is told at once.
+//! While no request is queued and a chain has free slots, a stream is placed
+//! without taking a lock. Otherwise it joins the queue of its pool and model,
+//! which is shared fairly among client accounts. Queues are served when a stream
+//! ends, when an engine's load has been polled, and at a fixed interval. A
+//! request that can't be placed before its queueing deadline is refused at once,
+//! with the time after which a retry makes sense.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -35,13 +37,13 @@
 use crate::snapshot::AccountPermit;
 use crate::snapshot::Snapshot;
 
-/// Places tried in one go when room appears.
+/// Most requests taken from one queue per pass.
 const MAX_PLACED_AT_ONCE: usize = 64;
 
-/// What a stream needs.
+/// Requirements of a stream on its engines and its queueing time.
 #[derive(Clone, Debug)]
 pub(crate) struct StreamNeed {
-    /// What tells that it is the same call when it comes again.
+    /// Identifies retries of the same call.
     pub(crate) signature: RequestSignature,
     /// The pool.
     pub(crate) pool: String,
@@ -53,27 +55,27 @@
     pub(crate) weight: f64,
     /// Expected work, in tokens.
     pub(crate) cost: f64,
-    /// Differs from request to request.
+    /// Seed of the choice among chains, different for each request.
     pub(crate) seed: u64,
     /// Engines that likely hold the prompt's prefix.
     pub(crate) cached: Vec<EngineId>,
-    /// When it must have had its turn.
+    /// Latest time to leave the queue.
     pub(crate) turn_by: Instant,
-    /// When the caller's time is over.
+    /// Deadline of the whole request.
     pub(crate) deadline: Instant,
 }
 
-/// A stream's place on its engines until it is dropped.
+/// A stream's slots on the engines of its chain, released on drop.
 pub(crate) struct Placement {
-    /// The chain.
+    /// Stages of the chain, in layer order.
     pub(crate) stages: Vec<Stage>,
-    /// Engines that were considered.
+    /// Engines considered, for the decision record.
     pub(crate) candidates: Vec<Candidate>,
     /// Counts the stream on its engines.
     pub(crate) slots: StreamSlots,
 }
 
-/// Why a stream got no place.
+/// Why a stream was not placed.
 #[derive(Debug)]
 pub(crate) struct NoPlace {
     pub(crate) reason: ReasonCode,
@@ -82,7 +84,7 @@
     pub(crate) candidates: Vec<Candidate>,
 }
 
-/// Counts a stream on each of its engines.
+/// Counts a stream on each of its engines, and for its account, until dropped.
 pub(crate) struct StreamSlots {
     slots: Vec<(EngineId, Arc<EngineStats>)>,
     admission: Arc<Admission>,
@@ -101,13 +103,14 @@
     drain: DrainRate,
 }
 
-/// The queues of all pools and models.
+/// The admission queues of all pools and models.
 pub(crate) struct Admission {
     snapshot: Arc<ArcSwap<Snapshot>>,
-    /// Backoffs that engines asked for.
+    /// Backoffs requested by engines.
     backoffs: Arc<BackoffTable>,
+    /// Number of queued requests.
     waiting: AtomicUsize,
-    /// Told when someone begins to wait.
+    /// Notified when a request is queued.
     queued: Notify,
     lanes: Mutex<HashMap<LaneKey, Lane>>,
 }
@@ -123,19 +126,19 @@
         })
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub(crate) fn waiting(&self) -> usize {
         self.waiting.load(Ordering::Relaxed)
     }
 
-    /// Returns at once while someone waits, otherwise when someone begins to.
+    /// Waits until at least one request is queued.
     pub(crate) async fn someone_waits(&self) {
         while self.waiting() == 0 {
             self.queued.notified().await;
         }
     }
 
-    /// Places a stream, waiting for its turn if need be.
+    /// Places a stream, queueing it while its chains are full.
     pub(crate) async fn place(self: &Arc<Self>, need: StreamNeed) -> Result<Placement, NoPlace> {
         if self.waiting() == 0 {
             match self.try_place(&need) {
@@ -149,15 +152,15 @@
         waiting.await.unwrap_or_else(|_| {
             Err(NoPlace {
                 reason: ReasonCode::Overloaded,
-                detail: "the queue was closed".to_owned(),
+                detail: "the admission queue was closed".to_owned(),
                 retry_after: Duration::from_secs(1),
                 candidates: Vec::new(),
             })
         })
     }
 
-    /// Places those who wait, as far as there is room, and turns away those
-    /// whose time is over.
+    /// Places queued streams while there are free slots, and refuses those past
+    /// their queueing deadline.
     pub(crate) fn pump(self: &Arc<Self>) {
         if self.waiting() == 0 {
             return;
@@ -173,7 +176,8 @@
             self.waiting.store(waiting, Ordering::Relaxed);
         }
         for (waiter, result) in told {
-            // A caller that went away drops its placement, which frees it.
+            // If the caller has disconnected, the placement is dropped, which
+            // releases its slots.
             let _ = waiter.answer.send(result);
         }
     }
@@ -188,7 +192,7 @@
             .queue
             .remove_if(|waiter| waiter.need.turn_by <= now || waiter.answer.is_closed());
         for entry in over {
-            let no_place = overloaded(lane, now, "its time for waiting passed");
+            let no_place = overloaded(lane, now, "the queueing deadline passed");
             told.push((entry.item, Err(no_place)));
         }
         for _ in 0..MAX_PLACED_AT_ONCE {
@@ -226,7 +230,7 @@
             return Err(overloaded(
                 lane,
                 now,
-                "the wait would pass its time for waiting",
+                "the expected wait exceeds the queueing deadline",
             ));
         }
         let pushed = lane.queue.push(
@@ -239,7 +243,7 @@
             let no_place = overloaded(
                 lane,
                 now,
-                "the queue is full, and the account is furthest over its share",
+                "the queue is full, and the account exceeds its fair share the most",
             );
             let _ = evicted.item.answer.send(Err(no_place));
         }
@@ -249,7 +253,8 @@
         Ok(waiting)
     }
 
-    /// Engines to back off from now.
+    /// Engines whose requested backoff hasn't ended, with the time left, shortest
+    /// first.
     pub(crate) fn backed_off(&self, snapshot: &Snapshot) -> Vec<(EngineId, Duration)> {
         let engines = snapshot.fleet.engines().iter();
         let engines = engines.map(|engine| (&engine.info.engine, engine.addr));
@@ -259,7 +264,7 @@
             .collect()
     }
 
-    /// The best chain without some engines.
+    /// The best chain that avoids the excluded engines.
     fn choose(snapshot: &Snapshot, need: &StreamNeed, excluded: &[EngineId]) -> ChosenChain {
         let Some(graph) = snapshot.fleet.graph(&need.pool, &need.model) else {
             return ChosenChain::default();
@@ -276,8 +281,9 @@
         snapshot.chooser.choose(policy, graph, engines, &request)
     }
 
-    /// Why there is no chain, and when to come back: if engines that are backed
-    /// off from would make one, when the first such backoff ends.
+    /// Explains why there is no chain, and when to retry: if engines in backoff
+    /// would complete one, at the end of the first backoff that makes a chain
+    /// possible.
     fn no_chain(&self, need: &StreamNeed, chosen: ChosenChain) -> NoPlace {
         let snapshot = self.snapshot.load();
         let waiting = self.backed_off(&snapshot);
@@ -286,7 +292,8 @@
             let chosen = Self::choose(&snapshot, need, later);
             chosen.is_full || !chosen.stages.is_empty()
         };
-        // With the times in order, a chain that is there stays there.
+        // The backoffs are sorted by their end: once enough of them have ended for
+        // a chain, later ends don't remove it, so a binary search is valid.
         let ends: Vec<usize> = (1..=names.len()).collect();
         let first = ends.partition_point(|end| !is_chain_without(&names[*end..]));
         let Some((_, left)) = waiting.get(first) else {
@@ -294,7 +301,7 @@
         };
         NoPlace {
             reason: ReasonCode::Overloaded,
-            detail: "engines asked for a backoff; come back when it ends".to_owned(),
+            detail: "engines requested a backoff; retry when it ends".to_owned(),
             retry_after: *left,
             candidates: chosen.candidates,
         }
@@ -327,7 +334,7 @@
 }
 
 impl StreamSlots {
-    /// Counts the stream for its account as long as it has its place.
+    /// Keeps the account's permit until the slots are released.
     pub(crate) fn hold(&mut self, permit: AccountPermit) {
         self.permit = Some(permit);
     }
@@ -344,7 +351,7 @@
         }
     }
 
-    /// Takes the stream off an engine.
+    /// Releases the stream's slot on an engine.
     pub(crate) fn remove(&mut self, engine: &str) {
         self.slots.retain(|(name, stats)| {
             let is_kept = **name != *engine;
@@ -355,7 +362,7 @@
         });
     }
 
-    /// Learned figures of one of the engines.
+    /// Measured statistics of an engine; `None` if the stream has no slot on it.
     pub(crate) fn stats(&self, engine: &str) -> Option<&Arc<EngineStats>> {
         let slot = self.slots.iter().find(|(name, _)| **name == *engine);
         slot.map(|(_, stats)| stats)
@@ -375,7 +382,7 @@
 fn overloaded(lane: &Lane, now: Instant, detail: &str) -> NoPlace {
     NoPlace {
         reason: ReasonCode::Overloaded,
-        detail: format!("{detail}; {} requests wait", lane.queue.len()),
+        detail: format!("{detail}; {} requests are queued", lane.queue.len()),
         retry_after: lane.drain.retry_after(now, lane.queue.len()),
         candidates: Vec::new(),
     }
--- a/crates/rookferry_entry/src/answers.rs
+++ b/crates/rookferry_entry/src/answers.rs
@@ -1,4 +1,7 @@
-//! Answers of requests that may run once, kept for callers that come back.
+//! Stored answers of calls with an idempotency key, for retries.
+//!
+//! Each key claimed on this instance has a state here, by the key's digest, until
+//! the limit of ended keys drops it. Nothing outlives the process.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -7,43 +10,44 @@
 
 use rookferry_wire::RequestId;
 
-/// A kept answer.
+/// A stored HTTP response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct KeptAnswer {
-    /// The request that ran.
+    /// Id of the request that ran.
     pub(crate) request_id: RequestId,
-    /// Digest of its body.
+    /// Digest of that request's body; empty in responses that aren't stored.
     pub(crate) body_digest: String,
     /// HTTP status.
     pub(crate) status: u16,
     /// Content type.
     pub(crate) content_type: String,
-    /// The body.
+    /// The response's body.
     pub(crate) body: Vec<u8>,
 }
 
-/// What is known of a key's work on this instance.
+/// State of a key's work on this instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum KeyState {
-    /// Nothing is known here; it may have run and its answer been dropped.
+    /// Unknown: never run here, or run and its answer dropped.
     Absent,
-    /// It runs.
+    /// Running, or being claimed by another call.
     Running,
-    /// It was claimed here and proved not to have run.
+    /// Claimed here, and proved not to have run.
     NotRun,
-    /// It has ended.
+    /// Ended with an answer or refusal.
     Finished(KeptAnswer),
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     keys: HashMap<String, KeyState>,
+    /// Ended keys, oldest first.
     finished: VecDeque<String>,
-    /// How many calls of a key are being claimed.
+    /// Number of calls that are claiming each key.
     claiming: HashMap<String, usize>,
 }
 
-/// Marks a key as being claimed until it is dropped.
+/// Guard that marks a key as being claimed until dropped.
 #[derive(Debug)]
 pub(crate) struct Claiming<'a> {
     answers: &'a Answers,
@@ -62,7 +66,7 @@
     }
 }
 
-/// The keys of one run of an instance, by digest.
+/// The keys of one incarnation of an instance, by digest.
 #[derive(Debug)]
 pub(crate) struct Answers {
     limit: usize,
@@ -77,8 +81,8 @@
         }
     }
 
-    /// What is known of a key. One that another call is claiming counts as
-    /// running: its claim may be written before this instance hears of it.
+    /// The state of a key. A key that another call is claiming counts as running:
+    /// its claim may be written before this instance gets the response.
     pub(crate) fn state(&self, digest: &str) -> KeyState {
         let inner = self.lock();
         match inner.keys.get(digest) {
@@ -98,8 +102,8 @@
         }
     }
 
-    /// Marks a key as running. `false` if it runs or has run here; then it
-    /// must not be dispatched.
+    /// Marks a key as running. Returns `false` if it runs or has run here; then its
+    /// call must not be dispatched.
     pub(crate) fn begin(&self, digest: &str) -> bool {
         let mut inner = self.lock();
         let known = inner.keys.get(digest).unwrap_or(&KeyState::Absent);
@@ -110,18 +114,18 @@
         is_free
     }
 
-    /// Marks a key whose work proved not to have run; it may begin again
+    /// Marks a key whose work proved not to have run; it may be dispatched again
     /// under the same claim.
     pub(crate) fn not_run(&self, digest: &str) {
         self.end(digest, KeyState::NotRun);
     }
 
-    /// Keeps a key's answer.
+    /// Stores a key's answer.
     pub(crate) fn finish(&self, digest: &str, answer: KeptAnswer) {
         self.end(digest, KeyState::Finished(answer));
     }
 
-    /// Keys whose work runs.
+    /// Number of keys whose work is running.
     pub(crate) fn running(&self) -> usize {
         let inner = self.lock();
         let running = inner
@@ -131,9 +135,9 @@
         running.count()
     }
 
-    /// The oldest ended key makes room. A dropped key is as unknown as one
-    /// never seen, so that absence here never allows a dispatch by itself;
-    /// only a fresh claim or ticket does.
+    /// Sets a key's final state, and drops the oldest ended keys above the limit. A
+    /// dropped key can't be told from one never seen, so absence here never allows a
+    /// dispatch by itself; only a new claim or ticket does.
     fn end(&self, digest: &str, state: KeyState) {
         let mut inner = self.lock();
         inner.keys.insert(digest.to_owned(), state);
--- a/crates/rookferry_entry/src/claims.rs
+++ b/crates/rookferry_entry/src/claims.rs
@@ -1,4 +1,9 @@
-//! Claims on the platform: a task for each shard object runs its writer.
+//! Claims of idempotency keys, stored in shard objects on the platform.
+//!
+//! A claim grants one caller the right to dispatch the call of a key. For each
+//! shard object a task runs its [`ClaimWriter`]: it collects claims from this
+//! instance and from peers, and writes them together, at most once per
+//! [`WRITE_INTERVAL`]. Tasks start with the first claim and stop after [`IDLE`].
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -35,17 +40,17 @@
 use crate::entry::now_ms;
 use crate::peers;
 
-/// Asks that may wait for one object's task.
+/// Capacity of the command queue of one object's task.
 const QUEUED_ASKS: usize = 1_024;
-/// The least time between two writes of one object, so that the writes of all
-/// objects stay within the platform's rate and claims share them.
+/// Least time between two writes of one object. It keeps the writes of all
+/// objects within the platform's rate, and lets claims share a write.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
-/// How often expired objects are looked for.
+/// How often expired objects are deleted.
 const DELETE_INTERVAL: Duration = Duration::from_mins(10);
-/// Idle time after which an object's task ends.
+/// Idle time after which an object's task stops.
 const IDLE: Duration = Duration::from_mins(1);
 
-/// What an object's task is sent.
+/// A command for an object's task.
 enum Message {
     Ask {
         digest: String,
@@ -58,19 +63,19 @@
     },
 }
 
-/// The claims of one instance.
+/// The claim writer tasks of one instance, by object.
 pub(crate) struct Claims {
     platform: Arc<dyn Platform>,
     log: Logger,
     writers: Mutex<HashMap<String, mpsc::Sender<Message>>>,
 }
 
-/// Claims a key. A claim that was granted is this caller's alone.
+/// Claims a key. At most one caller is granted each key.
 ///
-/// One instance writes each object for all, so that claims of many instances
-/// share a write and rarely conflict. Where that one doesn't answer, this one
-/// writes the object itself with the same nonce: if the other has written it
-/// after all, that shows as granted.
+/// One instance writes each object on behalf of all, so that claims of many
+/// instances share a write and rarely conflict. If that instance doesn't respond,
+/// this one writes the object itself with the same nonce: if the other had written
+/// the claim after all, it is recognized by its nonce and granted.
 pub(crate) async fn claim(
     entry: &EntryState,
     key: &ClaimKey,
@@ -96,7 +101,8 @@
     }
 }
 
-/// Deletes objects whose keys are refused for good by now, each by its home.
+/// Deletes objects whose keys have all expired; each object's writer instance does
+/// so.
 pub(crate) async fn delete_expired(entry: Arc<EntryState>) {
     loop {
         tokio::time::sleep(jittered(DELETE_INTERVAL)).await;
@@ -109,7 +115,7 @@
     }
 }
 
-/// One that can't be deleted now is looked at again next time.
+/// Deletes an object; a failure is logged and tried again in the next round.
 async fn delete(entry: &EntryState, object: &str) {
     let Ok(Some(found)) = entry.platform.get(CLAIMS_KIND, object).await else {
         return;
@@ -124,8 +130,7 @@
     }
 }
 
-/// Where the instance is asked that writes an object; `None` if it is this
-/// one.
+/// Address of the instance that writes an object; `None` if it is this one.
 fn home_addr(entry: &EntryState, object: &str) -> Option<SocketAddr> {
     let members = entry.peers.lock();
     let live = members.live();
@@ -142,7 +147,9 @@
         }
     }
 
-    /// Writes a claim from this instance, for itself or for a peer.
+    /// Writes a claim from this instance, for its own caller or for a peer's.
+    ///
+    /// Refused as contended when the task's queue is full.
     pub(crate) async fn claim_here(
         &self,
         key: &ClaimKey,
@@ -165,9 +172,9 @@
         reply.await.unwrap_or(refused)
     }
 
-    /// Takes back a claim that was never dispatched.
+    /// Withdraws a claim that was never dispatched.
     fn withdraw(&self, object: &str, nonce: u64, window_ms: u64) {
-        // If it can't be sent the claim stays, and its key is told as unknown.
+        // If this fails the claim stays, and its key is reported as unknown.
         let _ = self
             .writer(object, window_ms)
             .try_send(Message::Withdraw { nonce });
@@ -210,7 +217,7 @@
         loop {
             let Ok(first) = tokio::time::timeout(IDLE, messages.recv()).await else {
                 messages.close();
-                // What came in before the close is still served.
+                // Commands that arrived before the close are still served.
                 while let Ok(message) = messages.try_recv() {
                     self.serve(message, &mut messages).await;
                 }
@@ -223,8 +230,8 @@
         }
     }
 
-    /// Serves a message and all that came in the meantime, in one write if
-    /// nothing goes wrong.
+    /// Serves a command and all that have arrived since, with a single write
+    /// unless it conflicts or fails.
     async fn serve(&mut self, first: Message, messages: &mut mpsc::Receiver<Message>) {
         tokio::time::sleep_until(self.next_write).await;
         self.take(first);
@@ -277,7 +284,7 @@
                 }
             }
         };
-        // Asks only wait; the flush that follows writes them.
+        // This only queues the claim; the flush that follows writes it.
         let _ = self.writer.on_event(now_ms(), event);
     }
 
@@ -297,12 +304,12 @@
             Ok(PutAnswer::Written { version }) => ClaimEvent::Written { version },
             Ok(PutAnswer::Conflict { current }) => ClaimEvent::Conflict { current },
             Err(PlatformError::Lost { message }) => {
-                warn!(self.log, "claims: answer lost, reading back";
+                warn!(self.log, "claims: response to a write lost; reading the object back";
                     "part" => "claims", "object" => &self.object, "error" => message);
                 ClaimEvent::WriteLost
             }
             Err(PlatformError::Rejected { message }) => {
-                warn!(self.log, "claims: write turned away";
+                warn!(self.log, "claims: write rejected";
                     "part" => "claims", "object" => &self.object, "error" => message);
                 ClaimEvent::WriteRejected
             }
@@ -311,7 +318,7 @@
 
     fn answer(&mut self, ask: AskId, answer: ClaimReply) {
         if let Some(waiting) = self.waiting.remove(&ask) {
-            // One that no longer waits never dispatches.
+            // A caller that no longer waits never dispatches its call.
             let _ = waiting.send(answer);
         }
     }
--- a/crates/rookferry_entry/src/config_sync.rs
+++ b/crates/rookferry_entry/src/config_sync.rs
@@ -1,9 +1,9 @@
-//! Keeps the newest configuration in force.
+//! Configuration synchronization: keeps the newest configuration active.
 //!
-//! Two instances of each failure domain hold the platform's watch; the others
-//! hear of a new version by heartbeat and get its body from a peer. When the
-//! platform is out, the last configuration stays, and one that a peer has is
-//! taken from it. Only a higher version is ever adopted.
+//! In each failure domain two instances watch the platform's configuration object.
+//! The others learn of a new version from heartbeats and fetch its body from a
+//! peer. During an outage of the platform the last configuration stays active, and
+//! newer ones are still fetched from peers. Only higher versions are adopted.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -28,16 +28,16 @@
 use crate::entry::EntryState;
 use crate::peers;
 
-/// Instances of a failure domain that hold the watch.
+/// Number of instances per failure domain that watch the platform.
 const WATCHERS_PER_DOMAIN: usize = 2;
-/// How long one watch waits.
+/// Longest wait of one watch request.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// How often an instance that doesn't watch reads the platform all the same.
+/// How often an instance that doesn't watch reads the platform as a fallback.
 const IDLE_READ: Duration = Duration::from_mins(1);
-/// Pauses after failures, doubled each time.
+/// Bounds of the pause after a failure, which doubles each time.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
-/// How often peers' versions are compared.
+/// How often the configuration versions of peers are checked.
 const PEER_CHECK: Duration = Duration::from_millis(500);
 
 struct Current {
@@ -46,7 +46,7 @@
     config: Arc<SiteConfig>,
 }
 
-/// The configuration in force with its text, for peers.
+/// The active configuration, with its text to pass on to peers.
 pub(crate) struct ConfigStore {
     current: Mutex<Current>,
 }
@@ -62,23 +62,23 @@
         }
     }
 
-    /// The version in force.
+    /// Version of the active configuration; 0 if there is none.
     pub(crate) fn version(&self) -> ObjectVersion {
         self.lock().adopter.version()
     }
 
-    /// The highest version seen, in force or refused.
+    /// The highest version seen, active or rejected.
     fn seen(&self) -> ObjectVersion {
         self.lock().adopter.seen()
     }
 
-    /// Version and text in force.
+    /// Version and text of the active configuration.
     pub(crate) fn body(&self) -> (ObjectVersion, Arc<str>) {
         let current = self.lock();
         (current.adopter.version(), current.body.clone())
     }
 
-    /// A routing table of what is in force.
+    /// A routing table of the active configuration.
     pub(crate) fn table(&self) -> RoutingTable {
         let current = self.lock();
         RoutingTable::new(current.adopter.version(), current.config.clone())
@@ -99,17 +99,17 @@
     }
 }
 
-/// Takes a configuration from wherever it came.
+/// Adopts a configuration if it is newer and valid; `source` is logged.
 pub(crate) fn offer(entry: &Arc<EntryState>, source: &str, version: ObjectVersion, body: &str) {
     match entry.config.offer(version, body) {
         AdoptOutcome::InForce(_) => {
             discovery::rebuild(entry);
             entry.peers.wake.notify_waiters();
-            info!(entry.log, "config: in force"; "part" => "config", "version" => version, "source" => source);
+            info!(entry.log, "config: version is active"; "part" => "config", "version" => version, "source" => source);
         }
         AdoptOutcome::NotNewer => {}
         AdoptOutcome::Invalid(faults) => {
-            error!(entry.log, "config: refused, the one in force stays";
+            error!(entry.log, "config: invalid version rejected; the active one stays";
                 "part" => "config", "version" => version, "source" => source, "faults" => %faults);
         }
     }
@@ -154,7 +154,7 @@
                 wait_until_watcher(&entry).await;
             }
             Err(error) => {
-                info!(entry.log, "config: platform not reached"; "part" => "config", "error" => %error);
+                info!(entry.log, "config: platform watch failed"; "part" => "config", "error" => %error);
                 tokio::time::sleep(jittered(backoff)).await;
                 backoff = (backoff * 2).min(MAX_BACKOFF);
             }
@@ -162,7 +162,8 @@
     }
 }
 
-/// Returns at once on an instance that is to watch, or has no configuration.
+/// Waits until this instance should watch the platform, or the fallback read is
+/// due. Returns at once if it has no configuration.
 async fn wait_until_watcher(entry: &Arc<EntryState>) {
     let idle_until = tokio::time::Instant::now() + jittered(IDLE_READ);
     while entry.config.version() > 0 && !is_watcher(entry) {
@@ -173,8 +174,9 @@
     }
 }
 
-/// The first instances of the domain, by name, watch: which ones doesn't
-/// matter, as long as all agree and another follows when one goes.
+/// Whether this instance is among the first live ones of its domain, by name. Any
+/// order would do, as long as all instances agree on it and the next one takes
+/// over when one fails.
 fn is_watcher(entry: &EntryState) -> bool {
     let near: Vec<InstanceId> = entry.peers.lock().live_local();
     let position = near.iter().position(|name| *name == entry.instance);
@@ -205,8 +207,8 @@
     }
 }
 
-/// Between a half and the whole of a time, so that instances don't act at
-/// once after an outage.
+/// A random duration between half of `time` and `time`, so that instances don't
+/// all act at the same moment after an outage.
 pub(crate) fn jittered(time: Duration) -> Duration {
     time.mul_f64(rand::rng().random_range(0.5..1.0))
 }
--- a/crates/rookferry_entry/src/counters.rs
+++ b/crates/rookferry_entry/src/counters.rs
@@ -1,4 +1,4 @@
-//! Metrics, and the counts behind the burn report.
+//! Request metrics, and the objective counts behind the burn report.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -19,38 +19,39 @@
 
 static RECORDER: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// Installs the process's recorder, once.
+/// Installs the metrics recorder of the process on the first call; returns its
+/// handle.
 pub(crate) fn install_recorder() -> PrometheusHandle {
     RECORDER
         .get_or_init(|| {
             let recorder = PrometheusBuilder::new().build_recorder();
             let handle = recorder.handle();
-            // Fails only if an embedder has installed its own, which then
-            // gets the metrics.
+            // Fails only if the embedding program has installed its own recorder,
+            // which then gets the metrics.
             let _ = metrics::set_global_recorder(recorder);
             handle
         })
         .clone()
 }
 
-/// How a request went, as objectives see it.
+/// Result of a request, as counted for objectives.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Served {
     /// The route.
     pub(crate) route: String,
     /// The account.
     pub(crate) account: String,
-    /// Whether it was answered whole.
+    /// Whether it got a complete answer.
     pub(crate) is_answered: bool,
-    /// Whether a refusal is the caller's own doing, and so counts for nobody.
+    /// Whether the caller caused the refusal; then it counts for no objective.
     pub(crate) is_callers_fault: bool,
-    /// Time to the first token.
+    /// Time to the first token, `None` without tokens.
     pub(crate) first_token: Option<Duration>,
     /// Gaps between tokens.
     pub(crate) gaps: Vec<Duration>,
 }
 
-/// Counts of all objectives, by objective and account.
+/// Good and total counts, by objective and account.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
     objectives: Mutex<BTreeMap<(String, String), WindowCount>>,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// All counts since the instance started.
+    /// All counts since the start of the process.
     pub(crate) fn objectives(&self) -> Vec<ObjectiveSample> {
         let objectives = self
             .objectives
--- a/crates/rookferry_entry/src/decisions.rs
+++ b/crates/rookferry_entry/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Records of decisions, in parts that are locked apart.
+//! Store of recent decision records, sharded to reduce lock contention.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -9,7 +9,7 @@
 
 const SHARDS: usize = 16;
 
-/// The records of one instance.
+/// Decision records of one instance, by request id; the oldest are dropped.
 #[derive(Debug)]
 pub(crate) struct Decisions {
     shards: Vec<Mutex<DecisionLog>>,
@@ -34,7 +34,7 @@
         self.shard(request_id).get(request_id)
     }
 
-    /// Ids end in random digits.
+    /// The shard of a request id, by its last digit, which is random.
     fn shard(&self, request_id: &str) -> std::sync::MutexGuard<'_, DecisionLog> {
         let last = request_id.bytes().last().unwrap_or_default();
         let shard = &self.shards[usize::from(last) % SHARDS];
--- a/crates/rookferry_entry/src/discovery.rs
+++ b/crates/rookferry_entry/src/discovery.rs
@@ -1,11 +1,11 @@
-//! Follows the platform's list and the engines, and builds the snapshot that
-//! requests read.
+//! Discovery: reads the platform's list, polls engines, and rebuilds the snapshot
+//! that the request path reads.
 //!
-//! The list names backend servers and is late. Each engine is asked by one
-//! instance of its failure domain, which passes on by heartbeat what it hears.
-//! An engine that doesn't answer is taken for lost until it does. What the
-//! list, the engine or a peer says about leaving is in force with the next
-//! snapshot.
+//! The list names the backend servers, with a delay. Each engine is polled by one
+//! instance of its failure domain, which passes the results on in its heartbeats.
+//! An engine whose polls fail counts as lost until one succeeds. When the list, the
+//! engine or a peer reports that a server is leaving, this takes effect with the
+//! next snapshot.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,16 +34,16 @@
 use crate::peers;
 use crate::snapshot::Snapshot;
 
-/// Engines asked at once.
+/// Most engines polled concurrently.
 const ASKED_AT_ONCE: usize = 32;
-/// How often waiting requests are looked at when nothing else does.
+/// How often the admission queues are served while requests are queued.
 const PUMP_INTERVAL: Duration = Duration::from_millis(20);
-/// How long an engine's word about itself may be old before it is asked again.
+/// Time between two polls of the info of assigned engines.
 const DESCRIBE_INTERVAL: Duration = Duration::from_millis(700);
-/// Asks between two looks at an engine's cache events.
+/// Cache events are read in every n-th polling round.
 const CACHE_ROUNDS: u64 = 4;
 
-/// Puts a new snapshot in place of the one that requests read.
+/// Builds a snapshot and replaces the current one.
 pub(crate) fn rebuild(entry: &EntryState) {
     let _one_at_a_time = entry.known.lock_rebuild();
     let former = entry.snapshot.load_full();
@@ -56,7 +56,7 @@
     entry.snapshot.store(Arc::new(next));
 }
 
-/// Takes what a peer passes on about engines.
+/// Merges the engine digests of a peer's heartbeat.
 pub(crate) fn heard(entry: &EntryState, digests: &[EngineDigest]) {
     if entry.known.heard(clock::now(), digests) {
         rebuild(entry);
@@ -81,7 +81,7 @@
             }
             Err(error) => {
                 failures += 1;
-                info!(entry.log, "discovery: list not read, the last one stays";
+                info!(entry.log, "discovery: platform's list not read; the last one stays";
                     "part" => "discovery", "failures" => failures, "error" => %error);
                 if let Some(list) = ask_peer_for_list(&entry).await {
                     listed(&entry, list);
@@ -100,8 +100,8 @@
     }
 }
 
-/// An instance that can't read the platform's list takes a peer's, which may
-/// be newer than its own, or the only one that it gets.
+/// Fetches the list from a random live peer, for an instance that can't read the
+/// platform. The peer's list may be newer, or the only one available.
 async fn ask_peer_for_list(entry: &EntryState) -> Option<InstanceList> {
     let peers: Vec<SocketAddr> = {
         let members = entry.peers.lock();
@@ -138,7 +138,7 @@
     }
 }
 
-/// Asks those engines that are to be asked here; returns how many there were.
+/// Polls the engines that are due on this instance; returns their number.
 async fn ask_all(entry: &Arc<EntryState>, round: u64, is_describing: bool) -> usize {
     let by_domain = entry.peers.lock().live_by_domain();
     let all: Vec<InstanceId> = by_domain.values().flatten().cloned().collect();
@@ -170,7 +170,7 @@
 
 async fn ask_one(entry: &Arc<EntryState>, ask: Ask, round: u64, is_describing: bool) -> bool {
     let Ask { engine, addr, .. } = ask;
-    // That it isn't asked says nothing against it.
+    // A poll skipped because of a backoff doesn't count as failed.
     if entry.backoffs.left(addr).is_some() {
         return false;
     }
--- a/crates/rookferry_entry/src/entry.rs
+++ b/crates/rookferry_entry/src/entry.rs
@@ -1,4 +1,5 @@
-//! One instance: its parts, how they start, and how it leaves.
+//! Lifecycle of an entry instance: binding its addresses, starting its background
+//! tasks, and leaving with a drain of its requests.
 
 use std::io;
 use std::net::SocketAddr;
@@ -63,19 +64,19 @@
 pub enum EntryError {
     /// An address can't be bound.
     #[snafu(display(
-        "could not listen on {addr} for {purpose}: {source}; is another instance running there?"
+        "could not listen on {addr} for {purpose}: {source}; is another instance using the address?"
     ))]
     Bind {
         /// The address.
         addr: SocketAddr,
-        /// What for.
+        /// What the address is for, such as "callers".
         purpose: &'static str,
-        /// The cause.
+        /// The operating system's error.
         source: io::Error,
     },
 }
 
-/// Where an instance listens.
+/// Addresses that an instance listens on.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct EntryAddrs {
     /// For callers.
@@ -86,7 +87,7 @@
     pub peers: SocketAddr,
 }
 
-/// All that the parts of an instance share.
+/// State that all tasks of an instance share.
 pub(crate) struct EntryState {
     pub(crate) settings: EntrySettings,
     pub(crate) instance: InstanceId,
@@ -96,14 +97,14 @@
     pub(crate) snapshot: Arc<ArcSwap<Snapshot>>,
     pub(crate) admission: Arc<Admission>,
     pub(crate) engines: Arc<dyn EngineTransport>,
-    /// Backoffs that backend servers asked this instance for.
+    /// Backoffs requested by backend servers.
     pub(crate) backoffs: Arc<BackoffTable>,
     pub(crate) steps: StepSender,
     pub(crate) client: HttpClient,
     pub(crate) platform: Arc<dyn Platform>,
     pub(crate) config: ConfigStore,
     pub(crate) known: Known,
-    /// Told when the platform's list has changed.
+    /// Notified when the platform's list has changed.
     pub(crate) list_changed: Notify,
     pub(crate) prefixes: Mutex<PrefixIndex>,
     pub(crate) claims: Claims,
@@ -111,7 +112,7 @@
     pub(crate) answers: Answers,
     pub(crate) decisions: Decisions,
     pub(crate) retries: RetryBudget,
-    /// Calls under which servers ended.
+    /// Calls that crash servers.
     pub(crate) quarantine: CallQuarantine,
     pub(crate) peers: PeerState,
     pub(crate) counters: Counters,
@@ -120,13 +121,13 @@
 }
 
 impl EntryState {
-    /// A new request's id and its number.
+    /// A new request id, and the UUID that it ends in.
     pub(crate) fn new_request(&self) -> (RequestId, Uuid) {
         let number = Uuid::now_v7();
         (format!("{}.{number}", self.instance).into(), number)
     }
 
-    /// Whether it takes requests, and if not why.
+    /// Whether this instance accepts requests; the error says why not.
     pub(crate) fn readiness(&self) -> Result<(), String> {
         if self.leaving.load(Ordering::SeqCst) {
             return Err("leaving".to_owned());
@@ -144,13 +145,13 @@
     }
 }
 
-/// Milliseconds since 1970.
+/// Current time in milliseconds since the Unix epoch.
 pub(crate) fn now_ms() -> u64 {
     let since = clock::unix_now();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A running instance.
+/// A running entry instance.
 pub struct Entry {
     state: Arc<EntryState>,
     addrs: EntryAddrs,
@@ -159,11 +160,11 @@
 }
 
 impl Entry {
-    /// Starts an instance; its parts run in tasks of their own.
+    /// Binds the addresses and starts an instance's background tasks.
     ///
     /// # Errors
     ///
-    /// If an address can't be bound.
+    /// [`EntryError::Bind`] if an address can't be bound.
     pub async fn start(settings: EntrySettings, log: Logger) -> Result<Self, EntryError> {
         let limits = ConnectionLimits {
             max_connections: settings.limits.connections,
@@ -199,16 +200,17 @@
         })
     }
 
-    /// Where it listens.
+    /// Addresses that it listens on; port 0 in the settings is resolved.
     #[must_use]
     pub const fn addrs(&self) -> EntryAddrs {
         self.addrs
     }
 
-    /// Leaves: `/readyz` turns off, the balancer is waited for, requests
-    /// under way finish, within the bounds of the settings.
+    /// Leaves the site: `/readyz` fails, the load balancer gets time to notice, and
+    /// then no new connections are accepted while active requests finish.
     ///
-    /// Returns whether all of them finished.
+    /// The times are bounded by `leave_wait_ms` and `drain_timeout_ms` of the
+    /// settings. Returns whether all requests finished.
     pub async fn leave(self) -> bool {
         let limits = &self.state.settings.limits;
         self.state.leaving.store(true, Ordering::SeqCst);
@@ -219,7 +221,7 @@
         let drain = Duration::from_millis(limits.drain_timeout_ms);
         let is_drained = tokio::time::timeout(drain, self.drained()).await.is_ok();
         if !is_drained {
-            warn!(self.state.log, "entry: left with requests under way";
+            warn!(self.state.log, "entry: drain timed out; leaving with active requests";
                 "part" => "entry", "requests" => self.callers.requests());
         }
         is_drained
@@ -236,8 +238,8 @@
 fn build_state(settings: EntrySettings, log: Logger) -> EntryState {
     let instance: InstanceId = settings.instance.as_str().into();
     let failure_domain: DomainId = settings.failure_domain.as_str().into();
-    // Later runs of an instance have higher numbers, as far as its clock goes
-    // forward; a number that repeats is refused by peers as stale.
+    // Later incarnations have higher numbers as long as the clock doesn't go back;
+    // peers reject a repeated number as stale.
     let incarnation = now_ms();
     let client = HttpClient::new();
     let backoffs = Arc::new(BackoffTable::new(log.clone()));
@@ -293,8 +295,8 @@
         .context(BindSnafu { addr, purpose })
 }
 
-/// UDP and TCP on the same port; with port 0 the TCP port that is given is
-/// tried for UDP until both are free.
+/// Binds UDP and TCP to the same port. With port 0 it retries until the assigned
+/// TCP port is free for UDP too.
 async fn bind_peers(addr: SocketAddr) -> Result<(UdpSocket, TcpListener), EntryError> {
     const TRIES: u32 = 20;
     let purpose = "peers";
--- a/crates/rookferry_entry/src/http/call.rs
+++ b/crates/rookferry_entry/src/http/call.rs
@@ -1,4 +1,5 @@
-//! What all calls have in common: who calls, with what, under which labels.
+//! Handling common to all calls: authentication, limits, body, labels, and the
+//! record that is written when a call ends.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -29,7 +30,7 @@
 use crate::snapshot::AccountPermit;
 use crate::snapshot::Snapshot;
 
-/// Labels that a caller may give a request.
+/// Most labels in a request's `rookferry-labels` header.
 const MAX_LABELS: usize = 16;
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 const REPEATABLE: &str = "rookferry-repeatable";
@@ -37,37 +38,41 @@
 const COMPLETIONS: &str = "/v1/completions";
 const LABELS: &str = "rookferry-labels";
 
-/// A call of a known account, with its body read and nothing dispatched.
+/// An authenticated call with its body read, not yet dispatched.
 pub(super) struct Call {
     pub(super) request: Undispatched,
-    /// The random part of its id, and the id of its stream.
+    /// UUID at the end of its request id; also the id of its stream.
     pub(super) number: Uuid,
     pub(super) account: AccountId,
     pub(super) weight: f64,
     pub(super) snapshot: Arc<Snapshot>,
     pub(super) body: Bytes,
     pub(super) labels: Labels,
-    /// The caller's labels as it sent them.
+    /// Value of the `rookferry-labels` header.
     pub(super) raw_labels: String,
-    /// The key, if it may run once.
+    /// The idempotency key; ignored for calls declared repeatable.
     pub(super) key: Option<String>,
-    /// What the caller says about repeats.
+    /// Value of the `rookferry-repeatable` header, if given.
     pub(super) repeatable: Option<bool>,
-    /// The plain service and the path within it, for calls of one.
+    /// Plain service and the path within it; `None` for model calls.
     pub(super) service: Option<(String, String)>,
-    /// The method.
+    /// HTTP method.
     pub(super) method: String,
     pub(super) received_at: Instant,
     pub(super) record: DecisionRecord,
-    /// Whether a peer passed it on.
+    /// Whether a peer forwarded it.
     pub(super) is_forwarded: bool,
     pub(super) permit: AccountPermit,
-    /// Made when it is first asked for.
+    /// Computed on first use.
     signature: OnceLock<RequestSignature>,
 }
 
 impl Call {
-    /// Reads a call from a caller.
+    /// Authenticates a caller and reads its call.
+    ///
+    /// # Errors
+    ///
+    /// A refusal that is not logged yet.
     pub(super) async fn receive(
         entry: &Arc<EntryState>,
         inbound: &mut Inbound,
@@ -86,7 +91,7 @@
             let not_run = request.refuse(ReasonCode::NotReady);
             let refusal = Refusal::new(
                 not_run,
-                "no configuration is in force yet; ask another instance",
+                "no configuration is active yet; use another instance",
             );
             return Err(refusal.retry_after(Duration::from_secs(1)));
         }
@@ -110,8 +115,9 @@
             .and_then(|gauge| gauge.enter(limit))
         else {
             let not_run = request.refuse(ReasonCode::AccountLimit);
-            let detail =
-                format!("account {account} has {limit} requests under way here, its limit");
+            let detail = format!(
+                "account {account} has {limit} active requests on this instance, its limit"
+            );
             return Err(Refusal::new(not_run, detail).retry_after(Duration::from_millis(500)));
         };
         let body = match read_body(entry, inbound).await {
@@ -146,7 +152,7 @@
         Self::assemble(entry, request, number, snapshot, parts)
     }
 
-    /// Takes a call that a peer passes on; the peer has checked its caller.
+    /// Accepts a call forwarded by a peer, which has authenticated the caller.
     pub(super) fn forwarded(entry: &Arc<EntryState>, call: &KeyedCall) -> Result<Self, Refusal> {
         let (request_id, number) = entry.new_request();
         let request = Undispatched::new(request_id);
@@ -160,7 +166,7 @@
             let not_run = request.refuse(ReasonCode::Unauthorized);
             return Err(Refusal::new(
                 not_run,
-                format!("no account {account} at the key's owner"),
+                format!("the key's owner has no account {account}"),
             ));
         };
         let parts = CallParts {
@@ -221,7 +227,7 @@
         })
     }
 
-    /// What tells that it is the same call when it comes again.
+    /// Identifies retries of the same call.
     pub(super) fn signature(&self) -> RequestSignature {
         *self.signature.get_or_init(|| {
             let path = match &self.service {
@@ -232,13 +238,13 @@
         })
     }
 
-    /// Turns a call away under which servers ended, if it is held. Of one that
-    /// may run once it isn't known whether its key was run before.
+    /// Refuses the call if it is quarantined. With an idempotency key its outcome is
+    /// unknown, since the key may have been run before.
     pub(super) fn refuse_if_held(self, entry: &EntryState) -> Result<Self, Refusal> {
         let Some(left) = entry.held_for(self.signature()) else {
             return Ok(self);
         };
-        let detail = "servers ended each time that they ran this; it is held for a time";
+        let detail = "servers crashed each time that they ran this call; it is quarantined";
         let refusal = if self.key.is_some() {
             self.unknown(entry, ReasonCode::Quarantined, detail)
         } else {
@@ -247,7 +253,7 @@
         Err(refusal.retry_after(left))
     }
 
-    /// Gives it up before dispatch, with its record.
+    /// Refuses the call before dispatch, and records that.
     pub(super) fn refuse(
         self,
         entry: &EntryState,
@@ -258,7 +264,8 @@
         ended_without_route(self.record, self.account).told(entry, Refusal::new(not_run, detail))
     }
 
-    /// Gives it up where earlier work under its key may have run.
+    /// Refuses the call when earlier work under its key may have run, and records
+    /// that.
     pub(super) fn unknown(
         self,
         entry: &EntryState,
@@ -292,7 +299,7 @@
     permit: AccountPermit,
 }
 
-/// What is left of a call to be recorded when it ends.
+/// The part of a call that is needed to record its end.
 pub(super) struct Ended {
     pub(super) record: DecisionRecord,
     pub(super) account: AccountId,
@@ -300,7 +307,7 @@
 }
 
 impl Ended {
-    /// It was answered whole.
+    /// Records a complete answer of `size` tokens or, for services, bytes.
     pub(super) fn answered(
         mut self,
         entry: &EntryState,
@@ -326,7 +333,7 @@
         refusal
     }
 
-    /// It got no answer.
+    /// Records and logs a refusal.
     pub(super) fn refused(mut self, entry: &EntryState, refusal: &Refusal) {
         self.record.result = Some(DecisionResult::Failed {
             outcome: refusal.outcome(),
@@ -344,7 +351,7 @@
         entry.decisions.insert(self.record);
     }
 
-    /// Its caller went away.
+    /// Records that the caller disconnected.
     pub(super) fn caller_gone(mut self, entry: &EntryState) {
         self.record.result = Some(DecisionResult::CallerGone);
         counter!("rookferry_requests_total", "route" => self.route, "result" => "caller_gone")
@@ -353,7 +360,7 @@
     }
 }
 
-/// Logs a refusal that has no record of its own.
+/// Logs a refusal; called directly only where there is no decision record.
 pub(super) fn log_refusal(entry: &EntryState, refusal: &Refusal) {
     info!(entry.log, "request: no answer";
         "part" => "request", "request_id" => %refusal.request_id(),
@@ -365,7 +372,7 @@
     entry.counters.served(snapshot.table.config(), served);
 }
 
-/// The name after `/apps/` and the path after that, query included.
+/// Service name after `/apps/`, and the path with the query after the name.
 fn service_of(inbound: &Inbound) -> Option<(String, String)> {
     let path = inbound
         .uri
@@ -403,8 +410,8 @@
     })
 }
 
-/// Labels of account, instance and request, each under its own prefix so that
-/// a caller can't pass its labels off as another's.
+/// Labels of account, instance and request. Each kind has its own prefix, so that a
+/// caller can't imitate the labels of others.
 fn labels_of(entry: &EntryState, snapshot: &Snapshot, parts: &CallParts) -> Result<Labels, String> {
     let mut labels = Labels::new();
     labels.insert("account".to_owned(), parts.account.to_string());
@@ -431,7 +438,7 @@
         }
         let Some((name, value)) = pair.split_once('=') else {
             return Err(format!(
-                "Rookferry-Labels has {pair:?}; use name=value, parted by commas"
+                "Rookferry-Labels has {pair:?}; use name=value, separated by commas"
             ));
         };
         labels.insert(format!("request.{}", name.trim()), value.trim().to_owned());
--- a/crates/rookferry_entry/src/http/forward.rs
+++ b/crates/rookferry_entry/src/http/forward.rs
@@ -1,5 +1,5 @@
-//! Calls passed on to the instance that owns their key, and those that peers
-//! pass on to this one.
+//! Forwarding of calls to the instance that owns their key, and serving calls that
+//! peers forward here.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use crate::entry::EntryState;
 use crate::peers;
 
-/// Serves a call that a peer passes on.
+/// Serves a call that a peer forwards.
 pub(crate) async fn serve_keyed(entry: &Arc<EntryState>, keyed: KeyedCall) -> PeerAnswer {
     let response = match Call::forwarded(entry, &keyed) {
         Ok(call) => match &keyed.service {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Passes a ticket on to the instance that minted it.
+/// Forwards a call with a ticket to the instance that minted the ticket.
 pub(super) async fn forward_ticket(
     entry: &Arc<EntryState>,
     call: Call,
@@ -82,10 +82,10 @@
     }
 }
 
-/// The owner's process has ended: nothing listens at its address.
+/// The owner's process is gone: nothing listens at its address.
 pub(super) struct OwnerGone;
 
-/// Passes a call on to its key's owner.
+/// Forwards a call to the owner of its key; fails only if the owner is gone.
 pub(super) async fn forward(
     entry: &Arc<EntryState>,
     call: &Call,
@@ -118,7 +118,7 @@
         }
         Err(error) if error.is_refused() => Err(OwnerGone),
         Ok(_) | Err(_) => {
-            let detail = "the key's owner did not answer; come back with the key";
+            let detail = "the key's owner did not respond; retry with the key";
             let refusal = Refusal::running(&call.request, detail);
             log_refusal(entry, &refusal);
             Ok(respond::refused(entry, &refusal))
@@ -126,8 +126,8 @@
     }
 }
 
-/// A model call's body as peers and digests see it: the caller's wish for
-/// events is met by whoever answers it, and changes nothing of the work.
+/// A call's body in canonical form, for forwarding and digests. In model calls
+/// `stream` is removed: it selects the form of the response, not the work.
 pub(super) fn whole_body(call: &Call) -> Vec<u8> {
     let body = serde_json::from_slice(&call.body);
     let (None, Ok(serde_json::Value::Object(mut body))) = (&call.service, body) else {
--- a/crates/rookferry_entry/src/http/keyed.rs
+++ b/crates/rookferry_entry/src/http/keyed.rs
@@ -1,8 +1,10 @@
-//! Calls that may run once: claims, tickets, and callers that come back.
+//! Calls with an idempotency key, which run at most once: claims, tickets, and
+//! retries.
 //!
-//! A call is dispatched only by the instance whose claim or ticket its key
-//! is. Any other instance passes it on to that one, or, when that one is
-//! gone, resumes what the engines still hold; it never starts the work.
+//! Only the instance that owns the claim or ticket of a key dispatches its call.
+//! Any other instance forwards the call to the owner. If the owner's process is
+//! gone, it resumes the stream that the engines still hold, and never starts the
+//! work itself. A retry is answered from the stored response where there is one.
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -50,27 +52,27 @@
 use crate::entry::EntryState;
 use crate::entry::now_ms;
 
-/// When a caller that couldn't claim its key should come back.
+/// Suggested retry time for a caller whose key couldn't be claimed.
 const CLAIM_RETRY: Duration = Duration::from_secs(1);
 
-/// A key, where it is claimed, and the body it stands for.
+/// A parsed key with its claim object, and the digest of the call's body.
 #[derive(Clone, Debug)]
 pub(super) struct KeyedBody {
     pub(super) key: ClaimKey,
     pub(super) body_digest: String,
 }
 
-/// What a key allows.
+/// What may be done with a call, as decided by its key.
 pub(super) enum KeyVerdict {
-    /// Dispatch; the key is marked as running.
+    /// Dispatch it; the key is marked as running.
     Dispatch(Box<Call>),
-    /// Answer with this.
+    /// Don't dispatch it; send this response.
     Respond(Response<Body>),
-    /// Resume another instance's work.
+    /// Resume the stream of another instance's claim.
     Resume(Box<Call>, Claim),
 }
 
-/// What this instance knows of a key's work.
+/// State of a key's work on this instance, compared with the call's body.
 enum KnownWork {
     Nothing,
     Running,
@@ -78,7 +80,7 @@
     Finished(KeptAnswer),
 }
 
-/// Serves a model call with a key.
+/// Serves a model call that has a key.
 pub(super) async fn serve_model(
     entry: &Arc<EntryState>,
     call: Call,
@@ -113,8 +115,8 @@
     }
 }
 
-/// Reads a call's key; a caller that comes back is answered here, without a
-/// place on engines or a call to the platform.
+/// Parses a call's key. A retry of a call that this instance has served is
+/// answered here, without placing a stream or calling the platform.
 pub(super) fn check_key(
     entry: &EntryState,
     call: Call,
@@ -139,7 +141,7 @@
     }
 }
 
-/// Finds out whether a call may be dispatched, and claims its key if so.
+/// Decides what may be done with a call: claims its key, or redeems its ticket.
 pub(super) async fn settle_key(
     entry: &Arc<EntryState>,
     call: Call,
@@ -165,7 +167,8 @@
     let claiming = entry.answers.claiming(&keyed.key.digest);
     let answer = claims::claim(entry, &keyed.key, claim, window_ms).await;
     match answer {
-        // Begun before the mark goes, so that the key is never seen as absent.
+        // Marked as running before `claiming` is dropped, so that the key is never
+        // seen as absent.
         ClaimReply::Granted => begin(entry, call, keyed, is_stream),
         ClaimReply::Taken(claim) => {
             drop(claiming);
@@ -175,7 +178,7 @@
     }
 }
 
-/// The last gate before dispatch on this instance.
+/// Marks the key as running, unless it already runs or has run on this instance.
 fn begin(entry: &EntryState, call: Call, keyed: &KeyedBody, is_stream: bool) -> KeyVerdict {
     if entry.answers.begin(&keyed.key.digest) {
         return KeyVerdict::Dispatch(Box::new(call));
@@ -184,7 +187,7 @@
     KeyVerdict::Respond(known_or_unknown(
         entry,
         known,
-        "the key's work has ended here",
+        "the key's work has ended on this instance",
     ))
 }
 
@@ -205,25 +208,26 @@
             call,
             keyed,
             is_stream,
-            "the key's answer is no longer kept",
+            "the key's answer is no longer stored",
         );
     }
     if let Some(addr) = owner_addr(entry, &claim.owner, claim.incarnation)
         && !call.is_forwarded
     {
-        // A response, unless the owner is gone.
+        // Fails only if the owner's process is gone.
         if let Ok(response) = forward(entry, &call, addr, is_stream).await {
             return KeyVerdict::Respond(response);
         }
     }
     if claim.stream.is_none() {
-        let detail = "the instance that ran it is gone, and a service's call can't be resumed";
+        let detail =
+            "the instance that ran the call is gone, and calls of services can't be resumed";
         return KeyVerdict::Respond(unknown(entry, call, detail));
     }
     KeyVerdict::Resume(Box::new(call), claim)
 }
 
-/// A key that this run of the instance claimed or minted before.
+/// Resolves a key that this incarnation claimed or minted itself.
 fn settle_own(
     entry: &EntryState,
     call: Call,
@@ -257,7 +261,7 @@
                 call,
                 keyed,
                 is_stream,
-                "the ticket's answer is no longer kept",
+                "the ticket's answer is no longer stored",
             );
         }
         Err(TicketFault::Elsewhere { instance }) => {
@@ -286,13 +290,13 @@
 ) -> Response<Body> {
     let stages = stages_of(entry, claim);
     let (Some(stages), Some(stream)) = (stages, claim.stream) else {
-        return unknown(entry, call, "the engines that ran it are gone");
+        return unknown(entry, call, "the engines that ran the call are gone");
     };
     if !entry.answers.begin(&keyed.key.digest) {
         let known = respond_known(entry, call, &keyed, work.request.stream);
-        return known_or_unknown(entry, known, "the key's work has ended here");
+        return known_or_unknown(entry, known, "the key's work has ended on this instance");
     }
-    info!(entry.log, "request: resumes another instance's stream";
+    info!(entry.log, "request: resuming another instance's stream";
         "part" => "request", "request_id" => %call.request.request_id(), "owner" => %claim.owner, "stream" => %stream);
     let former: Vec<EngineId> = placement
         .stages
@@ -309,7 +313,8 @@
     run.respond(entry).await
 }
 
-/// The claim's chain, if its engines are known and still fit together.
+/// The claim's chain, if its engines are known and their layers are still
+/// contiguous from 0.
 fn stages_of(entry: &EntryState, claim: &Claim) -> Option<Vec<Stage>> {
     let snapshot = entry.snapshot.load();
     let mut stages: Vec<Stage> = Vec::new();
@@ -327,7 +332,7 @@
     (!stages.is_empty()).then_some(stages)
 }
 
-/// Where the owner of a claim is heard, if that run of it answers.
+/// Peer address of a claim's owner, if that incarnation of it is not suspected.
 fn owner_addr(
     entry: &EntryState,
     owner: &InstanceId,
@@ -340,8 +345,8 @@
     is_owner.then_some(member.heartbeat.peer_addr)
 }
 
-/// Answers from what this instance knows of a key; gives the call back if it
-/// knows nothing.
+/// Responds from this instance's state of a key; returns the call if there is
+/// none.
 fn respond_known(
     entry: &EntryState,
     call: Call,
@@ -353,7 +358,7 @@
         KnownWork::Running => {
             let refusal = Refusal::running(
                 &call.request,
-                "the key's work is running here; come back with the key",
+                "the key's work is running on this instance; retry with the key",
             );
             log_refusal(entry, &refusal);
             Err(Box::new(respond::refused(entry, &refusal)))
@@ -400,7 +405,7 @@
     let (reason, detail) = match refusal {
         ClaimRefusal::Unavailable => (
             ReasonCode::ClaimUnavailable,
-            "the platform can't be reached to claim the key; come back with the key later, or with this ticket as the key now, and then with the ticket alone",
+            "the platform can't be reached to claim the key; retry with the key later, or with this ticket as the key now, and from then on with the ticket only",
         ),
         ClaimRefusal::Full => (
             ReasonCode::Overloaded,
@@ -424,14 +429,16 @@
     respond::refused(entry, &refusal)
 }
 
-/// What became of the key's earlier work can't be said.
+/// Responds that the outcome of the key's earlier work is unknown.
 pub(super) fn unknown(entry: &EntryState, call: Call, detail: &str) -> Response<Body> {
     let refusal = call.unknown(entry, ReasonCode::OwnerGone, detail);
     respond::refused(entry, &refusal)
 }
 
 impl KeyedBody {
-    /// Reads the key of a call and digests its body.
+    /// Parses the key of a call and computes the digest of its body.
+    ///
+    /// For calls of services the digest covers the method, service and path too.
     pub(super) fn read(call: &Call) -> Result<Self, KeyFault> {
         let key = call.key.as_deref().unwrap_or_default();
         let window_ms = call.snapshot.table.config().policy.key_window_ms;
--- a/crates/rookferry_entry/src/http/mod.rs
+++ b/crates/rookferry_entry/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! What callers and operators are served.
+//! HTTP interfaces of an entry instance: one for callers, one for operators.
 
 mod call;
 mod forward;
@@ -25,7 +25,7 @@
 
 pub(crate) use forward::serve_keyed;
 
-/// The paths for callers.
+/// Routes of the callers' interface.
 pub(crate) fn caller_router(entry: &Arc<EntryState>, connections: &ConnectionTable) -> Router {
     let methods = vec![
         Method::GET,
@@ -52,7 +52,7 @@
     })
 }
 
-/// The paths for operators.
+/// Routes of the operators' interface.
 pub(crate) fn operator_router(entry: &Arc<EntryState>, connections: &ConnectionTable) -> Router {
     build_simple_router(|route| {
         route
--- a/crates/rookferry_entry/src/http/model.rs
+++ b/crates/rookferry_entry/src/http/model.rs
@@ -1,4 +1,6 @@
-//! Model calls: from the body to a chain of engines and back.
+//! Model calls (`POST /v1/completions`): parses and routes a call, places its
+//! stream on a chain of engines, runs it, and sends the answer as JSON or as
+//! server-sent events.
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -43,10 +45,10 @@
 use crate::runner::StreamEnd;
 use crate::runner::StreamRun;
 
-/// Most tokens of an answer.
+/// Largest `max_tokens` that is accepted.
 const MAX_TOKENS: u32 = 32_768;
 
-/// What a model call asks for, checked.
+/// A validated and routed model call.
 pub(super) struct ModelWork {
     pub(super) request: CompletionRequest,
     pub(super) need: StreamNeed,
@@ -56,7 +58,7 @@
     pub(super) route: String,
 }
 
-/// A model call that is about to run.
+/// A dispatched model call.
 pub(super) struct ModelRun {
     pub(super) request_id: RequestId,
     pub(super) dispatched: Dispatched,
@@ -65,7 +67,7 @@
     pub(super) work: ModelWork,
     pub(super) ended: Ended,
     pub(super) received_at: Instant,
-    /// The key's digest and the body's, if its answer is to be kept.
+    /// Digests of the key and the body, if the answer is to be stored.
     pub(super) keep: Option<(String, String)>,
 }
 
@@ -81,7 +83,7 @@
     serve(&entry, call).await
 }
 
-/// Serves a call whose caller is known.
+/// Serves a call of an authenticated caller.
 pub(super) async fn serve(entry: &Arc<EntryState>, mut call: Call) -> Response<Body> {
     let work = match ModelWork::read(entry, &mut call) {
         Ok(work) => work,
@@ -109,7 +111,7 @@
     run.respond(entry).await
 }
 
-/// Turns a call without a place away, at once.
+/// Refuses a call that couldn't be placed.
 pub(super) fn refuse_place(
     entry: &EntryState,
     mut call: Call,
@@ -129,16 +131,17 @@
 }
 
 impl ModelWork {
-    /// Checks a call's body and finds its route.
+    /// Validates a call's body and finds its route.
     pub(super) fn read(entry: &EntryState, call: &mut Call) -> Result<Self, (ReasonCode, String)> {
         let request: CompletionRequest = serde_json::from_slice(&call.body).map_err(|error| {
             (
                 ReasonCode::BadRequest,
-                format!("the body is no completion request: {error}"),
+                format!("the body is not a valid completion request: {error}"),
             )
         })?;
         if request.prompt.is_empty() || request.max_tokens == 0 || request.max_tokens > MAX_TOKENS {
-            let detail = format!("prompt must not be empty, and max_tokens be 1 to {MAX_TOKENS}");
+            let detail =
+                format!("prompt must not be empty, and max_tokens must be 1 to {MAX_TOKENS}");
             return Err((ReasonCode::BadRequest, detail));
         }
         let config = call.snapshot.table.config();
@@ -193,12 +196,12 @@
         })
     }
 
-    /// A stream on the chain of a placement.
+    /// The stream's specification on the chain of a placement.
     pub(super) fn spec(&self, stream: StreamId, placement: &Placement) -> StreamSpec {
         self.spec_on(stream, placement.stages.clone())
     }
 
-    /// A stream on a chain.
+    /// The stream's specification on a given chain.
     pub(super) fn spec_on(
         &self,
         stream: StreamId,
@@ -216,7 +219,7 @@
 }
 
 impl ModelRun {
-    /// Dispatches a call.
+    /// Marks a call as dispatched.
     pub(super) fn new(
         mut call: Call,
         work: ModelWork,
@@ -244,10 +247,10 @@
         }
     }
 
-    /// Runs it and answers, token by token or whole.
+    /// Runs the call and responds, as events or with the whole answer.
     ///
-    /// It runs in a task of its own: one whose answer is kept goes on when
-    /// its caller goes away, any other is cancelled then.
+    /// It runs in a separate task. If its answer is to be stored, it continues when
+    /// its caller disconnects; any other call is cancelled then.
     pub(super) async fn respond(self, entry: &Arc<EntryState>) -> Response<Body> {
         let request_id = self.request_id.clone();
         let (cancel, cancelled) = watch::channel(false);
@@ -344,29 +347,30 @@
         let request_id = dispatched.request_id().clone();
         return Refusal::running_as(
             request_id,
-            "another instance has taken the work over; come back with the key",
+            "another instance has taken over the work; retry with the key",
         );
     }
     let (reason, detail) = match end {
         StreamEnd::Deadline => (ReasonCode::DeadlinePassed, "the route's deadline passed"),
-        StreamEnd::CallerGone => (ReasonCode::EngineLost, "the caller went away"),
+        StreamEnd::CallerGone => (ReasonCode::EngineLost, "the caller disconnected"),
         StreamEnd::Abandoned(AbandonReason::NotHeld) => {
             (ReasonCode::OwnerGone, "the engines no longer hold the work")
         }
         StreamEnd::Held => (
             ReasonCode::Quarantined,
-            "engines ended each time that they ran this; it is held for a time",
+            "engines crashed each time that they ran this call; it is quarantined",
         ),
         StreamEnd::Abandoned(_) => (
             ReasonCode::EngineLost,
-            "engines were lost and others could not go on",
+            "engines were lost, and others could not continue the stream",
         ),
     };
     let verdict: Verdict = dispatched.settle(driver, reason);
     Refusal::new(verdict, detail).retry_after(Duration::from_secs(1))
 }
 
-/// Keeps what was told, so that a caller that comes back is told the same.
+/// Stores a refusal, so that retries get the same response. A key whose work
+/// didn't run may run later.
 pub(super) fn keep_refusal(entry: &EntryState, digest: &str, body_digest: &str, refusal: &Refusal) {
     if refusal.outcome() == rookferry_wire::Outcome::NotRun {
         entry.answers.not_run(digest);
--- a/crates/rookferry_entry/src/http/operators.rs
+++ b/crates/rookferry_entry/src/http/operators.rs
@@ -1,4 +1,5 @@
-//! What operators ask an instance.
+//! Handlers of the operators' interface: health, metrics, status, configuration,
+//! fleet, and decision records.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,7 +21,7 @@
 use crate::entry::EntryState;
 use crate::peers;
 
-/// What an instance says about itself and its peers.
+/// Body of `/v1/status`.
 #[derive(Serialize)]
 struct Status {
     instance: String,
@@ -83,7 +84,7 @@
     )
 }
 
-/// The engines, for the controller beside this instance.
+/// Serves `/v1/fleet`: the engines, for the controller.
 pub(super) async fn fleet(entry: Arc<EntryState>, _inbound: Inbound) -> Response<Body> {
     let snapshot = entry.snapshot.load();
     let engines = snapshot.fleet.engines().iter();
@@ -99,7 +100,8 @@
     json_response(StatusCode::OK, &engines)
 }
 
-/// Any instance may be asked; the one named in the id answers.
+/// Serves `/v1/decisions/{request_id}`. Any instance can be asked: it fetches the
+/// record from the instance that the id names.
 pub(super) async fn decision(entry: Arc<EntryState>, inbound: Inbound) -> Response<Body> {
     let id = inbound
         .path_after("/v1/decisions/")
@@ -111,7 +113,7 @@
     let instance = id.rsplit_once('.').map_or("", |(instance, _)| instance);
     if *instance == *entry.instance {
         return not_kept(&format!(
-            "{instance} keeps no record of {id}: it is too old, or from an earlier run"
+            "{instance} has no record of {id}: it is too old, or from an earlier incarnation"
         ));
     }
     let addr = {
@@ -122,7 +124,7 @@
     };
     let Some(addr) = addr else {
         return not_kept(&format!(
-            "{instance:?}, which decided, is not known here; it may be gone"
+            "{instance:?}, which handled the request, is not known here; it may have left"
         ));
     };
     let request = PeerRequest::Decision {
@@ -134,10 +136,10 @@
             json_response(StatusCode::OK, &value)
         }
         Ok(_) => not_kept(&format!(
-            "{instance} keeps no record of {id}: it is too old, or from an earlier run"
+            "{instance} has no record of {id}: it is too old, or from an earlier incarnation"
         )),
         Err(error) => not_kept(&format!(
-            "{instance}, which decided, does not answer: {error}"
+            "{instance}, which handled the request, does not respond: {error}"
         )),
     }
 }
--- a/crates/rookferry_entry/src/http/refusal.rs
+++ b/crates/rookferry_entry/src/http/refusal.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when there is no answer.
+//! Refusals: why a caller gets no answer, and the problem document that says so.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use rookferry_wire::ReasonCode;
 use rookferry_wire::RequestId;
 
-/// The reason for giving no answer. Its outcome comes from a [`Verdict`], or
-/// is "running"; nothing else can make one.
+/// A refused call. Its outcome comes from a [`Verdict`] or is "running"; it can't be
+/// made in any other way.
 #[derive(Clone, Debug)]
 pub(crate) struct Refusal {
     outcome: Outcome,
@@ -35,13 +35,14 @@
         }
     }
 
-    /// The key's work runs elsewhere or runs already; nothing was dispatched
-    /// for this request itself.
+    /// The key's work is already running, here or elsewhere; nothing was dispatched
+    /// for this request.
     pub(crate) fn running(request: &Undispatched, detail: impl Into<String>) -> Self {
         Self::running_as(request.request_id().clone(), detail)
     }
 
-    /// Another instance has taken the work over.
+    /// As [`Self::running`], for a request that was dispatched before another
+    /// instance took over its work.
     pub(crate) fn running_as(request_id: RequestId, detail: impl Into<String>) -> Self {
         Self {
             outcome: Outcome::Running,
@@ -73,8 +74,8 @@
         &self.request_id
     }
 
-    /// Whether the caller could have done better, so that it counts against
-    /// no objective of the site.
+    /// Whether the caller caused the refusal, so that it counts against no objective
+    /// of the site.
     pub(crate) const fn is_callers_fault(&self) -> bool {
         matches!(
             self.reason,
--- a/crates/rookferry_entry/src/http/respond.rs
+++ b/crates/rookferry_entry/src/http/respond.rs
@@ -1,4 +1,4 @@
-//! Responses with the headers that each of ours carries.
+//! Responses to callers, with the headers that all of them carry.
 
 use std::sync::atomic::Ordering;
 
@@ -18,12 +18,12 @@
 use crate::entry::EntryState;
 use crate::http::refusal::Refusal;
 
-/// Content type of errors.
+/// Content type of refusals.
 pub(super) const PROBLEM_TYPE: &str = "application/problem+json";
 
 const REQUEST_ID: HeaderName = HeaderName::from_static("rookferry-request-id");
 
-/// An error's response.
+/// The response for a refusal.
 pub(super) fn refused(entry: &EntryState, refusal: &Refusal) -> Response<Body> {
     let problem = refusal.problem();
     let status = StatusCode::from_u16(problem.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -35,7 +35,7 @@
     finished(entry, refusal.request_id(), response)
 }
 
-/// A kept answer's response.
+/// The response for a stored answer.
 pub(super) fn kept(entry: &EntryState, answer: &KeptAnswer) -> Response<Body> {
     let body = Full::new(answer.body.clone().into()).map_err(|never| match never {});
     let mut response = Response::new(UnsyncBoxBody::new(body));
@@ -49,8 +49,8 @@
     finished(entry, &answer.request_id, response)
 }
 
-/// Adds the request's id, and asks callers of a leaving instance to connect
-/// anew.
+/// Adds the request id. On a leaving instance it also closes the connection, so
+/// that the caller connects to another one.
 pub(super) fn finished(
     entry: &EntryState,
     request_id: &str,
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -1,8 +1,9 @@
-//! Calls of plain services.
+//! Calls of plain services (`/apps/{service}/{path}`): picks a server, sends the
+//! call, and passes the response on.
 //!
-//! A call that may be repeated is tried on another instance when one fails. A
-//! call that may not is sent once: only a connection that was never made
-//! shows that nothing was taken.
+//! A repeatable call is retried on another server when one fails. Any other call is
+//! sent once: only a connection that was never established proves that the server
+//! didn't receive it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,12 +50,12 @@
 use crate::answers::KeptAnswer;
 use crate::entry::EntryState;
 
-/// Largest answer that is passed on.
+/// Largest response body that is passed on.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
-/// When to come back where no server is there: it takes about a second to be
-/// listed.
+/// Suggested retry time when no server is live: a new one appears in the list
+/// after about a second.
 const NO_SERVER_PAUSE: Duration = Duration::from_secs(1);
-/// Instances tried for a call that may be repeated.
+/// Most servers tried for one call.
 const MAX_TRIES: usize = 3;
 
 /// Serves `/apps/{service}/{path}`.
@@ -67,14 +68,14 @@
         }
     };
     let Some((name, path)) = call.service.clone() else {
-        let refusal = call.refuse(&entry, ReasonCode::NotFound, "no service in the path");
+        let refusal = call.refuse(&entry, ReasonCode::NotFound, "the path names no service");
         return respond::refused(&entry, &refusal);
     };
     let method = call.method.clone();
     serve(&entry, call, &method, &name, &path).await
 }
 
-/// Serves a call whose caller is known.
+/// Serves a call of an authenticated caller.
 pub(super) async fn serve(
     entry: &Arc<EntryState>,
     mut call: Call,
@@ -129,20 +130,21 @@
         KeyVerdict::Dispatch(call) => {
             send_and_answer(entry, *call, name, outgoing, Some(keyed)).await
         }
-        // A claim without a stream is never resumed.
+        // Not reached: claims of services have no stream, and only a stream can be
+        // resumed.
         KeyVerdict::Resume(call, _) => {
             let refusal = call.unknown(
                 entry,
                 ReasonCode::OwnerGone,
-                "a service's call can't be resumed",
+                "calls of services can't be resumed",
             );
             respond::refused(entry, &refusal)
         }
     }
 }
 
-/// Sends it in a task of its own, so that a call whose answer is kept goes on
-/// when its caller goes away.
+/// Sends a call in a separate task, so that one whose answer is to be stored
+/// continues when its caller disconnects.
 async fn send_and_answer(
     entry: &Arc<EntryState>,
     call: Call,
@@ -193,7 +195,7 @@
     task.await.unwrap_or_else(|_| failed())
 }
 
-/// A call on its way to a service.
+/// A call to be sent to a service.
 struct Outgoing {
     signature: RequestSignature,
     request_id: RequestId,
@@ -204,14 +206,16 @@
     body: Bytes,
 }
 
-/// Whether any try so far may have run; one that may have stays so.
+/// Whether any try may have reached a server. Once dispatched, a call stays
+/// dispatched.
 enum Progress {
     Undispatched(Undispatched),
     Dispatched(Dispatched),
 }
 
 impl Progress {
-    /// Returns whether an earlier try was sent, with the proof of dispatch.
+    /// Returns whether an earlier try may have been received, and the proof of
+    /// dispatch.
     fn dispatch(self) -> (bool, Dispatched) {
         match self {
             Self::Undispatched(request) => (false, request.dispatch()),
@@ -289,11 +293,11 @@
         }
     }
 
-    /// The refusal where no server is to be sent to; `left` is the time until the
-    /// first backoff ends.
+    /// The refusal when no server is available; `left` is the time until the first
+    /// backoff ends, `None` without any.
     fn no_server(&self, progress: Progress, left: Option<Duration>) -> Refusal {
         if let Some(left) = left {
-            let detail = "its servers asked for a backoff; come back when it ends";
+            let detail = "the service's servers requested a backoff; retry when it ends";
             return Refusal::new(progress.give_up(ReasonCode::Overloaded), detail)
                 .retry_after(left);
         }
@@ -301,7 +305,8 @@
         Refusal::new(progress.give_up(ReasonCode::NoChain), detail).retry_after(NO_SERVER_PAUSE)
     }
 
-    /// Its run broke at a server.
+    /// Reports that the connection to a server broke, so that the server is probed
+    /// for a crash.
     fn broke_at(&self, entry: &Arc<EntryState>, instance: &ServiceInstance, sent_at: Instant) {
         let quarantine = &entry.quarantine;
         let server = quarantine.plain_server(&instance.instance, instance.addr);
@@ -313,7 +318,7 @@
                 run: rand::random(),
                 progress: RunProgress::Begun,
                 joined_at: sent_at,
-                // It took the call.
+                // It was alive then: it accepted the call.
                 alive_at: sent_at,
                 at: clock::now(),
             },
--- a/crates/rookferry_entry/src/http/sse.rs
+++ b/crates/rookferry_entry/src/http/sse.rs
@@ -1,4 +1,5 @@
-//! Answers as server-sent events.
+//! Model answers as server-sent events: one event per token, then `[DONE]`, or an
+//! `error` event if the answer is incomplete.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -25,10 +26,10 @@
 
 use crate::runner::TokenSink;
 
-/// Ends a whole answer; one cut short ends without it.
+/// Last event of a complete answer.
 const DONE: &str = "data: [DONE]\n\n";
 
-/// Cancels a stream when its caller's response is dropped.
+/// Cancels a stream on drop, such as when its caller's response is dropped.
 pub(super) struct CancelOnDrop(pub(super) watch::Sender<bool>);
 
 impl Drop for CancelOnDrop {
@@ -37,7 +38,8 @@
     }
 }
 
-/// Collects tokens, their times, and passes them on as events.
+/// Collects a stream's tokens and their times, and sends them as events if there is
+/// a receiver.
 pub(super) struct TokenCollector {
     request_id: RequestId,
     events: Option<mpsc::UnboundedSender<Bytes>>,
@@ -48,7 +50,7 @@
 }
 
 impl TokenCollector {
-    /// Times count from `received_at`.
+    /// The time to the first token counts from `received_at`.
     pub(super) const fn new(
         request_id: RequestId,
         received_at: Instant,
@@ -64,12 +66,12 @@
         }
     }
 
-    /// Ends the events of a whole answer.
+    /// Ends the events of a complete answer.
     pub(super) fn done(&self) {
         self.send(DONE.into());
     }
 
-    /// Ends the events of an answer cut short.
+    /// Ends the events of an incomplete answer with an error.
     pub(super) fn failed(&self, problem: &Problem) {
         let json = serde_json::to_string(problem).unwrap_or_default();
         self.send(format!("event: error\ndata: {json}\n\n").into());
@@ -77,7 +79,7 @@
 
     fn send(&self, event: Bytes) {
         if let Some(events) = &self.events {
-            // A caller that went away is noticed by `CancelOnDrop`.
+            // A disconnected caller is detected by `CancelOnDrop`.
             let _ = events.send(event);
         }
     }
@@ -100,7 +102,7 @@
     }
 }
 
-/// The text that stands for a token.
+/// Text of a token.
 pub(super) fn token_text(token: u64) -> String {
     format!("{token} ")
 }
@@ -116,8 +118,8 @@
     format!("data: {json}\n\n").into()
 }
 
-/// A response that sends events as they come; the stream is cancelled when
-/// `cancel` goes with it.
+/// A response that sends events as they arrive; dropping it drops `cancel`, which
+/// cancels the stream.
 pub(super) fn live(
     events: mpsc::UnboundedReceiver<Bytes>,
     cancel: Option<CancelOnDrop>,
@@ -129,7 +131,7 @@
     response(StreamBody::new(events.boxed()))
 }
 
-/// A finished answer as the events that it had.
+/// A response that repeats the events of a finished answer.
 pub(super) fn replay(request_id: &RequestId, tokens: &[u64]) -> Response<Body> {
     let mut events: Vec<Bytes> = (0..)
         .zip(tokens)
--- a/crates/rookferry_entry/src/known.rs
+++ b/crates/rookferry_entry/src/known.rs
@@ -1,5 +1,8 @@
-//! The backend servers that the platform's list names, with what was asked
-//! here and heard from peers.
+//! Registry of the backend servers in the platform's list.
+//!
+//! It combines the list with the results of this instance's own polls and with the
+//! digests that peers send in heartbeats. The snapshot of engines and services is
+//! built from it, and it decides which engines to poll next.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,7 +34,7 @@
 use rookferry_wire::InstanceState;
 use rookferry_wire::LoadReport;
 
-/// Failed asks in a row after which an engine is taken for lost.
+/// Consecutive failed polls after which an engine counts as lost.
 const LOST_AFTER: u32 = 2;
 
 #[derive(Debug)]
@@ -42,15 +45,16 @@
     failed_asks: u32,
     next_cache_event: u64,
     stats: Arc<EngineStats>,
-    /// The last load that the engine itself gave.
+    /// Last load report from the engine itself, with the time of receipt.
     report: Option<(Instant, LoadReport)>,
-    /// Whether this instance is the one that asks it.
+    /// Whether this instance is assigned to poll it.
     is_own: bool,
-    /// When it was last asked here or heard of.
+    /// Time of the last poll or digest; `None` while its info is missing or outdated.
     last_news: Option<Instant>,
 }
 
-/// Who asks: an instance, the instances that take work, its budget.
+/// Inputs for the choice of engines to poll: this instance, the live instances,
+/// and the polling budget.
 #[derive(Debug)]
 pub(crate) struct Asker<'a> {
     pub(crate) own: &'a InstanceId,
@@ -60,7 +64,7 @@
     pub(crate) bytes_per_s: u32,
 }
 
-/// An engine that is to be asked.
+/// An engine to poll, and why.
 #[derive(Debug)]
 pub(crate) struct Ask {
     pub(crate) engine: EngineId,
@@ -69,18 +73,18 @@
     pub(crate) reason: PollReason,
 }
 
-/// All backend servers that the list names.
+/// State of all listed backend servers.
 #[derive(Debug, Default)]
 pub(crate) struct Known {
     servers: Mutex<BTreeMap<EngineId, KnownServer>>,
     peers: Mutex<Vec<InstanceEntry>>,
-    /// Held while a snapshot is built, so that an older one never replaces a
-    /// newer one.
+    /// Locked while a snapshot is built and stored, so that an older one never
+    /// replaces a newer one.
     rebuilding: Mutex<()>,
 }
 
 impl Known {
-    /// Entry instances that the list names.
+    /// The listed entry instances.
     pub(crate) fn peers(&self) -> Vec<InstanceEntry> {
         self.peers
             .lock()
@@ -98,8 +102,8 @@
         self.servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether no backend server can be sent to: none is listed, or engines are
-    /// and none of them has been described yet.
+    /// Whether no backend server is usable: none is listed, or engines are listed and
+    /// the info of none is known yet.
     pub(crate) fn is_empty(&self) -> bool {
         let servers = self.lock();
         let mut engines = servers
@@ -112,7 +116,7 @@
         engines.all(|server| server.info.is_none())
     }
 
-    /// The list as it was last taken, for peers that can't read it.
+    /// The last list, for peers that can't read the platform.
     pub(crate) fn list(&self) -> InstanceList {
         let servers = self.lock();
         let servers = servers.values().map(|server| server.entry.clone());
@@ -121,7 +125,8 @@
         }
     }
 
-    /// Takes the list; returns whether anything changed.
+    /// Replaces the list; returns whether a backend server was added, removed or
+    /// changed. A server at a new address starts without state.
     pub(crate) fn listed(&self, instances: Vec<InstanceEntry>) -> bool {
         let mut servers = self.lock();
         let mut peers = Vec::new();
@@ -145,7 +150,7 @@
         is_changed
     }
 
-    /// All engines that have been described.
+    /// All engines whose info is known.
     pub(crate) fn engines(&self) -> Vec<Engine> {
         let servers = self.lock();
         let engines = servers.values().filter_map(|server| {
@@ -161,7 +166,7 @@
         engines.collect()
     }
 
-    /// All instances of plain services.
+    /// All servers of plain services.
     pub(crate) fn services(&self) -> Vec<ServiceInstance> {
         let servers = self.lock();
         let services = servers
@@ -178,9 +183,9 @@
         services.collect()
     }
 
-    /// The engines that this instance is to ask now: its own ones, and of the
-    /// others as many as the budget allows, those of its domain and those not
-    /// heard of for longest first.
+    /// The engines to poll now: those assigned to this instance, and as many others
+    /// as the budget allows. Of these, engines of its own failure domain go first,
+    /// then those with the oldest update.
     pub(crate) fn to_ask(&self, now: Instant, asker: &Asker<'_>) -> Vec<Ask> {
         let mut servers = self.lock();
         let mut own = Vec::new();
@@ -209,8 +214,8 @@
         own
     }
 
-    /// Takes what an engine says of itself, or that it says nothing; returns
-    /// whether its state changed.
+    /// Records an engine's info, or a failed poll if there is none; returns whether
+    /// its info or state changed.
     pub(crate) fn described(
         &self,
         now: Instant,
@@ -233,7 +238,7 @@
         is_changed || server.state() != former
     }
 
-    /// Takes an engine's own load report.
+    /// Records a load report that was polled from an engine.
     pub(crate) fn reported(&self, now: Instant, name: &EngineId, report: LoadReport) {
         if let Some(server) = self.lock().get_mut(name) {
             server.stats.reported(now, &report);
@@ -247,15 +252,15 @@
         }
     }
 
-    /// The engines that this instance asks, for its peers.
+    /// Digests of the engines that this instance polls, for its heartbeats.
     pub(crate) fn digests(&self, now: Instant) -> Vec<EngineDigest> {
         let servers = self.lock();
         let own = servers.values().filter(|server| server.is_own);
         own.filter_map(|server| server.digest(now)).collect()
     }
 
-    /// Takes what a peer passes on; returns whether anything changed that the
-    /// snapshot holds.
+    /// Merges a peer's digests, except for engines that this instance polls itself;
+    /// returns whether an engine's state changed.
     pub(crate) fn heard(&self, now: Instant, digests: &[EngineDigest]) -> bool {
         let mut servers = self.lock();
         let by_tag: BTreeMap<u32, &EngineDigest> = digests
@@ -341,8 +346,8 @@
             return false;
         };
         let former = (self.failed_asks >= LOST_AFTER, info.leaving);
-        // What it says of itself must be asked for; until then the one word
-        // that can't wait is taken from the peer.
+        // Changed info has to be polled from the engine; only `leaving` is urgent and
+        // taken from the peer.
         info.leaving = digest.is_leaving;
         let is_described = info_tag(info) == digest.info_tag;
         self.failed_asks = if digest.is_lost { LOST_AFTER } else { 0 };
--- a/crates/rookferry_entry/src/lib.rs
+++ b/crates/rookferry_entry/src/lib.rs
@@ -1,8 +1,9 @@
-//! One entry instance: the request path, and its part in membership and
+//! An entry instance: serves callers' requests from model engines and plain
+//! services, exchanges heartbeats with its peers, and follows the site's
 //! configuration.
 //!
-//! [`Entry::start`] runs an instance within a process; the binary
-//! `rookferry-entry` is little more than settings, logs and signals around it.
+//! [`Entry::start`] runs an instance within a process. The binary `rookferry-entry`
+//! adds settings, logging and signal handling.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/rookferry_entry/src/main.rs
+++ b/crates/rookferry_entry/src/main.rs
@@ -1,4 +1,7 @@
-//! Runs one entry instance until it is told to stop.
+//! Runs an entry instance until it gets SIGTERM or SIGINT.
+//!
+//! Exits with code 3 if requests were still active when the drain timed out, and
+//! with 1 on an error.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -32,7 +35,7 @@
 async fn main() -> ExitCode {
     match run(Args::parse()).await {
         Ok(true) => ExitCode::SUCCESS,
-        // Requests were still under way when the bound passed.
+        // The drain timed out with active requests.
         Ok(false) => ExitCode::from(3),
         Err(message) => {
             eprintln!("rookferry-entry: {message}");
--- a/crates/rookferry_entry/src/peers/heartbeat.rs
+++ b/crates/rookferry_entry/src/peers/heartbeat.rs
@@ -1,4 +1,8 @@
-//! Heartbeats: one datagram says who is there, and what is in force.
+//! Heartbeats between entry instances, over UDP.
+//!
+//! Each datagram carries the sender's membership state, its configuration version,
+//! digests of the engines that it polls, and suspected calls. Its size and the
+//! interval follow from the byte budget in the settings.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,15 +28,15 @@
 use crate::discovery;
 use crate::entry::EntryState;
 
-/// Digests that fit a datagram beside the rest of a heartbeat.
+/// Most digests that fit into a datagram beside the rest of a heartbeat.
 const MAX_DIGESTS: usize = 48;
-/// Calls under which servers ended that one heartbeat tells of, at up to 100
-/// bytes; the rest follow in the next rounds.
+/// Most suspected calls per heartbeat, of up to 100 bytes each; the rest follow in
+/// the next rounds.
 const MAX_SUSPECTS: usize = 3;
-/// Size of a heartbeat before the first was made.
+/// Assumed size of the first heartbeat.
 const FIRST_GUESS_BYTES: usize = 100;
 
-/// What one instance sends another.
+/// Contents of a heartbeat datagram.
 #[derive(Debug, Serialize, Deserialize)]
 struct PeerDatagram {
     heartbeat: Heartbeat,
@@ -57,7 +61,7 @@
             Ok(datagram) => {
                 bytes = datagram.len();
                 for target in &round {
-                    // Lost datagrams are what heartbeats are made for.
+                    // A lost heartbeat is made up for by the next one.
                     let _ = udp.send_to(&datagram, target.addr).await;
                 }
                 counter!("rookferry_heartbeat_bytes_total").increment((bytes * round.len()) as u64);
@@ -73,11 +77,11 @@
 }
 
 pub(super) async fn receive(entry: Arc<EntryState>, udp: Arc<UdpSocket>) {
-    // One byte more than a datagram may have, so that longer ones are seen.
+    // One byte more than the largest datagram, so that longer ones are detected.
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         let Ok((length, source)) = udp.recv_from(&mut buffer).await else {
-            // An earlier datagram was refused by its receiver's machine.
+            // Reports that an earlier datagram was rejected by its receiver's host.
             continue;
         };
         match entry.peers.key.open_message(&buffer[..length]) {
@@ -91,8 +95,8 @@
     }
 }
 
-/// Seals a heartbeat with what is known of calls under which servers ended;
-/// where both don't fit, the heartbeat goes alone.
+/// Seals a heartbeat with suspected calls. If both don't fit into a datagram, it
+/// is sent without the calls.
 fn seal(entry: &EntryState, heartbeat: Heartbeat) -> Result<Vec<u8>, DatagramError> {
     let mut datagram = PeerDatagram {
         heartbeat,
@@ -125,7 +129,8 @@
     }
 }
 
-/// The engines that this instance asks; more than fit go in turn.
+/// Digests of the engines that this instance polls. If there are too many for one
+/// datagram, successive heartbeats rotate through them.
 fn digests(entry: &EntryState, seq: u64) -> Vec<EngineDigest> {
     let all = entry.known.digests(clock::now());
     let parts = all.len().div_ceil(MAX_DIGESTS).max(1) as u64;
@@ -162,6 +167,6 @@
 fn suspect(entry: &EntryState) {
     let suspected = entry.peers.lock().tick(clock::now());
     for instance in suspected {
-        info!(entry.log, "peers: not heard from"; "part" => "peers", "peer" => %instance);
+        info!(entry.log, "peers: no heartbeats from peer; it is suspected"; "part" => "peers", "peer" => %instance);
     }
 }
--- a/crates/rookferry_entry/src/peers/mod.rs
+++ b/crates/rookferry_entry/src/peers/mod.rs
@@ -1,4 +1,5 @@
-//! Peers: heartbeats over UDP, requests over TCP.
+//! Communication with other entry instances: heartbeats over UDP, requests over
+//! TCP.
 
 mod heartbeat;
 mod state;
@@ -15,7 +16,7 @@
 pub(crate) use state::PeerState;
 pub(crate) use tcp::ask;
 
-/// Starts both.
+/// Starts sending and receiving heartbeats, and serving peers' requests.
 pub(crate) fn start(
     entry: &Arc<EntryState>,
     udp: UdpSocket,
--- a/crates/rookferry_entry/src/peers/state.rs
+++ b/crates/rookferry_entry/src/peers/state.rs
@@ -1,4 +1,5 @@
-//! What an instance knows of its peers.
+//! Membership state of an instance: its peers, and the addresses to send
+//! heartbeats to.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,12 +18,12 @@
 
 use crate::EntrySettings;
 
-/// Members, their addresses, and who is to be woken when something is new.
+/// Members, seed addresses, and the notifications for changes.
 pub(crate) struct PeerState {
     pub(crate) key: DatagramKey,
-    /// Wakes the sender of heartbeats.
+    /// Notified to send a heartbeat at once.
     pub(crate) wake: Notify,
-    /// Told of news from peers.
+    /// Notified when a peer's heartbeat shows a change.
     pub(crate) news: Notify,
     members: Mutex<MemberTable>,
     seeds: Vec<SocketAddr>,
@@ -48,8 +49,8 @@
         self.members.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Everyone to send heartbeats to: members, those that the list names,
-    /// and the settings' peers that haven't been heard from.
+    /// All targets of heartbeats: members, listed entry instances, and the seed
+    /// addresses of the settings.
     pub(crate) fn targets(
         &self,
         listed: &[InstanceEntry],
--- a/crates/rookferry_entry/src/peers/tcp.rs
+++ b/crates/rookferry_entry/src/peers/tcp.rs
@@ -1,8 +1,9 @@
-//! Requests between peers: one authenticated request a connection.
+//! Requests between peers over TCP: one authenticated request per connection.
 //!
-//! The asked instance sends a random number; the asker proves with it that it
-//! holds the site's secret, and sends its request in the same message. The
-//! site's network is trusted for secrecy, not for who speaks.
+//! The server sends a random nonce. The client proves with it that it holds the
+//! site's secret, and sends its request along with the proof. Messages are encoded
+//! with `postcard` after a 4-byte big-endian length. They aren't encrypted: the
+//! site's network is trusted for confidentiality, but not for authenticity.
 
 use std::io;
 use std::net::SocketAddr;
@@ -31,35 +32,35 @@
 const PROOF_BYTES: usize = 32;
 /// Largest message, above the platform's largest object.
 const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
-/// How long a peer may take for anything but running a request.
+/// Time limit of a peer request that doesn't run a call.
 const ASK_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a peer may take to run a request.
+/// Time limit of a peer request that runs a call.
 const RUN_TIMEOUT: Duration = Duration::from_mins(1);
-/// Peers served at once.
+/// Most connections of peers served at once.
 const MAX_PEERS: usize = 256;
 
-/// Why a peer gave no answer.
+/// Why a peer request failed.
 #[derive(Debug, Snafu)]
 pub(crate) enum PeerError {
     /// The connection failed.
-    #[snafu(display("peer connection: {source}"))]
+    #[snafu(display("connection to the peer failed: {source}"))]
     Connection { source: io::Error },
-    /// It took too long.
-    #[snafu(display("peer did not answer in time"))]
+    /// The peer didn't respond in time.
+    #[snafu(display("peer did not respond in time"))]
     TimedOut,
-    /// The message can't be read.
-    #[snafu(display("peer message: {source}"))]
+    /// A message can't be encoded or decoded.
+    #[snafu(display("invalid peer message: {source}"))]
     Message { source: postcard::Error },
 }
 
 impl PeerError {
-    /// Whether nothing listens at the peer's address.
+    /// Whether the connection was refused: no process listens at the peer's address.
     pub(crate) fn is_refused(&self) -> bool {
         matches!(self, Self::Connection { source } if source.kind() == io::ErrorKind::ConnectionRefused)
     }
 }
 
-/// Asks a peer.
+/// Sends a request to a peer and waits for its response.
 pub(crate) async fn ask(
     entry: &EntryState,
     addr: SocketAddr,
--- a/crates/rookferry_entry/src/quarantine.rs
+++ b/crates/rookferry_entry/src/quarantine.rs
@@ -1,5 +1,9 @@
-//! Calls under which servers ended: what is known of them here, whether one may
-//! be sent, and how it is found out.
+//! Quarantine of calls that crash servers.
+//!
+//! When a call's connection to a server breaks, the server is probed to find out
+//! whether it crashed. Crashes are counted by call signature in [`Quarantine`] and
+//! exchanged with peers in heartbeats. Callers ask here before each dispatch or
+//! retry; a call with too many crashes is refused for a time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,11 +35,11 @@
 
 use crate::entry::EntryState;
 
-/// How long a call under which servers ended before waits for word of the last.
-/// An engine that ended is told from others by its next start at the latest.
+/// How long the retry of a suspected call waits for the probe of the last server. A
+/// crashed engine is recognized by its new incarnation at the latest.
 const VERDICT_WAIT: Duration = Duration::from_millis(500);
-/// Pauses before a server that a run broke at is asked, one after the other:
-/// one that has ended refuses at once, or is back as another start.
+/// Pause before each probe of a server, in order. A crashed server refuses the
+/// connection at once, or responds with a new incarnation after its restart.
 const CHECK_PAUSES: [Duration; 6] = [
     Duration::ZERO,
     Duration::from_millis(25),
@@ -45,17 +49,17 @@
     Duration::from_millis(800),
 ];
 
-/// Who may tell whether a server has ended.
+/// A server incarnation that is probed for a crash.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Server {
-    /// An engine, by its start.
+    /// An engine, which reports its incarnation.
     Engine {
         engine: EngineId,
         incarnation: Incarnation,
         addr: SocketAddr,
     },
-    /// A plain service's server, which doesn't tell its starts: how often it was
-    /// found to have ended.
+    /// A plain service's server, which doesn't report an incarnation; the number of
+    /// its detected crashes stands in for it.
     Plain {
         name: InstanceId,
         ends: u64,
@@ -64,7 +68,7 @@
 }
 
 impl Server {
-    /// The server's start.
+    /// Key of the server's incarnation.
     pub(crate) fn key(&self) -> ServerKey {
         match self {
             Self::Engine {
@@ -77,18 +81,19 @@
     }
 }
 
-/// What is known of such calls.
+/// Crash counts of calls, and the broken runs whose servers are being probed.
 #[derive(Debug, Default)]
 pub(crate) struct CallQuarantine {
     calls: Mutex<Quarantine>,
     broken: Mutex<BrokenRuns>,
-    /// How often each plain server was found to have ended.
+    /// Number of detected crashes of each plain server.
     plain_ends: Mutex<BTreeMap<InstanceId, u64>>,
+    /// Notified when a probe has finished.
     decided: Notify,
 }
 
 impl CallQuarantine {
-    /// What others are to be told, at most `most`.
+    /// At most `most` suspected calls for the next heartbeat.
     pub(crate) fn next_told(&self, most: usize) -> Vec<SuspectObservation> {
         self.calls().next_advertised(most, clock::now())
     }
@@ -101,7 +106,7 @@
         self.broken.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A plain service's server, as it is now.
+    /// The current incarnation of a plain service's server.
     pub(crate) fn plain_server(&self, name: &InstanceId, addr: SocketAddr) -> Server {
         Server::Plain {
             name: name.clone(),
@@ -116,7 +121,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until it is known of all servers at which a call's runs broke.
+    /// Waits until all servers at which a call's runs broke have been probed.
     async fn decided(&self, signature: RequestSignature) {
         until(&self.decided, || !self.broken().is_undecided(signature)).await;
     }
@@ -128,7 +133,7 @@
 }
 
 impl EntryState {
-    /// How much longer a call is kept from servers, if it is.
+    /// Time until a call's quarantine ends; `None` if it is not quarantined.
     pub(crate) fn held_for(&self, signature: RequestSignature) -> Option<Duration> {
         let suspicion = self.quarantine.calls().suspicion(signature, clock::now());
         match suspicion {
@@ -137,19 +142,21 @@
         }
     }
 
-    /// Whether a call that has run may be sent on. One under which servers ended
-    /// before waits for word of the last.
+    /// Whether a call may be retried after a broken run. A call with earlier crashes
+    /// first waits for the probe of the last server.
     pub(crate) async fn may_run_again(&self, signature: RequestSignature) -> bool {
         let suspicion = self.quarantine.calls().suspicion(signature, clock::now());
         if let Suspicion::Suspected { .. } = suspicion {
             let decided = self.quarantine.decided(signature);
-            // Without word of it the run counts as one that broke for itself.
+            // If the probe isn't finished in time, the run doesn't count as a crash
+            // for this decision.
             let _ = tokio::time::timeout(VERDICT_WAIT, decided).await;
         }
         self.held_for(signature).is_none()
     }
 
-    /// A call's run broke at a server, which is asked whether it is there.
+    /// Records a broken run, and probes its server for a crash unless a probe is
+    /// pending.
     pub(crate) fn run_broke(self: &Arc<Self>, run: BrokenRun, server: Server) {
         let noted = self.quarantine.broken().record(run, clock::now());
         match noted {
@@ -162,15 +169,16 @@
         }
     }
 
-    /// Finds out whether a server has ended.
+    /// Probes a server until it is known whether it crashed, or the pauses are used
+    /// up.
     async fn check_ended(&self, server: &Server) {
         let mut is_heard = false;
         for pause in CHECK_PAUSES {
             tokio::time::sleep(pause).await;
             match self.ask_whether_ended(server).await {
                 Some(true) => return self.server_ended(server),
-                // A plain server has no start to tell: one that takes
-                // connections now may just be about to close them.
+                // A plain server reports no incarnation: one that accepts
+                // connections now may be about to exit.
                 Some(false) if matches!(server, Server::Plain { .. }) => is_heard = true,
                 Some(false) => return self.quarantine.server_answered(server.key()),
                 None => {}
@@ -181,7 +189,7 @@
         }
     }
 
-    /// Whether a server has ended, as far as one question shows it.
+    /// Probes a server once; `None` if the result is inconclusive.
     async fn ask_whether_ended(&self, server: &Server) -> Option<bool> {
         match server {
             Server::Engine {
@@ -212,13 +220,13 @@
         self.quarantine.decided.notify_waiters();
     }
 
-    /// A server ended under some runs.
+    /// Counts a server's crash for each of the runs that it broke.
     fn runs_crashed(&self, runs: &[BrokenRun]) {
         let ends: Vec<_> = runs.iter().map(|run| (run.signature, run.crash)).collect();
         let changes = self.quarantine.calls().record_crashes(&ends, clock::now());
         for run in runs {
             counter!("rookferry_runs_crashed_total").increment(1);
-            warn!(self.log, "request: a server ended under it"; "part" => "quarantine",
+            warn!(self.log, "request: server crashed while running it"; "part" => "quarantine",
                 "request_id" => &run.request, "signature" => %run.signature,
                 "server" => %run.crash.server.addr, "progress" => ?run.crash.progress);
         }
@@ -227,7 +235,7 @@
         }
     }
 
-    /// A call's run ended well.
+    /// Records that a call ran successfully, which clears its earlier crashes.
     pub(crate) fn run_finished(&self, signature: RequestSignature) {
         let change = self
             .quarantine
@@ -236,7 +244,7 @@
         self.note_change(signature, change, "own");
     }
 
-    /// Takes in what another instance knows of calls.
+    /// Merges a peer's suspected calls.
     pub(crate) fn learn_suspects(&self, told: &[SuspectObservation], source: &str) {
         for seen in told {
             let change = self.quarantine.calls().merge(seen, clock::now());
@@ -252,7 +260,7 @@
                     "part" => "quarantine", "signature" => %signature, "source" => source);
             }
             QuarantineChange::Released => {
-                info!(self.log, "quarantine: a call may run again";
+                info!(self.log, "quarantine: a call is released";
                     "part" => "quarantine", "signature" => %signature, "source" => source);
             }
         }
--- a/crates/rookferry_entry/src/runner.rs
+++ b/crates/rookferry_entry/src/runner.rs
@@ -1,6 +1,8 @@
-//! Runs a stream: carries out what its driver asks for.
+//! Runs a stream: carries out the actions of its [`StreamDriver`].
 //!
-//! The driver in the core decides; this part sends, waits, and reports back.
+//! The driver in the core decides what happens next; this module does the I/O. It
+//! opens attempts and sends steps to engines, picks replacements for lost engines,
+//! passes tokens to a [`TokenSink`], and feeds the results back as events.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -38,49 +40,52 @@
 use crate::entry::EntryState;
 use crate::quarantine::Server;
 
-/// Pauses before engines that were lost are tried again, doubled each time and
-/// back to the shortest with the next token.
+/// Bounds of the pause before lost engines are tried again. It doubles each time,
+/// and is reset to the minimum by the next token.
 const MIN_REPLACE_PAUSE: Duration = Duration::from_millis(25);
 const MAX_REPLACE_PAUSE: Duration = Duration::from_millis(800);
 
-/// Takes the tokens of a stream.
+/// Consumer of a stream's tokens.
 pub(crate) trait TokenSink: Send + Sync {
-    /// The next token.
+    /// Called with each token in order; `index` counts from 0.
     fn token(&mut self, index: u32, token: u64);
 }
 
 /// Why a stream didn't finish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StreamEnd {
-    /// The driver gave it up.
+    /// The driver abandoned it.
     Abandoned(AbandonReason),
     /// Its deadline passed.
     Deadline,
-    /// Its caller went away.
+    /// Its caller disconnected.
     CallerGone,
-    /// Engines ended each time that they ran it.
+    /// It is quarantined, since engines crashed each time that they ran it.
     Held,
 }
 
-/// One stream under way.
+/// One active stream.
 pub(crate) struct StreamRun<'a> {
     pub(crate) entry: &'a Arc<EntryState>,
     pub(crate) driver: &'a mut StreamDriver,
     pub(crate) need: &'a StreamNeed,
     pub(crate) slots: StreamSlots,
     pub(crate) sink: &'a mut dyn TokenSink,
-    /// Turns true when nobody wants the stream any more.
+    /// Becomes true when the caller no longer needs the stream.
     pub(crate) cancelled: watch::Receiver<bool>,
-    /// How far it has come since its chain last changed.
+    /// Progress since its chain last changed.
     progress: RunProgress,
+    /// Engines not to be chosen as the next replacement.
     lost: Vec<EngineId>,
     replace_pause: Duration,
+    /// Engines that may hold state of the stream, to be cancelled at its end.
     used: Vec<EngineId>,
-    /// Engines that hold the stream; others get it only while they stay.
+    /// Engines that have opened the stream; they are used even while they leave.
     opened: Vec<EngineId>,
     run: RunId,
-    /// When it first came to each engine.
+    /// When the stream was first sent to each engine.
     joined: BTreeMap<EngineId, Instant>,
+    /// Each chain that the stream ran on, in order.
     chains: Vec<Vec<EngineId>>,
 }
 
@@ -116,8 +121,8 @@
         }
     }
 
-    /// Runs the stream to its end and frees its engines; returns each chain
-    /// that it ran on.
+    /// Runs the stream to its end and cancels it on its engines; returns each
+    /// chain that it ran on.
     pub(crate) async fn run(mut self) -> (Result<(), StreamEnd>, Vec<Vec<EngineId>>) {
         let mut cancelled = self.cancelled.clone();
         let deadline = self.need.deadline;
@@ -126,7 +131,7 @@
             () = clock::sleep_until(deadline) => Err(StreamEnd::Deadline),
             _ = cancelled.wait_for(|is_cancelled| *is_cancelled) => Err(StreamEnd::CallerGone),
         };
-        // Whoever took the stream over still needs it on the engines.
+        // An instance that took the stream over still needs it on the engines.
         if result != Err(StreamEnd::Abandoned(AbandonReason::TakenOver)) {
             self.free_engines();
         }
@@ -172,8 +177,8 @@
                 actions.extend(self.driver.on_event(event));
             }
             if actions.is_empty() {
-                // Each answer is awaited above, so that the driver always has
-                // something to do until it ends.
+                // Each response is awaited above, so that the driver always has an
+                // action until the stream ends.
                 return Err(StreamEnd::Abandoned(AbandonReason::NotHeld));
             }
         }
@@ -220,7 +225,7 @@
                 {
                     stats.step_lost();
                 }
-                info!(self.entry.log, "stream: step lost";
+                info!(self.entry.log, "stream: no result for a step";
                     "part" => "stream", "stream" => %self.driver.stream(), "engine" => %engine, "error" => %error);
                 if matches!(error, ClientError::Broken { .. }) || error.is_refused() {
                     self.broke_at(&engine);
@@ -230,7 +235,8 @@
         }
     }
 
-    /// Its run broke at an engine.
+    /// Reports that the run's connection to an engine broke, so that the engine is
+    /// probed for a crash.
     fn broke_at(&self, engine: &EngineId) {
         let snapshot = self.entry.snapshot.load();
         let Some(known) = snapshot.fleet.engine(engine) else {
@@ -251,7 +257,7 @@
                 run: self.run,
                 progress: self.progress,
                 joined_at,
-                // It took the stream.
+                // It was alive then: it accepted the stream.
                 alive_at: joined_at,
                 at: clock::now(),
             },
@@ -271,9 +277,9 @@
         let Some(addr) = self.addr(&engine) else {
             return StageEvent::Lost { engine, attempt };
         };
-        // The choice may be older than the word that the engine leaves.
+        // The engine may have started leaving after it was chosen.
         if !self.opened.contains(&engine) && self.is_leaving(&engine) {
-            info!(self.entry.log, "stream: an engine left before it was asked";
+            info!(self.entry.log, "stream: engine is leaving; attempt not opened";
                 "part" => "stream", "engine" => %engine);
             return StageEvent::Lost { engine, attempt };
         }
@@ -311,7 +317,8 @@
         known.is_some_and(|engine| engine.state == EngineState::Leaving)
     }
 
-    /// Looks for other engines until there are some or the time is over.
+    /// Searches for engines that can take over the layers of a lost one, until some
+    /// are found; the caller's deadline ends the search.
     async fn replace(&mut self, layers: LayerRange, lost: EngineId) -> StageEvent {
         self.slots.remove(&lost);
         self.lost.push(lost);
@@ -325,7 +332,7 @@
                 self.note_chain(layers, &stages);
                 return StageEvent::Replaced { stages };
             }
-            // An engine that was lost may have come back, empty.
+            // A lost engine may have restarted, with an empty cache.
             self.lost.clear();
             tokio::time::sleep(self.replace_pause).await;
             self.replace_pause = (self.replace_pause * 2).min(MAX_REPLACE_PAUSE);
@@ -337,8 +344,8 @@
         let Some(graph) = snapshot.fleet.graph(&self.need.pool, &self.need.model) else {
             return Vec::new();
         };
-        // The stage that is replaced may go to its own engine again, once that
-        // is no longer excluded: it may be the only one to come back.
+        // Once it is no longer excluded, the replaced engine itself may be chosen:
+        // it may be the only one that comes back.
         let kept = self.kept_stages(layers).map(|stage| stage.engine.clone());
         let waiting = self.entry.admission.backed_off(&snapshot).into_iter();
         let waiting = waiting.map(|(engine, _)| engine);
@@ -370,7 +377,7 @@
         );
     }
 
-    /// The stages beside those that hold the given layers.
+    /// The stages of the chain outside a range of layers.
     fn kept_stages(&self, layers: LayerRange) -> impl Iterator<Item = &Stage> {
         let stages = self.driver.stages().iter();
         stages.filter(move |stage| {
@@ -393,7 +400,7 @@
         snapshot.fleet.engine(engine).map(|engine| engine.addr)
     }
 
-    /// Tells each engine that ever held the stream to drop it.
+    /// Cancels the stream on each engine that was ever part of its chain.
     fn free_engines(&self) {
         let request = CancelRequest {
             stream: self.driver.stream(),
@@ -405,15 +412,15 @@
             };
             let entry = self.entry.clone();
             tokio::spawn(async move {
-                // Engines drop streams that nobody steps, if this is lost.
+                // If this is lost, engines drop streams that get no more steps.
                 let _ = entry.engines.cancel(addr, request).await;
             });
         }
     }
 }
 
-/// Sends steps to engines; a border of its own, so that steps of many streams
-/// can share a message.
+/// Sends steps to engines. It is separate from [`StreamRun`] so that steps of many
+/// streams can be batched into one message.
 pub(crate) struct StepSender {
     engines: Arc<dyn rookferry_net::EngineTransport>,
 }
@@ -435,7 +442,7 @@
         let result = answer.results.into_iter().next();
         result.ok_or_else(|| rookferry_net::ClientError::Decode {
             addr,
-            message: "no result for the step".to_owned(),
+            message: "the response has no result for the step".to_owned(),
         })
     }
 }
--- a/crates/rookferry_entry/src/settings.rs
+++ b/crates/rookferry_entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! An instance's settings: its addresses, its failure domain, its limits.
+//! Settings of an entry instance, read from a JSON file and validated.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Shortest secret that is taken, in bytes.
+/// Shortest site secret that is accepted, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
 /// Longest name of an instance or failure domain, in bytes.
 const MAX_NAME_BYTES: usize = 64;
@@ -19,30 +19,30 @@
 /// Settings of one instance, from a JSON file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EntrySettings {
-    /// Its name, its own within the site.
+    /// Name of the instance, unique within the site.
     pub instance: String,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: String,
-    /// Its labels, seen by selectors as `instance.{name}`.
+    /// Labels of the instance, which selectors match as `instance.{name}`.
     #[serde(default)]
     pub labels: Labels,
-    /// Where callers are served.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
-    /// Where operators are served.
+    /// Address that operators connect to.
     pub operators: SocketAddr,
-    /// Where peers are heard, over UDP and TCP.
+    /// Address for peers, over UDP and TCP.
     pub peers: SocketAddr,
-    /// Peers to begin with; more are learned.
+    /// Seed addresses of peers; further peers are discovered.
     #[serde(default)]
     pub known_peers: Vec<SocketAddr>,
-    /// Secret that all instances of the site share.
+    /// Secret shared by all instances of the site, at least 16 bytes.
     pub site_secret: String,
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub platform: SocketAddr,
-    /// How logs are written.
+    /// Log format.
     #[serde(default)]
     pub log_format: LogFormat,
-    /// The least severity that is logged.
+    /// Lowest severity that is logged.
     #[serde(default)]
     pub log_level: LogLevel,
     /// Limits.
@@ -54,29 +54,29 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EntryLimits {
-    /// Longest body of a request.
+    /// Largest request body, in bytes.
     pub body_bytes: usize,
-    /// How long a body may take to arrive.
+    /// Longest time for a request's body to arrive.
     pub body_timeout_ms: u64,
-    /// How long an idle connection may take to send a request's head.
+    /// Longest time for a connection to send a request's head.
     pub head_timeout_ms: u64,
-    /// Connections at once.
+    /// Most concurrent connections on each of the two HTTP interfaces.
     pub connections: usize,
-    /// Records of decisions kept.
+    /// Number of decision records stored.
     pub decisions: usize,
-    /// Answers kept for callers that come back with their key.
+    /// Number of ended idempotency keys whose answers are stored.
     pub answers: usize,
-    /// Bytes a second for heartbeats, as sent.
+    /// Budget for sending heartbeats, in bytes per second.
     pub heartbeat_bytes_per_s: u32,
-    /// Bytes a second for asking engines, both ways.
+    /// Budget for polling engines, in bytes per second in both directions.
     pub ask_bytes_per_s: u32,
-    /// How long a leaving instance waits for its balancer.
+    /// How long a leaving instance waits for its load balancer to notice.
     pub leave_wait_ms: u64,
-    /// How long it then waits for requests under way.
+    /// How long it then waits for active requests.
     pub drain_timeout_ms: u64,
-    /// How often the platform's list is read.
+    /// Time between two reads of the platform's list; longer after failures.
     pub list_interval_ms: u64,
-    /// How often engines are asked for their load at most.
+    /// Shortest time between two polls of engines' loads.
     pub load_interval_ms: u64,
 }
 
@@ -100,11 +100,11 @@
 }
 
 impl EntrySettings {
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// Every fault found, each with its path and the likely fix.
+    /// All faults found, each with its path and a suggested fix.
     pub fn from_json(text: &str) -> Result<Self, ConfigFaults> {
         let settings: Self = read_json(text)?;
         let mut faults = ConfigFaults::default();
@@ -118,8 +118,8 @@
         if self.site_secret.len() < MIN_SECRET_BYTES {
             faults.push(
                 "site_secret",
-                format!("{} bytes are too few", self.site_secret.len()),
-                format!("use {MIN_SECRET_BYTES} or more random ones, the same on all instances"),
+                format!("{} bytes are too short", self.site_secret.len()),
+                format!("use at least {MIN_SECRET_BYTES} random bytes, the same on all instances"),
             );
         }
         let distinct = [
@@ -131,8 +131,8 @@
             if addr == other && addr.port() != 0 {
                 faults.push(
                     path,
-                    format!("{addr} is {other_path}' address too"),
-                    "give each its own port",
+                    format!("{addr} is also the address of {other_path}"),
+                    "use a different port for each",
                 );
             }
         }
@@ -160,14 +160,14 @@
             if value == 0 {
                 faults.push(
                     format!("limits.{name}"),
-                    "0 serves nothing",
-                    "leave it out for the default",
+                    "must not be 0",
+                    "omit it to use the default",
                 );
             }
         }
     }
 
-    /// How long an idle connection may take to send a request's head.
+    /// Longest time for a connection to send a request's head.
     #[must_use]
     pub const fn head_timeout(&self) -> Duration {
         Duration::from_millis(self.limits.head_timeout_ms)
@@ -181,7 +181,7 @@
     if name.is_empty() || name.len() > MAX_NAME_BYTES || !is_word {
         faults.push(
             path,
-            format!("{name:?} is no name"),
+            format!("{name:?} is not a valid name"),
             format!("use 1 to {MAX_NAME_BYTES} letters, digits, - and _"),
         );
     }
--- a/crates/rookferry_entry/src/snapshot.rs
+++ b/crates/rookferry_entry/src/snapshot.rs
@@ -1,5 +1,6 @@
-//! What the path of a request reads: one immutable snapshot, replaced whole
-//! when configuration or fleet change.
+//! The immutable snapshot of configuration and fleet that the request path reads.
+//!
+//! It is replaced as a whole when either changes, so that readers need no lock.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,7 +18,7 @@
 use rookferry_core::is_draining;
 use rookferry_wire::AccountId;
 
-/// Requests of an account under way on this instance.
+/// Number of active requests of an account on this instance.
 #[derive(Debug, Default)]
 pub(crate) struct AccountGauge {
     in_flight: AtomicU32,
@@ -30,7 +31,7 @@
 }
 
 impl AccountGauge {
-    /// Counts a request unless the account is at its limit.
+    /// Counts a request; `None` if the account is at its limit.
     pub(crate) fn enter(self: &Arc<Self>, limit: u32) -> Option<AccountPermit> {
         let counted = self
             .in_flight
@@ -51,19 +52,19 @@
 
 /// Configuration and fleet at one time.
 pub(crate) struct Snapshot {
-    /// The configuration in force.
+    /// Routes and accounts of the active configuration.
     pub(crate) table: RoutingTable,
     /// The engines.
     pub(crate) fleet: Fleet,
-    /// Instances of plain services by pool.
+    /// Servers of plain services, by pool.
     pub(crate) services: BTreeMap<String, Vec<ServiceInstance>>,
-    /// How chains are chosen.
+    /// The active policy's chooser of chains.
     pub(crate) chooser: Arc<dyn ChainChooser>,
     accounts: BTreeMap<AccountId, Arc<AccountGauge>>,
 }
 
 impl Snapshot {
-    /// Nothing is configured and nothing known.
+    /// The initial snapshot, with version 0 and no servers.
     pub(crate) fn empty() -> Self {
         let config = Arc::new(SiteConfig::default());
         Self {
@@ -75,7 +76,8 @@
         }
     }
 
-    /// The next snapshot; gauges and the chooser's memory go over.
+    /// The snapshot that follows `former`. Account gauges are carried over, and so
+    /// is the chooser unless its kind has changed.
     pub(crate) fn next(
         former: &Self,
         table: RoutingTable,
@@ -115,7 +117,7 @@
         }
     }
 
-    /// The gauge of a configured account.
+    /// The gauge of an account; `None` if it isn't configured.
     pub(crate) fn gauge(&self, account: &str) -> Option<&Arc<AccountGauge>> {
         self.accounts.get(account)
     }
