--- a/crates/rookferry_entry/src/admission.rs
+++ b/crates/rookferry_entry/src/admission.rs
@@ -38,11 +38,11 @@
 use crate::snapshot::Snapshot;
 
 /// Most requests taken from one queue per pass.
-const MAX_PLACED_AT_ONCE: usize = 64;
+const MAX_PLACED_PER_PASS: usize = 64;
 
 /// Requirements of a stream on its engines and its queueing time.
 #[derive(Clone, Debug)]
-pub(crate) struct StreamNeed {
+pub(crate) struct StreamRequirements {
     /// Identifies retries of the same call.
     pub(crate) signature: RequestSignature,
     /// The pool.
@@ -60,7 +60,7 @@
     /// Engines that likely hold the prompt's prefix.
     pub(crate) cached: Vec<EngineId>,
     /// Latest time to leave the queue.
-    pub(crate) turn_by: Instant,
+    pub(crate) queue_deadline: Instant,
     /// Deadline of the whole request.
     pub(crate) deadline: Instant,
 }
@@ -77,7 +77,7 @@
 
 /// Why a stream was not placed.
 #[derive(Debug)]
-pub(crate) struct NoPlace {
+pub(crate) struct PlacementError {
     pub(crate) reason: ReasonCode,
     pub(crate) detail: String,
     pub(crate) retry_after: Duration,
@@ -91,14 +91,14 @@
     permit: Option<AccountPermit>,
 }
 
-type LaneKey = (String, String);
+type QueueKey = (String, String);
 
 struct Waiter {
-    need: StreamNeed,
-    answer: oneshot::Sender<Result<Placement, NoPlace>>,
+    requirements: StreamRequirements,
+    answer: oneshot::Sender<Result<Placement, PlacementError>>,
 }
 
-struct Lane {
+struct ModelQueue {
     queue: FairQueue<Waiter>,
     drain: DrainRate,
 }
@@ -112,7 +112,7 @@
     waiting: AtomicUsize,
     /// Notified when a request is queued.
     queued: Notify,
-    lanes: Mutex<HashMap<LaneKey, Lane>>,
+    queues: Mutex<HashMap<QueueKey, ModelQueue>>,
 }
 
 impl Admission {
@@ -122,7 +122,7 @@
             backoffs,
             waiting: AtomicUsize::new(0),
             queued: Notify::new(),
-            lanes: Mutex::default(),
+            queues: Mutex::default(),
         })
     }
 
@@ -132,25 +132,28 @@
     }
 
     /// Waits until at least one request is queued.
-    pub(crate) async fn someone_waits(&self) {
+    pub(crate) async fn wait_until_queued(&self) {
         while self.waiting() == 0 {
             self.queued.notified().await;
         }
     }
 
     /// Places a stream, queueing it while its chains are full.
-    pub(crate) async fn place(self: &Arc<Self>, need: StreamNeed) -> Result<Placement, NoPlace> {
+    pub(crate) async fn place(
+        self: &Arc<Self>,
+        requirements: StreamRequirements,
+    ) -> Result<Placement, PlacementError> {
         if self.waiting() == 0 {
-            match self.try_place(&need) {
+            match self.try_place(&requirements) {
                 Ok(placement) => return Ok(placement),
                 Err(chosen) if chosen.is_full => {}
-                Err(chosen) => return Err(self.no_chain(&need, chosen)),
+                Err(chosen) => return Err(self.no_chain(&requirements, chosen)),
             }
         }
-        let waiting = self.enqueue(need)?;
-        self.pump();
+        let waiting = self.enqueue(requirements)?;
+        self.place_waiting();
         waiting.await.unwrap_or_else(|_| {
-            Err(NoPlace {
+            Err(PlacementError {
                 reason: ReasonCode::Overloaded,
                 detail: "the admission queue was closed".to_owned(),
                 retry_after: Duration::from_secs(1),
@@ -161,93 +164,102 @@
 
     /// Places queued streams while there are free slots, and refuses those past
     /// their queueing deadline.
-    pub(crate) fn pump(self: &Arc<Self>) {
+    pub(crate) fn place_waiting(self: &Arc<Self>) {
         if self.waiting() == 0 {
             return;
         }
         let now = clock::now();
-        let mut told = Vec::new();
+        let mut results = Vec::new();
         {
-            let mut lanes = self.lock();
-            for lane in lanes.values_mut() {
-                self.pump_lane(now, lane, &mut told);
+            let mut queues = self.lock();
+            for model_queue in queues.values_mut() {
+                self.place_from_queue(now, model_queue, &mut results);
             }
-            let waiting = lanes.values().map(|lane| lane.queue.len()).sum();
+            let waiting = queues
+                .values()
+                .map(|model_queue| model_queue.queue.len())
+                .sum();
             self.waiting.store(waiting, Ordering::Relaxed);
         }
-        for (waiter, result) in told {
+        for (waiter, result) in results {
             // If the caller has disconnected, the placement is dropped, which
             // releases its slots.
             let _ = waiter.answer.send(result);
         }
     }
 
-    fn pump_lane(
+    fn place_from_queue(
         self: &Arc<Self>,
         now: Instant,
-        lane: &mut Lane,
-        told: &mut Vec<(Waiter, Result<Placement, NoPlace>)>,
+        model_queue: &mut ModelQueue,
+        results: &mut Vec<(Waiter, Result<Placement, PlacementError>)>,
     ) {
-        let over = lane
-            .queue
-            .remove_if(|waiter| waiter.need.turn_by <= now || waiter.answer.is_closed());
-        for entry in over {
-            let no_place = overloaded(lane, now, "the queueing deadline passed");
-            told.push((entry.item, Err(no_place)));
+        let expired = model_queue.queue.remove_if(|waiter| {
+            waiter.requirements.queue_deadline <= now || waiter.answer.is_closed()
+        });
+        for entry in expired {
+            let placement_error = overloaded(model_queue, now, "the queueing deadline passed");
+            results.push((entry.item, Err(placement_error)));
         }
-        for _ in 0..MAX_PLACED_AT_ONCE {
-            let Some(next) = lane.queue.peek() else {
+        for _ in 0..MAX_PLACED_PER_PASS {
+            let Some(next) = model_queue.queue.peek() else {
                 return;
             };
-            let result = match self.try_place(&next.need) {
+            let result = match self.try_place(&next.requirements) {
                 Ok(placement) => Ok(placement),
                 Err(chosen) if chosen.is_full => return,
-                Err(chosen) => Err(self.no_chain(&next.need, chosen)),
+                Err(chosen) => Err(self.no_chain(&next.requirements, chosen)),
             };
-            if let Some(entry) = lane.queue.pop() {
-                lane.drain.drained(now);
-                told.push((entry.item, result));
+            if let Some(entry) = model_queue.queue.pop() {
+                model_queue.drain.drained(now);
+                results.push((entry.item, result));
             }
         }
     }
 
     fn enqueue(
         self: &Arc<Self>,
-        need: StreamNeed,
-    ) -> Result<oneshot::Receiver<Result<Placement, NoPlace>>, NoPlace> {
+        requirements: StreamRequirements,
+    ) -> Result<oneshot::Receiver<Result<Placement, PlacementError>>, PlacementError> {
         let now = clock::now();
         let limit = self.snapshot.load().table.config().policy.queue_limit;
         let (answer, waiting) = oneshot::channel();
-        let key = (need.pool.clone(), need.model.clone());
-        let mut lanes = self.lock();
-        let lane = lanes.entry(key).or_insert_with(|| Lane {
+        let key = (requirements.pool.clone(), requirements.model.clone());
+        let mut queues = self.lock();
+        let model_queue = queues.entry(key).or_insert_with(|| ModelQueue {
             queue: FairQueue::new(limit),
             drain: DrainRate::new(),
         });
-        lane.queue.set_limit(limit);
-        let wait = lane.drain.wait(now, lane.queue.len());
-        if wait.is_some_and(|wait| now + wait > need.turn_by) {
+        model_queue.queue.set_limit(limit);
+        let wait = model_queue.drain.wait(now, model_queue.queue.len());
+        if wait.is_some_and(|wait| now + wait > requirements.queue_deadline) {
             return Err(overloaded(
-                lane,
+                model_queue,
                 now,
                 "the expected wait exceeds the queueing deadline",
             ));
         }
-        let pushed = lane.queue.push(
-            need.account.clone(),
-            need.weight,
-            need.cost,
-            Waiter { need, answer },
+        let pushed = model_queue.queue.push(
+            requirements.account.clone(),
+            requirements.weight,
+            requirements.cost,
+            Waiter {
+                requirements,
+                answer,
+            },
         );
         if let Some(evicted) = pushed.evicted {
-            let no_place = overloaded(
-                lane,
+            let placement_error = overloaded(
+                model_queue,
                 now,
                 "the queue is full, and the account exceeds its fair share the most",
             );
-            let _ = evicted.item.answer.send(Err(no_place));
+            let _ = evicted.item.answer.send(Err(placement_error));
         }
-        let waiting_count = lanes.values().map(|lane| lane.queue.len()).sum();
+        let waiting_count = queues
+            .values()
+            .map(|model_queue| model_queue.queue.len())
+            .sum();
         self.waiting.store(waiting_count, Ordering::Relaxed);
         self.queued.notify_one();
         Ok(waiting)
@@ -258,22 +270,29 @@
     pub(crate) fn backed_off(&self, snapshot: &Snapshot) -> Vec<(EngineId, Duration)> {
         let engines = snapshot.fleet.engines().iter();
         let engines = engines.map(|engine| (&engine.info.engine, engine.addr));
-        let waiting = self.backoffs.backed_off(engines).into_iter();
-        waiting
+        let backing_off = self.backoffs.backed_off(engines).into_iter();
+        backing_off
             .map(|(engine, left)| (engine.clone(), left))
             .collect()
     }
 
     /// The best chain that avoids the excluded engines.
-    fn choose(snapshot: &Snapshot, need: &StreamNeed, excluded: &[EngineId]) -> ChosenChain {
-        let Some(graph) = snapshot.fleet.graph(&need.pool, &need.model) else {
+    fn choose(
+        snapshot: &Snapshot,
+        requirements: &StreamRequirements,
+        excluded: &[EngineId],
+    ) -> ChosenChain {
+        let Some(graph) = snapshot
+            .fleet
+            .graph(&requirements.pool, &requirements.model)
+        else {
             return ChosenChain::default();
         };
         let request = ChainRequest {
             layers: graph.whole(),
             excluded,
-            cached: &need.cached,
-            seed: need.seed,
+            cached: &requirements.cached,
+            seed: requirements.seed,
             beyond_limit: false,
         };
         let policy = &snapshot.table.config().policy;
@@ -284,22 +303,26 @@
     /// Explains why there is no chain, and when to retry: if engines in backoff
     /// would complete one, at the end of the first backoff that makes a chain
     /// possible.
-    fn no_chain(&self, need: &StreamNeed, chosen: ChosenChain) -> NoPlace {
+    fn no_chain(&self, requirements: &StreamRequirements, chosen: ChosenChain) -> PlacementError {
         let snapshot = self.snapshot.load();
-        let waiting = self.backed_off(&snapshot);
-        let names: Vec<EngineId> = waiting.iter().map(|(engine, _)| engine.clone()).collect();
-        let is_chain_without = |later: &[EngineId]| {
-            let chosen = Self::choose(&snapshot, need, later);
+        let backing_off = self.backed_off(&snapshot);
+        let names: Vec<EngineId> = backing_off
+            .iter()
+            .map(|(engine, _)| engine.clone())
+            .collect();
+        let is_chain_possible_without = |still_backing_off: &[EngineId]| {
+            let chosen = Self::choose(&snapshot, requirements, still_backing_off);
             chosen.is_full || !chosen.stages.is_empty()
         };
         // The backoffs are sorted by their end: once enough of them have ended for
         // a chain, later ends don't remove it, so a binary search is valid.
-        let ends: Vec<usize> = (1..=names.len()).collect();
-        let first = ends.partition_point(|end| !is_chain_without(&names[*end..]));
-        let Some((_, left)) = waiting.get(first) else {
-            return no_chain(need, chosen);
+        let ended_counts: Vec<usize> = (1..=names.len()).collect();
+        let first =
+            ended_counts.partition_point(|ended| !is_chain_possible_without(&names[*ended..]));
+        let Some((_, left)) = backing_off.get(first) else {
+            return no_chain(requirements, chosen);
         };
-        NoPlace {
+        PlacementError {
             reason: ReasonCode::Overloaded,
             detail: "engines requested a backoff; retry when it ends".to_owned(),
             retry_after: *left,
@@ -307,11 +330,14 @@
         }
     }
 
-    fn try_place(self: &Arc<Self>, need: &StreamNeed) -> Result<Placement, ChosenChain> {
+    fn try_place(
+        self: &Arc<Self>,
+        requirements: &StreamRequirements,
+    ) -> Result<Placement, ChosenChain> {
         let snapshot = self.snapshot.load();
-        let waiting = self.backed_off(&snapshot).into_iter();
-        let excluded: Vec<EngineId> = waiting.map(|(engine, _)| engine).collect();
-        let chosen = Self::choose(&snapshot, need, &excluded);
+        let backing_off = self.backed_off(&snapshot).into_iter();
+        let excluded: Vec<EngineId> = backing_off.map(|(engine, _)| engine).collect();
+        let chosen = Self::choose(&snapshot, requirements, &excluded);
         if chosen.stages.is_empty() {
             return Err(chosen);
         }
@@ -328,14 +354,14 @@
         })
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<LaneKey, Lane>> {
-        self.lanes.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<QueueKey, ModelQueue>> {
+        self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl StreamSlots {
     /// Keeps the account's permit until the slots are released.
-    pub(crate) fn hold(&mut self, permit: AccountPermit) {
+    pub(crate) fn attach_permit(&mut self, permit: AccountPermit) {
         self.permit = Some(permit);
     }
 
@@ -375,25 +401,25 @@
             stats.stream_ended(clock::now());
         }
         self.permit = None;
-        self.admission.pump();
+        self.admission.place_waiting();
     }
 }
 
-fn overloaded(lane: &Lane, now: Instant, detail: &str) -> NoPlace {
-    NoPlace {
+fn overloaded(model_queue: &ModelQueue, now: Instant, detail: &str) -> PlacementError {
+    PlacementError {
         reason: ReasonCode::Overloaded,
-        detail: format!("{detail}; {} requests are queued", lane.queue.len()),
-        retry_after: lane.drain.retry_after(now, lane.queue.len()),
+        detail: format!("{detail}; {} requests are queued", model_queue.queue.len()),
+        retry_after: model_queue.drain.retry_after(now, model_queue.queue.len()),
         candidates: Vec::new(),
     }
 }
 
-fn no_chain(need: &StreamNeed, chosen: ChosenChain) -> NoPlace {
-    NoPlace {
+fn no_chain(requirements: &StreamRequirements, chosen: ChosenChain) -> PlacementError {
+    PlacementError {
         reason: ReasonCode::NoChain,
         detail: format!(
             "no live engines of pool {:?} cover all layers of model {:?}",
-            need.pool, need.model
+            requirements.pool, requirements.model
         ),
         retry_after: Duration::from_secs(1),
         candidates: chosen.candidates,
--- a/crates/rookferry_entry/src/answers.rs
+++ b/crates/rookferry_entry/src/answers.rs
@@ -12,7 +12,7 @@
 
 /// A stored HTTP response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct KeptAnswer {
+pub(crate) struct StoredAnswer {
     /// Id of the request that ran.
     pub(crate) request_id: RequestId,
     /// Digest of that request's body; empty in responses that aren't stored.
@@ -35,7 +35,7 @@
     /// Claimed here, and proved not to have run.
     NotRun,
     /// Ended with an answer or refusal.
-    Finished(KeptAnswer),
+    Finished(StoredAnswer),
 }
 
 #[derive(Debug, Default)]
@@ -49,12 +49,12 @@
 
 /// Guard that marks a key as being claimed until dropped.
 #[derive(Debug)]
-pub(crate) struct Claiming<'a> {
+pub(crate) struct ClaimingGuard<'a> {
     answers: &'a Answers,
     digest: String,
 }
 
-impl Drop for Claiming<'_> {
+impl Drop for ClaimingGuard<'_> {
     fn drop(&mut self) {
         let mut inner = self.answers.lock();
         if let Some(count) = inner.claiming.get_mut(&self.digest) {
@@ -93,10 +93,10 @@
     }
 
     /// Marks a key as being claimed.
-    pub(crate) fn claiming(&self, digest: &str) -> Claiming<'_> {
+    pub(crate) fn claiming(&self, digest: &str) -> ClaimingGuard<'_> {
         let mut inner = self.lock();
         *inner.claiming.entry(digest.to_owned()).or_default() += 1;
-        Claiming {
+        ClaimingGuard {
             answers: self,
             digest: digest.to_owned(),
         }
@@ -117,12 +117,12 @@
     /// Marks a key whose work proved not to have run; it may be dispatched again
     /// under the same claim.
     pub(crate) fn not_run(&self, digest: &str) {
-        self.end(digest, KeyState::NotRun);
+        self.set_final(digest, KeyState::NotRun);
     }
 
     /// Stores a key's answer.
-    pub(crate) fn finish(&self, digest: &str, answer: KeptAnswer) {
-        self.end(digest, KeyState::Finished(answer));
+    pub(crate) fn finish(&self, digest: &str, answer: StoredAnswer) {
+        self.set_final(digest, KeyState::Finished(answer));
     }
 
     /// Number of keys whose work is running.
@@ -138,7 +138,7 @@
     /// Sets a key's final state, and drops the oldest ended keys above the limit. A
     /// dropped key can't be told from one never seen, so absence here never allows a
     /// dispatch by itself; only a new claim or ticket does.
-    fn end(&self, digest: &str, state: KeyState) {
+    fn set_final(&self, digest: &str, state: KeyState) {
         let mut inner = self.lock();
         inner.keys.insert(digest.to_owned(), state);
         inner.finished.push_back(digest.to_owned());
--- a/crates/rookferry_entry/src/claims.rs
+++ b/crates/rookferry_entry/src/claims.rs
@@ -3,7 +3,7 @@
 //! A claim grants one caller the right to dispatch the call of a key. For each
 //! shard object a task runs its [`ClaimWriter`]: it collects claims from this
 //! instance and from peers, and writes them together, at most once per
-//! [`WRITE_INTERVAL`]. Tasks start with the first claim and stop after [`IDLE`].
+//! [`WRITE_INTERVAL`]. Tasks start with the first claim and stop after [`IDLE_TIMEOUT`].
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -41,17 +41,17 @@
 use crate::peers;
 
 /// Capacity of the command queue of one object's task.
-const QUEUED_ASKS: usize = 1_024;
+const MAX_QUEUED_MESSAGES: usize = 1_024;
 /// Least time between two writes of one object. It keeps the writes of all
 /// objects within the platform's rate, and lets claims share a write.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 /// How often expired objects are deleted.
 const DELETE_INTERVAL: Duration = Duration::from_mins(10);
 /// Idle time after which an object's task stops.
-const IDLE: Duration = Duration::from_mins(1);
+const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// A command for an object's task.
-enum Message {
+enum WriterMessage {
     Ask {
         digest: String,
         claim: Claim,
@@ -67,7 +67,7 @@
 pub(crate) struct Claims {
     platform: Arc<dyn Platform>,
     log: Logger,
-    writers: Mutex<HashMap<String, mpsc::Sender<Message>>>,
+    writers: Mutex<HashMap<String, mpsc::Sender<WriterMessage>>>,
 }
 
 /// Claims a key. At most one caller is granted each key.
@@ -82,8 +82,11 @@
     claim: Claim,
     window_ms: u64,
 ) -> ClaimReply {
-    let Some(addr) = home_addr(entry, &key.object) else {
-        return entry.claims.claim_here(key, claim, window_ms, false).await;
+    let Some(addr) = writer_addr(entry, &key.object) else {
+        return entry
+            .claims
+            .claim_locally(key, claim, window_ms, false)
+            .await;
     };
     let request = PeerRequest::Claim {
         object: key.object.clone(),
@@ -91,13 +94,18 @@
         claim: claim.clone(),
         window_ms,
     };
-    match peers::ask(entry, addr, &request).await {
+    match peers::send_request(entry, addr, &request).await {
         Ok(PeerAnswer::Claim(ClaimReply::Refused(refusal))) => {
             entry.claims.withdraw(&key.object, claim.nonce, window_ms);
             ClaimReply::Refused(refusal)
         }
         Ok(PeerAnswer::Claim(reply)) => reply,
-        Ok(_) | Err(_) => entry.claims.claim_here(key, claim, window_ms, false).await,
+        Ok(_) | Err(_) => {
+            entry
+                .claims
+                .claim_locally(key, claim, window_ms, false)
+                .await
+        }
     }
 }
 
@@ -108,7 +116,7 @@
         tokio::time::sleep(jittered(DELETE_INTERVAL)).await;
         let window_ms = entry.snapshot.load().table.config().policy.key_window_ms;
         for object in ClaimKey::expired_objects(now_ms(), window_ms) {
-            if home_addr(&entry, &object).is_none() {
+            if writer_addr(&entry, &object).is_none() {
                 delete(&entry, &object).await;
             }
         }
@@ -131,11 +139,13 @@
 }
 
 /// Address of the instance that writes an object; `None` if it is this one.
-fn home_addr(entry: &EntryState, object: &str) -> Option<SocketAddr> {
+fn writer_addr(entry: &EntryState, object: &str) -> Option<SocketAddr> {
     let members = entry.peers.lock();
     let live = members.live();
-    let home = rendezvous_owner(object, &live)?;
-    members.get(home).map(|member| member.heartbeat.peer_addr)
+    let writer_instance = rendezvous_owner(object, &live)?;
+    members
+        .get(writer_instance)
+        .map(|member| member.heartbeat.peer_addr)
 }
 
 impl Claims {
@@ -150,7 +160,7 @@
     /// Writes a claim from this instance, for its own caller or for a peer's.
     ///
     /// Refused as contended when the task's queue is full.
-    pub(crate) async fn claim_here(
+    pub(crate) async fn claim_locally(
         &self,
         key: &ClaimKey,
         claim: Claim,
@@ -158,7 +168,7 @@
         is_forwarded: bool,
     ) -> ClaimReply {
         let (answer, reply) = oneshot::channel();
-        let message = Message::Ask {
+        let message = WriterMessage::Ask {
             digest: key.digest.clone(),
             claim,
             is_forwarded,
@@ -177,16 +187,16 @@
         // If this fails the claim stays, and its key is reported as unknown.
         let _ = self
             .writer(object, window_ms)
-            .try_send(Message::Withdraw { nonce });
+            .try_send(WriterMessage::Withdraw { nonce });
     }
 
-    fn writer(&self, object: &str, window_ms: u64) -> mpsc::Sender<Message> {
+    fn writer(&self, object: &str, window_ms: u64) -> mpsc::Sender<WriterMessage> {
         let mut writers = self.writers.lock().unwrap_or_else(PoisonError::into_inner);
         writers.retain(|_, writer| !writer.is_closed());
         if let Some(writer) = writers.get(object) {
             return writer.clone();
         }
-        let (sender, messages) = mpsc::channel(QUEUED_ASKS);
+        let (sender, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         writers.insert(object.to_owned(), sender.clone());
         let task = WriterTask {
             platform: self.platform.clone(),
@@ -213,9 +223,9 @@
 }
 
 impl WriterTask {
-    async fn run(mut self, mut messages: mpsc::Receiver<Message>) {
+    async fn run(mut self, mut messages: mpsc::Receiver<WriterMessage>) {
         loop {
-            let Ok(first) = tokio::time::timeout(IDLE, messages.recv()).await else {
+            let Ok(first) = tokio::time::timeout(IDLE_TIMEOUT, messages.recv()).await else {
                 messages.close();
                 // Commands that arrived before the close are still served.
                 while let Ok(message) = messages.try_recv() {
@@ -232,11 +242,11 @@
 
     /// Serves a command and all that have arrived since, with a single write
     /// unless it conflicts or fails.
-    async fn serve(&mut self, first: Message, messages: &mut mpsc::Receiver<Message>) {
+    async fn serve(&mut self, first: WriterMessage, messages: &mut mpsc::Receiver<WriterMessage>) {
         tokio::time::sleep_until(self.next_write).await;
-        self.take(first);
+        self.on_message(first);
         while let Ok(message) = messages.try_recv() {
-            self.take(message);
+            self.on_message(message);
         }
         let mut actions = self.writer.on_event(now_ms(), ClaimEvent::Flush);
         loop {
@@ -264,10 +274,10 @@
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn on_message(&mut self, message: WriterMessage) {
         let event = match message {
-            Message::Withdraw { nonce } => ClaimEvent::Withdraw { nonce },
-            Message::Ask {
+            WriterMessage::Withdraw { nonce } => ClaimEvent::Withdraw { nonce },
+            WriterMessage::Ask {
                 digest,
                 claim,
                 is_forwarded,
--- a/crates/rookferry_entry/src/config_sync.rs
+++ b/crates/rookferry_entry/src/config_sync.rs
@@ -33,14 +33,14 @@
 /// Longest wait of one watch request.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
 /// How often an instance that doesn't watch reads the platform as a fallback.
-const IDLE_READ: Duration = Duration::from_mins(1);
+const IDLE_READ_INTERVAL: Duration = Duration::from_mins(1);
 /// Bounds of the pause after a failure, which doubles each time.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// How often the configuration versions of peers are checked.
-const PEER_CHECK: Duration = Duration::from_millis(500);
+const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-struct Current {
+struct ActiveConfig {
     adopter: ConfigAdopter,
     body: Arc<str>,
     config: Arc<SiteConfig>,
@@ -48,13 +48,13 @@
 
 /// The active configuration, with its text to pass on to peers.
 pub(crate) struct ConfigStore {
-    current: Mutex<Current>,
+    current: Mutex<ActiveConfig>,
 }
 
 impl ConfigStore {
     pub(crate) fn new() -> Self {
         Self {
-            current: Mutex::new(Current {
+            current: Mutex::new(ActiveConfig {
                 adopter: ConfigAdopter::new(),
                 body: Arc::from(""),
                 config: Arc::new(SiteConfig::default()),
@@ -94,7 +94,7 @@
         adopted
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Current> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, ActiveConfig> {
         self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -165,12 +165,12 @@
 /// Waits until this instance should watch the platform, or the fallback read is
 /// due. Returns at once if it has no configuration.
 async fn wait_until_watcher(entry: &Arc<EntryState>) {
-    let idle_until = tokio::time::Instant::now() + jittered(IDLE_READ);
+    let idle_until = tokio::time::Instant::now() + jittered(IDLE_READ_INTERVAL);
     while entry.config.version() > 0 && !is_watcher(entry) {
         if tokio::time::Instant::now() >= idle_until {
             return;
         }
-        tokio::time::sleep(PEER_CHECK).await;
+        tokio::time::sleep(PEER_CHECK_INTERVAL).await;
     }
 }
 
@@ -178,14 +178,14 @@
 /// order would do, as long as all instances agree on it and the next one takes
 /// over when one fails.
 fn is_watcher(entry: &EntryState) -> bool {
-    let near: Vec<InstanceId> = entry.peers.lock().live_local();
-    let position = near.iter().position(|name| *name == entry.instance);
+    let local: Vec<InstanceId> = entry.peers.lock().live_local();
+    let position = local.iter().position(|name| *name == entry.instance);
     position.is_some_and(|position| position < WATCHERS_PER_DOMAIN)
 }
 
 async fn follow_peers(entry: Arc<EntryState>) {
     loop {
-        let news = entry.peers.news.notified();
+        let changed = entry.peers.changed.notified();
         let newest = {
             let members = entry.peers.lock();
             members
@@ -198,12 +198,12 @@
         {
             let request = PeerRequest::Config { above: seen };
             if let Ok(PeerAnswer::Config { version, body }) =
-                peers::ask(&entry, addr, &request).await
+                peers::send_request(&entry, addr, &request).await
             {
                 offer(&entry, "peer", version, &body);
             }
         }
-        let _ = tokio::time::timeout(PEER_CHECK, news).await;
+        let _ = tokio::time::timeout(PEER_CHECK_INTERVAL, changed).await;
     }
 }
 
--- a/crates/rookferry_entry/src/counters.rs
+++ b/crates/rookferry_entry/src/counters.rs
@@ -36,7 +36,7 @@
 
 /// Result of a request, as counted for objectives.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Served {
+pub(crate) struct ServeOutcome {
     /// The route.
     pub(crate) route: String,
     /// The account.
@@ -44,7 +44,7 @@
     /// Whether it got a complete answer.
     pub(crate) is_answered: bool,
     /// Whether the caller caused the refusal; then it counts for no objective.
-    pub(crate) is_callers_fault: bool,
+    pub(crate) is_caller_error: bool,
     /// Time to the first token, `None` without tokens.
     pub(crate) first_token: Option<Duration>,
     /// Gaps between tokens.
@@ -59,7 +59,7 @@
 
 impl Counters {
     /// Counts a request.
-    pub(crate) fn served(&self, config: &SiteConfig, served: &Served) {
+    pub(crate) fn count_request(&self, config: &SiteConfig, served: &ServeOutcome) {
         let result = if served.is_answered {
             "answered"
         } else {
@@ -73,7 +73,7 @@
         for gap in &served.gaps {
             histogram!("rookferry_between_tokens_seconds").record(gap.as_secs_f64());
         }
-        if served.is_callers_fault {
+        if served.is_caller_error {
             return;
         }
         let applying = config.objectives.iter();
@@ -109,7 +109,7 @@
     }
 }
 
-fn count(objective: &Objective, served: &Served) -> WindowCount {
+fn count(objective: &Objective, served: &ServeOutcome) -> WindowCount {
     let limit = Duration::from_millis(objective.limit_ms);
     let times: &[Duration] = match objective.kind {
         ObjectiveKind::Availability => {
--- a/crates/rookferry_entry/src/discovery.rs
+++ b/crates/rookferry_entry/src/discovery.rs
@@ -29,45 +29,45 @@
 
 use crate::config_sync::jittered;
 use crate::entry::EntryState;
-use crate::known::Ask;
-use crate::known::Asker;
 use crate::peers;
+use crate::registry::EnginePoll;
+use crate::registry::PollContext;
 use crate::snapshot::Snapshot;
 
 /// Most engines polled concurrently.
-const ASKED_AT_ONCE: usize = 32;
+const MAX_CONCURRENT_POLLS: usize = 32;
 /// How often the admission queues are served while requests are queued.
-const PUMP_INTERVAL: Duration = Duration::from_millis(20);
+const QUEUE_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between two polls of the info of assigned engines.
-const DESCRIBE_INTERVAL: Duration = Duration::from_millis(700);
+const INFO_INTERVAL: Duration = Duration::from_millis(700);
 /// Cache events are read in every n-th polling round.
-const CACHE_ROUNDS: u64 = 4;
+const ROUNDS_PER_CACHE_READ: u64 = 4;
 
 /// Builds a snapshot and replaces the current one.
 pub(crate) fn rebuild(entry: &EntryState) {
-    let _one_at_a_time = entry.known.lock_rebuild();
+    let _one_at_a_time = entry.registry.lock_rebuild();
     let former = entry.snapshot.load_full();
     let next = Snapshot::next(
         &former,
         entry.config.table(),
-        entry.known.engines(),
-        entry.known.services(),
+        entry.registry.engines(),
+        entry.registry.services(),
     );
     entry.snapshot.store(Arc::new(next));
 }
 
 /// Merges the engine digests of a peer's heartbeat.
-pub(crate) fn heard(entry: &EntryState, digests: &[EngineDigest]) {
-    if entry.known.heard(clock::now(), digests) {
+pub(crate) fn merge_digests(entry: &EntryState, digests: &[EngineDigest]) {
+    if entry.registry.merge_digests(clock::now(), digests) {
         rebuild(entry);
-        entry.admission.pump();
+        entry.admission.place_waiting();
     }
 }
 
 pub(crate) fn start(entry: &Arc<EntryState>) {
     tokio::spawn(follow_list(entry.clone()));
     tokio::spawn(follow_engines(entry.clone()));
-    tokio::spawn(pump(entry.clone()));
+    tokio::spawn(place_periodically(entry.clone()));
 }
 
 async fn follow_list(entry: Arc<EntryState>) {
@@ -77,14 +77,14 @@
         match entry.platform.instances().await {
             Ok(list) => {
                 failures = 0;
-                listed(&entry, list);
+                apply_list(&entry, list);
             }
             Err(error) => {
                 failures += 1;
                 info!(entry.log, "discovery: platform's list not read; the last one stays";
                     "part" => "discovery", "failures" => failures, "error" => %error);
-                if let Some(list) = ask_peer_for_list(&entry).await {
-                    listed(&entry, list);
+                if let Some(list) = fetch_list_from_peer(&entry).await {
+                    apply_list(&entry, list);
                 }
             }
         }
@@ -93,8 +93,8 @@
     }
 }
 
-fn listed(entry: &EntryState, list: InstanceList) {
-    if entry.known.listed(list.instances) {
+fn apply_list(entry: &EntryState, list: InstanceList) {
+    if entry.registry.apply_list(list.instances) {
         rebuild(entry);
         entry.list_changed.notify_one();
     }
@@ -102,7 +102,7 @@
 
 /// Fetches the list from a random live peer, for an instance that can't read the
 /// platform. The peer's list may be newer, or the only one available.
-async fn ask_peer_for_list(entry: &EntryState) -> Option<InstanceList> {
+async fn fetch_list_from_peer(entry: &EntryState) -> Option<InstanceList> {
     let peers: Vec<SocketAddr> = {
         let members = entry.peers.lock();
         let live = members
@@ -112,7 +112,7 @@
     };
     let chosen = rand::rng().random_range(0..peers.len().max(1));
     let addr = *peers.get(chosen)?;
-    match peers::ask(entry, addr, &PeerRequest::Instances).await {
+    match peers::send_request(entry, addr, &PeerRequest::Instances).await {
         Ok(PeerAnswer::Instances(list)) if !list.instances.is_empty() => Some(list),
         _ => None,
     }
@@ -122,83 +122,91 @@
     let limits = &entry.settings.limits;
     let shortest = Duration::from_millis(limits.load_interval_ms);
     let mut round = 0;
-    let mut described_at: Option<Instant> = None;
+    let mut info_polled_at: Option<Instant> = None;
     loop {
         round += 1;
         let now = clock::now();
-        let is_describing =
-            described_at.is_none_or(|at| now.saturating_duration_since(at) >= DESCRIBE_INTERVAL);
-        if is_describing {
-            described_at = Some(now);
+        let is_info_due =
+            info_polled_at.is_none_or(|at| now.saturating_duration_since(at) >= INFO_INTERVAL);
+        if is_info_due {
+            info_polled_at = Some(now);
         }
-        let asked = ask_all(&entry, round, is_describing).await;
-        let interval = poll_interval(asked, limits.ask_bytes_per_s, shortest);
+        let polled = poll_engines(&entry, round, is_info_due).await;
+        let interval = poll_interval(polled, limits.ask_bytes_per_s, shortest);
         let changed = entry.list_changed.notified();
         let _ = tokio::time::timeout(jittered(interval), changed).await;
     }
 }
 
 /// Polls the engines that are due on this instance; returns their number.
-async fn ask_all(entry: &Arc<EntryState>, round: u64, is_describing: bool) -> usize {
+async fn poll_engines(entry: &Arc<EntryState>, round: u64, is_info_due: bool) -> usize {
     let by_domain = entry.peers.lock().live_by_domain();
     let all: Vec<InstanceId> = by_domain.values().flatten().cloned().collect();
-    let instance = Asker {
+    let context = PollContext {
         own: &entry.instance,
         failure_domain: &entry.failure_domain,
         by_domain: &by_domain,
         all: &all,
         bytes_per_s: entry.settings.limits.ask_bytes_per_s,
     };
-    let asks = entry.known.to_ask(clock::now(), &instance);
-    let asked = asks.len();
-    let asks = asks
+    let polls = entry.registry.due_polls(clock::now(), &context);
+    let polled = polls.len();
+    let polls = polls
         .into_iter()
-        .map(|ask| ask_one(entry, ask, round, is_describing));
-    let changes: Vec<bool> = stream::iter(asks)
-        .buffer_unordered(ASKED_AT_ONCE)
+        .map(|poll| poll_engine(entry, poll, round, is_info_due));
+    let changes: Vec<bool> = stream::iter(polls)
+        .buffer_unordered(MAX_CONCURRENT_POLLS)
         .collect()
         .await;
     if changes.contains(&true) {
         rebuild(entry);
         entry.peers.wake.notify_waiters();
     }
-    if asked > 0 {
-        entry.admission.pump();
+    if polled > 0 {
+        entry.admission.place_waiting();
     }
-    asked
+    polled
 }
 
-async fn ask_one(entry: &Arc<EntryState>, ask: Ask, round: u64, is_describing: bool) -> bool {
-    let Ask { engine, addr, .. } = ask;
+async fn poll_engine(
+    entry: &Arc<EntryState>,
+    poll: EnginePoll,
+    round: u64,
+    is_info_due: bool,
+) -> bool {
+    let EnginePoll { engine, addr, .. } = poll;
     // A poll skipped because of a backoff doesn't count as failed.
     if entry.backoffs.left(addr).is_some() {
         return false;
     }
     let Ok(load) = entry.engines.load(addr).await else {
-        return entry.known.described(clock::now(), &engine, None);
+        return entry.registry.record_info(clock::now(), &engine, None);
     };
-    entry.known.reported(clock::now(), &engine, load);
-    if round.is_multiple_of(CACHE_ROUNDS)
-        && let Ok(events) = entry.engines.cache_events(addr, ask.next_cache_event).await
+    entry.registry.record_load(clock::now(), &engine, load);
+    if round.is_multiple_of(ROUNDS_PER_CACHE_READ)
+        && let Ok(events) = entry
+            .engines
+            .cache_events(addr, poll.next_cache_event)
+            .await
     {
         let mut prefixes = entry
             .prefixes
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         prefixes.on_events(&engine, &events);
-        entry.known.cache_events_read(&engine, events.next);
+        entry.registry.record_next_cache_event(&engine, events.next);
     }
-    if ask.reason == PollReason::Assigned && !is_describing {
+    if poll.reason == PollReason::Assigned && !is_info_due {
         return false;
     }
     let info = entry.engines.info(addr).await.ok();
-    entry.known.described(clock::now(), &engine, info)
+    entry.registry.record_info(clock::now(), &engine, info)
 }
 
-async fn pump(entry: Arc<EntryState>) {
+async fn place_periodically(entry: Arc<EntryState>) {
     loop {
-        entry.admission.someone_waits().await;
-        tokio::time::sleep(PUMP_INTERVAL).await;
-        entry.admission.pump();
+        entry.admission.wait_until_queued().await;
+        tokio::time::sleep(QUEUE_INTERVAL).await;
+        entry.admission.place_waiting();
     }
 }
--- a/crates/rookferry_entry/src/entry.rs
+++ b/crates/rookferry_entry/src/entry.rs
@@ -52,10 +52,10 @@
 use crate::decisions::Decisions;
 use crate::discovery;
 use crate::http;
-use crate::known::Known;
 use crate::peers;
 use crate::peers::PeerState;
 use crate::quarantine::CallQuarantine;
+use crate::registry::ServerRegistry;
 use crate::runner::StepSender;
 use crate::snapshot::Snapshot;
 
@@ -103,7 +103,7 @@
     pub(crate) client: HttpClient,
     pub(crate) platform: Arc<dyn Platform>,
     pub(crate) config: ConfigStore,
-    pub(crate) known: Known,
+    pub(crate) registry: ServerRegistry,
     /// Notified when the platform's list has changed.
     pub(crate) list_changed: Notify,
     pub(crate) prefixes: Mutex<PrefixIndex>,
@@ -137,7 +137,7 @@
                 "no configuration: neither the platform nor a peer has given one".to_owned(),
             );
         }
-        if self.known.is_empty() {
+        if self.registry.is_empty() {
             let reason = "no backend servers: neither the platform nor a peer has given the list";
             return Err(reason.to_owned());
         }
@@ -254,7 +254,7 @@
         admission: Admission::new(snapshot.clone(), backoffs.clone()),
         steps: StepSender::new(engines.clone()),
         config: ConfigStore::new(),
-        known: Known::default(),
+        registry: ServerRegistry::default(),
         list_changed: Notify::new(),
         prefixes: Mutex::new(PrefixIndex::new()),
         claims: Claims::new(platform.clone(), log.clone()),
--- a/crates/rookferry_entry/src/http/call.rs
+++ b/crates/rookferry_entry/src/http/call.rs
@@ -24,7 +24,7 @@
 use uuid::Uuid;
 
 use super::refusal::Refusal;
-use crate::counters::Served;
+use crate::counters::ServeOutcome;
 use crate::entry::EntryState;
 use crate::entry::now_ms;
 use crate::snapshot::AccountPermit;
@@ -42,7 +42,7 @@
 pub(super) struct Call {
     pub(super) request: Undispatched,
     /// UUID at the end of its request id; also the id of its stream.
-    pub(super) number: Uuid,
+    pub(super) uuid: Uuid,
     pub(super) account: AccountId,
     pub(super) weight: f64,
     pub(super) snapshot: Arc<Snapshot>,
@@ -78,7 +78,7 @@
         inbound: &mut Inbound,
     ) -> Result<Self, Refusal> {
         let received_at = clock::now();
-        let (request_id, number) = entry.new_request();
+        let (request_id, uuid) = entry.new_request();
         let request = Undispatched::new(request_id);
         if entry.leaving.load(Ordering::SeqCst) && entry.snapshot.load().table.version() == 0 {
             return Err(Refusal::new(
@@ -149,12 +149,12 @@
             is_forwarded: false,
             permit,
         };
-        Self::assemble(entry, request, number, snapshot, parts)
+        Self::assemble(entry, request, uuid, snapshot, parts)
     }
 
     /// Accepts a call forwarded by a peer, which has authenticated the caller.
     pub(super) fn forwarded(entry: &Arc<EntryState>, call: &KeyedCall) -> Result<Self, Refusal> {
-        let (request_id, number) = entry.new_request();
+        let (request_id, uuid) = entry.new_request();
         let request = Undispatched::new(request_id);
         let snapshot = entry.snapshot.load_full();
         let account: AccountId = call.account.as_str().into();
@@ -182,13 +182,13 @@
             is_forwarded: true,
             permit,
         };
-        Self::assemble(entry, request, number, snapshot.clone(), parts)
+        Self::assemble(entry, request, uuid, snapshot.clone(), parts)
     }
 
     fn assemble(
         entry: &Arc<EntryState>,
         request: Undispatched,
-        number: Uuid,
+        uuid: Uuid,
         snapshot: Arc<Snapshot>,
         parts: CallParts,
     ) -> Result<Self, Refusal> {
@@ -208,7 +208,7 @@
         };
         Ok(Self {
             request,
-            number,
+            uuid,
             account: parts.account,
             weight: parts.weight,
             snapshot,
@@ -240,8 +240,8 @@
 
     /// Refuses the call if it is quarantined. With an idempotency key its outcome is
     /// unknown, since the key may have been run before.
-    pub(super) fn refuse_if_held(self, entry: &EntryState) -> Result<Self, Refusal> {
-        let Some(left) = entry.held_for(self.signature()) else {
+    pub(super) fn refuse_if_quarantined(self, entry: &EntryState) -> Result<Self, Refusal> {
+        let Some(left) = entry.quarantined_for(self.signature()) else {
             return Ok(self);
         };
         let detail = "servers crashed each time that they ran this call; it is quarantined";
@@ -261,7 +261,8 @@
         detail: impl Into<String>,
     ) -> Refusal {
         let not_run = self.request.refuse(reason);
-        ended_without_route(self.record, self.account).told(entry, Refusal::new(not_run, detail))
+        record_without_route(self.record, self.account)
+            .record_refusal(entry, Refusal::new(not_run, detail))
     }
 
     /// Refuses the call when earlier work under its key may have run, and records
@@ -273,12 +274,13 @@
         detail: impl Into<String>,
     ) -> Refusal {
         let unknown = self.request.unknown(reason);
-        ended_without_route(self.record, self.account).told(entry, Refusal::new(unknown, detail))
+        record_without_route(self.record, self.account)
+            .record_refusal(entry, Refusal::new(unknown, detail))
     }
 }
 
-const fn ended_without_route(record: DecisionRecord, account: AccountId) -> Ended {
-    Ended {
+const fn record_without_route(record: DecisionRecord, account: AccountId) -> CallRecord {
+    CallRecord {
         record,
         account,
         route: String::new(),
@@ -300,13 +302,13 @@
 }
 
 /// The part of a call that is needed to record its end.
-pub(super) struct Ended {
+pub(super) struct CallRecord {
     pub(super) record: DecisionRecord,
     pub(super) account: AccountId,
     pub(super) route: String,
 }
 
-impl Ended {
+impl CallRecord {
     /// Records a complete answer of `size` tokens or, for services, bytes.
     pub(super) fn answered(
         mut self,
@@ -316,11 +318,11 @@
         gaps: Vec<Duration>,
     ) {
         self.record.result = Some(DecisionResult::Answered { size });
-        let served = Served {
+        let served = ServeOutcome {
             route: self.route,
             account: self.account.to_string(),
             is_answered: true,
-            is_callers_fault: false,
+            is_caller_error: false,
             first_token,
             gaps,
         };
@@ -328,7 +330,7 @@
         entry.decisions.insert(self.record);
     }
 
-    fn told(self, entry: &EntryState, refusal: Refusal) -> Refusal {
+    fn record_refusal(self, entry: &EntryState, refusal: Refusal) -> Refusal {
         self.refused(entry, &refusal);
         refusal
     }
@@ -340,11 +342,11 @@
             reason: refusal.reason,
             detail: refusal.detail.clone(),
         });
-        let served = Served {
+        let served = ServeOutcome {
             route: self.route,
             account: self.account.to_string(),
-            is_callers_fault: refusal.is_callers_fault(),
-            ..Served::default()
+            is_caller_error: refusal.is_caller_error(),
+            ..ServeOutcome::default()
         };
         count(entry, &served);
         log_refusal(entry, refusal);
@@ -367,9 +369,11 @@
         "outcome" => ?refusal.outcome(), "reason" => ?refusal.reason, "detail" => &refusal.detail);
 }
 
-fn count(entry: &EntryState, served: &Served) {
+fn count(entry: &EntryState, served: &ServeOutcome) {
     let snapshot = entry.snapshot.load();
-    entry.counters.served(snapshot.table.config(), served);
+    entry
+        .counters
+        .count_request(snapshot.table.config(), served);
 }
 
 /// Service name after `/apps/`, and the path with the query after the name.
--- a/crates/rookferry_entry/src/http/forward.rs
+++ b/crates/rookferry_entry/src/http/forward.rs
@@ -20,12 +20,12 @@
 use super::refusal::Refusal;
 use super::respond;
 use super::service;
-use crate::answers::KeptAnswer;
+use crate::answers::StoredAnswer;
 use crate::entry::EntryState;
 use crate::peers;
 
 /// Serves a call that a peer forwards.
-pub(crate) async fn serve_keyed(entry: &Arc<EntryState>, keyed: KeyedCall) -> PeerAnswer {
+pub(crate) async fn serve_forwarded(entry: &Arc<EntryState>, keyed: KeyedCall) -> PeerAnswer {
     let response = match Call::forwarded(entry, &keyed) {
         Ok(call) => match &keyed.service {
             Some((name, path)) => service::serve(entry, call, &keyed.method, name, path).await,
@@ -98,16 +98,16 @@
         service: call.service.clone(),
         method: call.method.clone(),
         labels: call.raw_labels.clone(),
-        body: whole_body(call),
+        body: canonical_body(call),
     };
-    match peers::ask(entry, addr, &PeerRequest::Run(keyed)).await {
+    match peers::send_request(entry, addr, &PeerRequest::Run(keyed)).await {
         Ok(PeerAnswer::Ran {
             status,
             content_type,
             request_id,
             body,
         }) => {
-            let answer = KeptAnswer {
+            let answer = StoredAnswer {
                 request_id,
                 body_digest: String::new(),
                 status,
@@ -128,7 +128,7 @@
 
 /// A call's body in canonical form, for forwarding and digests. In model calls
 /// `stream` is removed: it selects the form of the response, not the work.
-pub(super) fn whole_body(call: &Call) -> Vec<u8> {
+pub(super) fn canonical_body(call: &Call) -> Vec<u8> {
     let body = serde_json::from_slice(&call.body);
     let (None, Ok(serde_json::Value::Object(mut body))) = (&call.service, body) else {
         return call.body.to_vec();
--- a/crates/rookferry_entry/src/http/keyed.rs
+++ b/crates/rookferry_entry/src/http/keyed.rs
@@ -36,9 +36,9 @@
 
 use super::call::Call;
 use super::call::log_refusal;
+use super::forward::canonical_body;
 use super::forward::forward;
 use super::forward::forward_ticket;
-use super::forward::whole_body;
 use super::model;
 use super::model::ModelRun;
 use super::model::ModelWork;
@@ -46,8 +46,8 @@
 use super::respond;
 use super::sse;
 use crate::admission::Placement;
-use crate::answers::KeptAnswer;
 use crate::answers::KeyState;
+use crate::answers::StoredAnswer;
 use crate::claims;
 use crate::entry::EntryState;
 use crate::entry::now_ms;
@@ -63,7 +63,7 @@
 }
 
 /// What may be done with a call, as decided by its key.
-pub(super) enum KeyVerdict {
+pub(super) enum KeyDecision {
     /// Dispatch it; the key is marked as running.
     Dispatch(Box<Call>),
     /// Don't dispatch it; send this response.
@@ -73,11 +73,11 @@
 }
 
 /// State of a key's work on this instance, compared with the call's body.
-enum KnownWork {
+enum LocalWork {
     Nothing,
     Running,
     OtherBody,
-    Finished(KeptAnswer),
+    Finished(StoredAnswer),
 }
 
 /// Serves a model call that has a key.
@@ -91,25 +91,25 @@
         Ok(checked) => checked,
         Err(response) => return *response,
     };
-    let placement = match entry.admission.place(work.need.clone()).await {
+    let placement = match entry.admission.place(work.requirements.clone()).await {
         Ok(placement) => placement,
-        Err(no_place) => return model::refuse_place(entry, call, &work, no_place),
+        Err(placement_error) => return model::refuse_unplaced(entry, call, &work, placement_error),
     };
-    let stream = Some(call.number);
+    let stream = Some(call.uuid);
     let chain = placement
         .stages
         .iter()
         .map(|stage| stage.engine.clone())
         .collect();
-    match settle_key(entry, call, &keyed, stream, chain, is_stream).await {
-        KeyVerdict::Respond(response) => response,
-        KeyVerdict::Dispatch(call) => {
-            let spec = work.spec(call.number, &placement);
-            let keep = Some((keyed.key.digest, keyed.body_digest));
-            let run = ModelRun::new(*call, work, placement, StreamDriver::new(spec), keep);
+    match resolve_key(entry, call, &keyed, stream, chain, is_stream).await {
+        KeyDecision::Respond(response) => response,
+        KeyDecision::Dispatch(call) => {
+            let spec = work.spec(call.uuid, &placement);
+            let store_as = Some((keyed.key.digest, keyed.body_digest));
+            let run = ModelRun::new(*call, work, placement, StreamDriver::new(spec), store_as);
             run.respond(entry).await
         }
-        KeyVerdict::Resume(call, claim) => {
+        KeyDecision::Resume(call, claim) => {
             resume(entry, *call, work, placement, keyed, &claim).await
         }
     }
@@ -122,11 +122,11 @@
     call: Call,
     is_stream: bool,
 ) -> Result<(Call, KeyedBody), Box<Response<Body>>> {
-    match KeyedBody::read(&call) {
+    match KeyedBody::parse(&call) {
         Ok(keyed) => {
-            let call = respond_known(entry, call, &keyed, is_stream)?;
+            let call = respond_if_known(entry, call, &keyed, is_stream)?;
             let call = call
-                .refuse_if_held(entry)
+                .refuse_if_quarantined(entry)
                 .map_err(|refusal| Box::new(respond::refused(entry, &refusal)))?;
             Ok((call, keyed))
         }
@@ -142,17 +142,17 @@
 }
 
 /// Decides what may be done with a call: claims its key, or redeems its ticket.
-pub(super) async fn settle_key(
+pub(super) async fn resolve_key(
     entry: &Arc<EntryState>,
     call: Call,
     keyed: &KeyedBody,
     stream: Option<StreamId>,
     chain: Vec<EngineId>,
     is_stream: bool,
-) -> KeyVerdict {
+) -> KeyDecision {
     let key = call.key.clone().unwrap_or_default();
     if TicketBook::is_ticket(&key) {
-        return settle_ticket(entry, call, &key, keyed, is_stream).await;
+        return redeem_ticket(entry, call, &key, keyed, is_stream).await;
     }
     let claim = Claim {
         owner: entry.instance.clone(),
@@ -172,38 +172,38 @@
         ClaimReply::Granted => begin(entry, call, keyed, is_stream),
         ClaimReply::Taken(claim) => {
             drop(claiming);
-            settle_taken(entry, call, keyed, claim, is_stream).await
+            resolve_claimed(entry, call, keyed, claim, is_stream).await
         }
-        ClaimReply::Refused(refusal) => KeyVerdict::Respond(refuse_claim(entry, call, refusal)),
+        ClaimReply::Refused(refusal) => KeyDecision::Respond(refuse_claim(entry, call, refusal)),
     }
 }
 
 /// Marks the key as running, unless it already runs or has run on this instance.
-fn begin(entry: &EntryState, call: Call, keyed: &KeyedBody, is_stream: bool) -> KeyVerdict {
+fn begin(entry: &EntryState, call: Call, keyed: &KeyedBody, is_stream: bool) -> KeyDecision {
     if entry.answers.begin(&keyed.key.digest) {
-        return KeyVerdict::Dispatch(Box::new(call));
+        return KeyDecision::Dispatch(Box::new(call));
     }
-    let known = respond_known(entry, call, keyed, is_stream);
-    KeyVerdict::Respond(known_or_unknown(
+    let known = respond_if_known(entry, call, keyed, is_stream);
+    KeyDecision::Respond(respond_or_unknown(
         entry,
         known,
         "the key's work has ended on this instance",
     ))
 }
 
-async fn settle_taken(
+async fn resolve_claimed(
     entry: &Arc<EntryState>,
     call: Call,
     keyed: &KeyedBody,
     claim: Claim,
     is_stream: bool,
-) -> KeyVerdict {
+) -> KeyDecision {
     if claim.body_digest != keyed.body_digest {
         let detail = "the key was used for another body";
-        return KeyVerdict::Respond(refuse(entry, call, ReasonCode::KeyReused, detail));
+        return KeyDecision::Respond(refuse(entry, call, ReasonCode::KeyReused, detail));
     }
     if claim.owner == entry.instance && claim.incarnation == entry.incarnation {
-        return settle_own(
+        return resolve_own(
             entry,
             call,
             keyed,
@@ -216,39 +216,39 @@
     {
         // Fails only if the owner's process is gone.
         if let Ok(response) = forward(entry, &call, addr, is_stream).await {
-            return KeyVerdict::Respond(response);
+            return KeyDecision::Respond(response);
         }
     }
     if claim.stream.is_none() {
         let detail =
             "the instance that ran the call is gone, and calls of services can't be resumed";
-        return KeyVerdict::Respond(unknown(entry, call, detail));
+        return KeyDecision::Respond(unknown(entry, call, detail));
     }
-    KeyVerdict::Resume(Box::new(call), claim)
+    KeyDecision::Resume(Box::new(call), claim)
 }
 
 /// Resolves a key that this incarnation claimed or minted itself.
-fn settle_own(
+fn resolve_own(
     entry: &EntryState,
     call: Call,
     keyed: &KeyedBody,
     is_stream: bool,
     dropped: &str,
-) -> KeyVerdict {
+) -> KeyDecision {
     if entry.answers.state(&keyed.key.digest) == KeyState::NotRun {
         return begin(entry, call, keyed, is_stream);
     }
-    let known = respond_known(entry, call, keyed, is_stream);
-    KeyVerdict::Respond(known_or_unknown(entry, known, dropped))
+    let known = respond_if_known(entry, call, keyed, is_stream);
+    KeyDecision::Respond(respond_or_unknown(entry, known, dropped))
 }
 
-async fn settle_ticket(
+async fn redeem_ticket(
     entry: &Arc<EntryState>,
     call: Call,
     ticket: &str,
     keyed: &KeyedBody,
     is_stream: bool,
-) -> KeyVerdict {
+) -> KeyDecision {
     let redeemed = {
         let mut tickets = entry.tickets.lock().unwrap_or_else(PoisonError::into_inner);
         tickets.redeem(clock::now(), ticket, &keyed.body_digest)
@@ -256,7 +256,7 @@
     let response = match redeemed {
         Ok(TicketState::Dispatch) => return begin(entry, call, keyed, is_stream),
         Ok(TicketState::Dispatched) => {
-            return settle_own(
+            return resolve_own(
                 entry,
                 call,
                 keyed,
@@ -277,7 +277,7 @@
             refuse(entry, call, ReasonCode::BadRequest, &fault.to_string())
         }
     };
-    KeyVerdict::Respond(response)
+    KeyDecision::Respond(response)
 }
 
 async fn resume(
@@ -288,13 +288,13 @@
     keyed: KeyedBody,
     claim: &Claim,
 ) -> Response<Body> {
-    let stages = stages_of(entry, claim);
+    let stages = claimed_stages(entry, claim);
     let (Some(stages), Some(stream)) = (stages, claim.stream) else {
         return unknown(entry, call, "the engines that ran the call are gone");
     };
     if !entry.answers.begin(&keyed.key.digest) {
-        let known = respond_known(entry, call, &keyed, work.request.stream);
-        return known_or_unknown(entry, known, "the key's work has ended on this instance");
+        let known = respond_if_known(entry, call, &keyed, work.request.stream);
+        return respond_or_unknown(entry, known, "the key's work has ended on this instance");
     }
     info!(entry.log, "request: resuming another instance's stream";
         "part" => "request", "request_id" => %call.request.request_id(), "owner" => %claim.owner, "stream" => %stream);
@@ -308,14 +308,14 @@
     }
     placement.slots.add(&call.snapshot.fleet, &stages);
     let driver = StreamDriver::resume(work.spec_on(stream, stages), 1);
-    let keep = Some((keyed.key.digest, keyed.body_digest));
-    let run = ModelRun::new(call, work, placement, driver, keep);
+    let store_as = Some((keyed.key.digest, keyed.body_digest));
+    let run = ModelRun::new(call, work, placement, driver, store_as);
     run.respond(entry).await
 }
 
 /// The claim's chain, if its engines are known and their layers are still
 /// contiguous from 0.
-fn stages_of(entry: &EntryState, claim: &Claim) -> Option<Vec<Stage>> {
+fn claimed_stages(entry: &EntryState, claim: &Claim) -> Option<Vec<Stage>> {
     let snapshot = entry.snapshot.load();
     let mut stages: Vec<Stage> = Vec::new();
     for name in &claim.chain {
@@ -347,15 +347,15 @@
 
 /// Responds from this instance's state of a key; returns the call if there is
 /// none.
-fn respond_known(
+fn respond_if_known(
     entry: &EntryState,
     call: Call,
     keyed: &KeyedBody,
     is_stream: bool,
 ) -> Result<Call, Box<Response<Body>>> {
-    match known_work(entry, keyed) {
-        KnownWork::Nothing => Ok(call),
-        KnownWork::Running => {
+    match local_work(entry, keyed) {
+        LocalWork::Nothing => Ok(call),
+        LocalWork::Running => {
             let refusal = Refusal::running(
                 &call.request,
                 "the key's work is running on this instance; retry with the key",
@@ -363,26 +363,26 @@
             log_refusal(entry, &refusal);
             Err(Box::new(respond::refused(entry, &refusal)))
         }
-        KnownWork::OtherBody => {
+        LocalWork::OtherBody => {
             let detail = "the key was used for another body";
             Err(Box::new(refuse(entry, call, ReasonCode::KeyReused, detail)))
         }
-        KnownWork::Finished(answer) => Err(Box::new(replay(entry, &answer, is_stream))),
+        LocalWork::Finished(answer) => Err(Box::new(replay(entry, &answer, is_stream))),
     }
 }
 
-fn known_work(entry: &EntryState, keyed: &KeyedBody) -> KnownWork {
+fn local_work(entry: &EntryState, keyed: &KeyedBody) -> LocalWork {
     match entry.answers.state(&keyed.key.digest) {
-        KeyState::Absent | KeyState::NotRun => KnownWork::Nothing,
-        KeyState::Running => KnownWork::Running,
+        KeyState::Absent | KeyState::NotRun => LocalWork::Nothing,
+        KeyState::Running => LocalWork::Running,
         KeyState::Finished(answer) if answer.body_digest != keyed.body_digest => {
-            KnownWork::OtherBody
+            LocalWork::OtherBody
         }
-        KeyState::Finished(answer) => KnownWork::Finished(answer),
+        KeyState::Finished(answer) => LocalWork::Finished(answer),
     }
 }
 
-fn known_or_unknown(
+fn respond_or_unknown(
     entry: &EntryState,
     known: Result<Call, Box<Response<Body>>>,
     detail: &str,
@@ -393,12 +393,12 @@
     }
 }
 
-pub(super) fn replay(entry: &EntryState, answer: &KeptAnswer, is_stream: bool) -> Response<Body> {
+pub(super) fn replay(entry: &EntryState, answer: &StoredAnswer, is_stream: bool) -> Response<Body> {
     if is_stream && let Ok(whole) = serde_json::from_slice::<CompletionResponse>(&answer.body) {
         let response = sse::replay(&whole.id, &whole.tokens);
         return respond::finished(entry, &whole.id, response);
     }
-    respond::kept(entry, answer)
+    respond::stored(entry, answer)
 }
 
 fn refuse_claim(entry: &EntryState, call: Call, refusal: ClaimRefusal) -> Response<Body> {
@@ -439,14 +439,14 @@
     /// Parses the key of a call and computes the digest of its body.
     ///
     /// For calls of services the digest covers the method, service and path too.
-    pub(super) fn read(call: &Call) -> Result<Self, KeyFault> {
+    pub(super) fn parse(call: &Call) -> Result<Self, KeyFault> {
         let key = call.key.as_deref().unwrap_or_default();
         let window_ms = call.snapshot.table.config().policy.key_window_ms;
         let mut hash = Sha256::new();
         if let Some((service, path)) = &call.service {
             hash.update(format!("{}\0{service}\0{path}\0", call.method));
         }
-        hash.update(whole_body(call));
+        hash.update(canonical_body(call));
         Ok(Self {
             key: ClaimKey::parse(&call.account, key, now_ms(), window_ms)?,
             body_digest: hex::encode(hash.finalize()),
--- a/crates/rookferry_entry/src/http/mod.rs
+++ b/crates/rookferry_entry/src/http/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::entry::EntryState;
 
-pub(crate) use forward::serve_keyed;
+pub(crate) use forward::serve_forwarded;
 
 /// Routes of the callers' interface.
 pub(crate) fn caller_router(entry: &Arc<EntryState>, connections: &ConnectionTable) -> Router {
--- a/crates/rookferry_entry/src/http/model.rs
+++ b/crates/rookferry_entry/src/http/model.rs
@@ -29,7 +29,7 @@
 use tokio::sync::watch;
 
 use super::call::Call;
-use super::call::Ended;
+use super::call::CallRecord;
 use super::call::log_refusal;
 use super::keyed;
 use super::refusal::Refusal;
@@ -37,12 +37,12 @@
 use super::sse;
 use super::sse::CancelOnDrop;
 use super::sse::TokenCollector;
-use crate::admission::NoPlace;
 use crate::admission::Placement;
-use crate::admission::StreamNeed;
-use crate::answers::KeptAnswer;
+use crate::admission::PlacementError;
+use crate::admission::StreamRequirements;
+use crate::answers::StoredAnswer;
 use crate::entry::EntryState;
-use crate::runner::StreamEnd;
+use crate::runner::StreamError;
 use crate::runner::StreamRun;
 
 /// Largest `max_tokens` that is accepted.
@@ -51,7 +51,7 @@
 /// A validated and routed model call.
 pub(super) struct ModelWork {
     pub(super) request: CompletionRequest,
-    pub(super) need: StreamNeed,
+    pub(super) requirements: StreamRequirements,
     prompt: Vec<u64>,
     stop_token: Option<u64>,
     priority: u8,
@@ -65,10 +65,10 @@
     pub(super) driver: StreamDriver,
     pub(super) placement: Placement,
     pub(super) work: ModelWork,
-    pub(super) ended: Ended,
+    pub(super) call_record: CallRecord,
     pub(super) received_at: Instant,
     /// Digests of the key and the body, if the answer is to be stored.
-    pub(super) keep: Option<(String, String)>,
+    pub(super) store_as: Option<(String, String)>,
 }
 
 /// Serves `POST /v1/completions`.
@@ -85,7 +85,7 @@
 
 /// Serves a call of an authenticated caller.
 pub(super) async fn serve(entry: &Arc<EntryState>, mut call: Call) -> Response<Body> {
-    let work = match ModelWork::read(entry, &mut call) {
+    let work = match ModelWork::parse(entry, &mut call) {
         Ok(work) => work,
         Err((reason, detail)) => {
             let refusal = call.refuse(entry, reason, detail);
@@ -98,41 +98,42 @@
     if call.key.is_some() {
         return keyed::serve_model(entry, call, work).await;
     }
-    let call = match call.refuse_if_held(entry) {
+    let call = match call.refuse_if_quarantined(entry) {
         Ok(call) => call,
         Err(refusal) => return respond::refused(entry, &refusal),
     };
-    let placement = match entry.admission.place(work.need.clone()).await {
+    let placement = match entry.admission.place(work.requirements.clone()).await {
         Ok(placement) => placement,
-        Err(no_place) => return refuse_place(entry, call, &work, no_place),
+        Err(placement_error) => return refuse_unplaced(entry, call, &work, placement_error),
     };
-    let spec = work.spec(call.number, &placement);
+    let spec = work.spec(call.uuid, &placement);
     let run = ModelRun::new(call, work, placement, StreamDriver::new(spec), None);
     run.respond(entry).await
 }
 
 /// Refuses a call that couldn't be placed.
-pub(super) fn refuse_place(
+pub(super) fn refuse_unplaced(
     entry: &EntryState,
     mut call: Call,
     work: &ModelWork,
-    no_place: NoPlace,
+    placement_error: PlacementError,
 ) -> Response<Body> {
-    call.record.candidates = no_place.candidates;
-    let not_run = call.request.refuse(no_place.reason);
-    let refusal = Refusal::new(not_run, no_place.detail).retry_after(no_place.retry_after);
-    let ended = Ended {
+    call.record.candidates = placement_error.candidates;
+    let not_run = call.request.refuse(placement_error.reason);
+    let refusal =
+        Refusal::new(not_run, placement_error.detail).retry_after(placement_error.retry_after);
+    let call_record = CallRecord {
         record: call.record,
         account: call.account,
         route: work.route.clone(),
     };
-    ended.refused(entry, &refusal);
+    call_record.refused(entry, &refusal);
     respond::refused(entry, &refusal)
 }
 
 impl ModelWork {
     /// Validates a call's body and finds its route.
-    pub(super) fn read(entry: &EntryState, call: &mut Call) -> Result<Self, (ReasonCode, String)> {
+    pub(super) fn parse(entry: &EntryState, call: &mut Call) -> Result<Self, (ReasonCode, String)> {
         let request: CompletionRequest = serde_json::from_slice(&call.body).map_err(|error| {
             (
                 ReasonCode::BadRequest,
@@ -174,20 +175,20 @@
                 .unwrap_or_else(PoisonError::into_inner);
             prefixes.holders(prefix).to_vec()
         });
-        let need = StreamNeed {
+        let requirements = StreamRequirements {
             signature: call.signature(),
             pool: route.pool.clone(),
             model: request.model.clone(),
             account: call.account.clone(),
             weight: call.weight * f64::from(1_u32 << route.priority.min(9)),
             cost: f64::from(request.max_tokens),
-            seed: call.number.as_u64_pair().1,
+            seed: call.uuid.as_u64_pair().1,
             cached: cached.unwrap_or_default(),
-            turn_by: call.received_at + Duration::from_millis(route.turn_ms()),
+            queue_deadline: call.received_at + Duration::from_millis(route.turn_ms()),
             deadline: call.received_at + Duration::from_millis(route.deadline_ms),
         };
         Ok(Self {
-            need,
+            requirements,
             prompt,
             stop_token: model.stop_token,
             priority: route.priority,
@@ -225,25 +226,25 @@
         work: ModelWork,
         mut placement: Placement,
         driver: StreamDriver,
-        keep: Option<(String, String)>,
+        store_as: Option<(String, String)>,
     ) -> Self {
         call.record.candidates = std::mem::take(&mut placement.candidates);
         let queued = clock::since(call.received_at);
         call.record.queued_us = u64::try_from(queued.as_micros()).unwrap_or(u64::MAX);
-        placement.slots.hold(call.permit);
+        placement.slots.attach_permit(call.permit);
         Self {
             request_id: call.request.request_id().clone(),
             dispatched: call.request.dispatch(),
             driver,
             placement,
-            ended: Ended {
+            call_record: CallRecord {
                 record: call.record,
                 account: call.account,
                 route: work.route.clone(),
             },
             work,
             received_at: call.received_at,
-            keep,
+            store_as,
         }
     }
 
@@ -255,7 +256,7 @@
         let request_id = self.request_id.clone();
         let (cancel, cancelled) = watch::channel(false);
         let cancel = CancelOnDrop(cancel);
-        let (kept_running, on_caller) = if self.keep.is_some() {
+        let (task_guard, response_guard) = if self.store_as.is_some() {
             (Some(cancel), None)
         } else {
             (None, Some(cancel))
@@ -264,18 +265,18 @@
             let (events, receiver) = mpsc::unbounded_channel();
             let entry_of_task = entry.clone();
             tokio::spawn(async move {
-                let _kept_running = kept_running;
+                let _task_guard = task_guard;
                 let _ = self.run(&entry_of_task, Some(events), cancelled).await;
             });
-            return respond::finished(entry, &request_id, sse::live(receiver, on_caller));
+            return respond::finished(entry, &request_id, sse::live(receiver, response_guard));
         }
         let entry_of_task = entry.clone();
         let task = tokio::spawn(async move {
-            let _kept_running = kept_running;
+            let _task_guard = task_guard;
             self.run(&entry_of_task, None, cancelled).await
         });
         let answer = task.await;
-        drop(on_caller);
+        drop(response_guard);
         match answer {
             Ok(Ok(answer)) => {
                 respond::finished(entry, &request_id, json_response(StatusCode::OK, &answer))
@@ -302,39 +303,40 @@
         let run = StreamRun::new(
             entry,
             &mut self.driver,
-            &self.work.need,
+            &self.work.requirements,
             self.placement.slots,
             &mut collector,
             cancelled,
         );
         let (result, chains) = run.run().await;
-        self.ended.record.chains = chains;
+        self.call_record.record.chains = chains;
         match result {
             Ok(()) => {
-                entry.run_finished(self.work.need.signature);
+                entry.record_finished_run(self.work.requirements.signature);
                 let tokens = std::mem::take(&mut collector.tokens);
-                let answer = whole_answer(&self.request_id, &self.work, tokens);
-                if let Some((digest, body_digest)) = &self.keep {
-                    entry
-                        .answers
-                        .finish(digest, kept_answer(&self.request_id, body_digest, &answer));
+                let answer = completion_response(&self.request_id, &self.work, tokens);
+                if let Some((digest, body_digest)) = &self.store_as {
+                    entry.answers.finish(
+                        digest,
+                        stored_answer(&self.request_id, body_digest, &answer),
+                    );
                 }
                 collector.done();
                 let size = answer.tokens.len() as u64;
-                self.ended
+                self.call_record
                     .answered(entry, size, collector.first_token, collector.gaps);
                 Ok(answer)
             }
             Err(end) => {
-                let refusal = settle(self.dispatched, &self.driver, end);
-                if let Some((digest, body_digest)) = &self.keep {
-                    keep_refusal(entry, digest, body_digest, &refusal);
+                let refusal = refusal_for(self.dispatched, &self.driver, end);
+                if let Some((digest, body_digest)) = &self.store_as {
+                    store_refusal(entry, digest, body_digest, &refusal);
                 }
                 collector.failed(&refusal.problem());
-                if end == StreamEnd::CallerGone {
-                    self.ended.caller_gone(entry);
+                if end == StreamError::CallerGone {
+                    self.call_record.caller_gone(entry);
                 } else {
-                    self.ended.refused(entry, &refusal);
+                    self.call_record.refused(entry, &refusal);
                 }
                 Err(refusal)
             }
@@ -342,8 +344,8 @@
     }
 }
 
-fn settle(dispatched: Dispatched, driver: &StreamDriver, end: StreamEnd) -> Refusal {
-    if end == StreamEnd::Abandoned(AbandonReason::TakenOver) {
+fn refusal_for(dispatched: Dispatched, driver: &StreamDriver, end: StreamError) -> Refusal {
+    if end == StreamError::Abandoned(AbandonReason::TakenOver) {
         let request_id = dispatched.request_id().clone();
         return Refusal::running_as(
             request_id,
@@ -351,16 +353,16 @@
         );
     }
     let (reason, detail) = match end {
-        StreamEnd::Deadline => (ReasonCode::DeadlinePassed, "the route's deadline passed"),
-        StreamEnd::CallerGone => (ReasonCode::EngineLost, "the caller disconnected"),
-        StreamEnd::Abandoned(AbandonReason::NotHeld) => {
+        StreamError::Deadline => (ReasonCode::DeadlinePassed, "the route's deadline passed"),
+        StreamError::CallerGone => (ReasonCode::EngineLost, "the caller disconnected"),
+        StreamError::Abandoned(AbandonReason::NotHeld) => {
             (ReasonCode::OwnerGone, "the engines no longer hold the work")
         }
-        StreamEnd::Held => (
+        StreamError::Quarantined => (
             ReasonCode::Quarantined,
             "engines crashed each time that they ran this call; it is quarantined",
         ),
-        StreamEnd::Abandoned(_) => (
+        StreamError::Abandoned(_) => (
             ReasonCode::EngineLost,
             "engines were lost, and others could not continue the stream",
         ),
@@ -371,13 +373,18 @@
 
 /// Stores a refusal, so that retries get the same response. A key whose work
 /// didn't run may run later.
-pub(super) fn keep_refusal(entry: &EntryState, digest: &str, body_digest: &str, refusal: &Refusal) {
+pub(super) fn store_refusal(
+    entry: &EntryState,
+    digest: &str,
+    body_digest: &str,
+    refusal: &Refusal,
+) {
     if refusal.outcome() == rookferry_wire::Outcome::NotRun {
         entry.answers.not_run(digest);
         return;
     }
     let problem = refusal.problem();
-    let answer = KeptAnswer {
+    let answer = StoredAnswer {
         request_id: refusal.request_id().clone(),
         body_digest: body_digest.to_owned(),
         status: problem.status,
@@ -387,7 +394,11 @@
     entry.answers.finish(digest, answer);
 }
 
-fn whole_answer(request_id: &RequestId, work: &ModelWork, tokens: Vec<u64>) -> CompletionResponse {
+fn completion_response(
+    request_id: &RequestId,
+    work: &ModelWork,
+    tokens: Vec<u64>,
+) -> CompletionResponse {
     let is_stopped = work.stop_token.is_some() && tokens.last().copied() == work.stop_token;
     CompletionResponse {
         id: request_id.clone(),
@@ -398,12 +409,12 @@
     }
 }
 
-fn kept_answer(
+fn stored_answer(
     request_id: &RequestId,
     body_digest: &str,
     answer: &CompletionResponse,
-) -> KeptAnswer {
-    KeptAnswer {
+) -> StoredAnswer {
+    StoredAnswer {
         request_id: request_id.clone(),
         body_digest: body_digest.to_owned(),
         status: StatusCode::OK.as_u16(),
--- a/crates/rookferry_entry/src/http/operators.rs
+++ b/crates/rookferry_entry/src/http/operators.rs
@@ -112,7 +112,7 @@
     }
     let instance = id.rsplit_once('.').map_or("", |(instance, _)| instance);
     if *instance == *entry.instance {
-        return not_kept(&format!(
+        return no_record(&format!(
             "{instance} has no record of {id}: it is too old, or from an earlier incarnation"
         ));
     }
@@ -123,22 +123,22 @@
             .map(|member| member.heartbeat.peer_addr)
     };
     let Some(addr) = addr else {
-        return not_kept(&format!(
+        return no_record(&format!(
             "{instance:?}, which handled the request, is not known here; it may have left"
         ));
     };
     let request = PeerRequest::Decision {
         request_id: id.as_str().into(),
     };
-    match peers::ask(&entry, addr, &request).await {
+    match peers::send_request(&entry, addr, &request).await {
         Ok(PeerAnswer::Decision { record }) => {
             let value: serde_json::Value = serde_json::from_str(&record).unwrap_or_default();
             json_response(StatusCode::OK, &value)
         }
-        Ok(_) => not_kept(&format!(
+        Ok(_) => no_record(&format!(
             "{instance} has no record of {id}: it is too old, or from an earlier incarnation"
         )),
-        Err(error) => not_kept(&format!(
+        Err(error) => no_record(&format!(
             "{instance}, which handled the request, does not respond: {error}"
         )),
     }
@@ -206,7 +206,7 @@
     engines.collect()
 }
 
-fn not_kept(reason: &str) -> Response<Body> {
+fn no_record(reason: &str) -> Response<Body> {
     json_response(
         StatusCode::NOT_FOUND,
         &serde_json::json!({ "explanation": reason }),
--- a/crates/rookferry_entry/src/http/refusal.rs
+++ b/crates/rookferry_entry/src/http/refusal.rs
@@ -76,7 +76,7 @@
 
     /// Whether the caller caused the refusal, so that it counts against no objective
     /// of the site.
-    pub(crate) const fn is_callers_fault(&self) -> bool {
+    pub(crate) const fn is_caller_error(&self) -> bool {
         matches!(
             self.reason,
             ReasonCode::BadRequest
--- a/crates/rookferry_entry/src/http/respond.rs
+++ b/crates/rookferry_entry/src/http/respond.rs
@@ -14,7 +14,7 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use rookferry_net::json_response_as;
 
-use crate::answers::KeptAnswer;
+use crate::answers::StoredAnswer;
 use crate::entry::EntryState;
 use crate::http::refusal::Refusal;
 
@@ -36,7 +36,7 @@
 }
 
 /// The response for a stored answer.
-pub(super) fn kept(entry: &EntryState, answer: &KeptAnswer) -> Response<Body> {
+pub(super) fn stored(entry: &EntryState, answer: &StoredAnswer) -> Response<Body> {
     let body = Full::new(answer.body.clone().into()).map_err(|never| match never {});
     let mut response = Response::new(UnsyncBoxBody::new(body));
     *response.status_mut() =
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -40,14 +40,14 @@
 use rookferry_wire::RequestId;
 
 use super::call::Call;
-use super::call::Ended;
+use super::call::CallRecord;
 use super::call::log_refusal;
 use super::keyed;
-use super::keyed::KeyVerdict;
+use super::keyed::KeyDecision;
 use super::keyed::KeyedBody;
 use super::refusal::Refusal;
 use super::respond;
-use crate::answers::KeptAnswer;
+use crate::answers::StoredAnswer;
 use crate::entry::EntryState;
 
 /// Largest response body that is passed on.
@@ -102,7 +102,7 @@
         return respond::refused(entry, &refusal);
     };
     let is_read = method == Method::GET || method == Method::HEAD;
-    let outgoing = Outgoing {
+    let outgoing = OutgoingCall {
         signature: call.signature(),
         request_id: call.request.request_id().clone(),
         is_repeatable: call
@@ -115,7 +115,7 @@
         body: call.body.clone(),
     };
     if call.key.is_none() {
-        let call = match call.refuse_if_held(entry) {
+        let call = match call.refuse_if_quarantined(entry) {
             Ok(call) => call,
             Err(refusal) => return respond::refused(entry, &refusal),
         };
@@ -125,14 +125,14 @@
         Ok(checked) => checked,
         Err(response) => return *response,
     };
-    match keyed::settle_key(entry, call, &keyed, None, Vec::new(), false).await {
-        KeyVerdict::Respond(response) => response,
-        KeyVerdict::Dispatch(call) => {
+    match keyed::resolve_key(entry, call, &keyed, None, Vec::new(), false).await {
+        KeyDecision::Respond(response) => response,
+        KeyDecision::Dispatch(call) => {
             send_and_answer(entry, *call, name, outgoing, Some(keyed)).await
         }
         // Not reached: claims of services have no stream, and only a stream can be
         // resumed.
-        KeyVerdict::Resume(call, _) => {
+        KeyDecision::Resume(call, _) => {
             let refusal = call.unknown(
                 entry,
                 ReasonCode::OwnerGone,
@@ -149,39 +149,39 @@
     entry: &Arc<EntryState>,
     call: Call,
     name: &str,
-    outgoing: Outgoing,
-    keep: Option<KeyedBody>,
+    outgoing: OutgoingCall,
+    store_as: Option<KeyedBody>,
 ) -> Response<Body> {
     let entry_of_task = entry.clone();
     let route = format!("service {name}");
     let task = tokio::spawn(async move {
         let entry = entry_of_task;
-        let mut ended = Ended {
+        let mut call_record = CallRecord {
             record: call.record,
             account: call.account,
             route,
         };
-        let result = outgoing.send(&entry, call.request, &mut ended).await;
+        let result = outgoing.send(&entry, call.request, &mut call_record).await;
         drop(call.permit);
         match result {
             Ok(mut answer) => {
-                if let Some(keyed) = keep {
+                if let Some(keyed) = store_as {
                     answer.body_digest = keyed.body_digest;
                     entry.answers.finish(&keyed.key.digest, answer.clone());
                 }
-                ended.answered(&entry, answer.body.len() as u64, None, Vec::new());
-                respond::kept(&entry, &answer)
+                call_record.answered(&entry, answer.body.len() as u64, None, Vec::new());
+                respond::stored(&entry, &answer)
             }
             Err(refusal) => {
-                if let Some(keyed) = keep {
-                    super::model::keep_refusal(
+                if let Some(keyed) = store_as {
+                    super::model::store_refusal(
                         &entry,
                         &keyed.key.digest,
                         &keyed.body_digest,
                         &refusal,
                     );
                 }
-                ended.refused(&entry, &refusal);
+                call_record.refused(&entry, &refusal);
                 respond::refused(&entry, &refusal)
             }
         }
@@ -196,7 +196,7 @@
 }
 
 /// A call to be sent to a service.
-struct Outgoing {
+struct OutgoingCall {
     signature: RequestSignature,
     request_id: RequestId,
     is_repeatable: bool,
@@ -208,12 +208,12 @@
 
 /// Whether any try may have reached a server. Once dispatched, a call stays
 /// dispatched.
-enum Progress {
+enum DispatchState {
     Undispatched(Undispatched),
     Dispatched(Dispatched),
 }
 
-impl Progress {
+impl DispatchState {
     /// Returns whether an earlier try may have been received, and the proof of
     /// dispatch.
     fn dispatch(self) -> (bool, Dispatched) {
@@ -223,7 +223,7 @@
         }
     }
 
-    fn give_up(self, reason: ReasonCode) -> Verdict {
+    fn fail(self, reason: ReasonCode) -> Verdict {
         match self {
             Self::Undispatched(request) => request.refuse(reason).into(),
             Self::Dispatched(request) => request.lost(reason).into(),
@@ -231,15 +231,15 @@
     }
 }
 
-impl Outgoing {
+impl OutgoingCall {
     async fn send(
         &self,
         entry: &Arc<EntryState>,
         request: Undispatched,
-        ended: &mut Ended,
-    ) -> Result<KeptAnswer, Refusal> {
+        call_record: &mut CallRecord,
+    ) -> Result<StoredAnswer, Refusal> {
         let deadline = clock::now() + Duration::from_millis(self.service.timeout_ms);
-        let mut progress = Progress::Undispatched(request);
+        let mut progress = DispatchState::Undispatched(request);
         let mut tried: Vec<InstanceId> = Vec::new();
         loop {
             let snapshot = entry.snapshot.load_full();
@@ -249,45 +249,48 @@
                 .iter()
                 .filter(|known| known.state == EngineState::Live);
             let servers = live.map(|known| (&known.instance, known.addr));
-            let waiting = entry.backoffs.backed_off(servers);
-            let names = waiting.iter().map(|(name, _)| (*name).clone());
+            let backing_off = entry.backoffs.backed_off(servers);
+            let names = backing_off.iter().map(|(name, _)| (*name).clone());
             let excluded: Vec<InstanceId> = tried.iter().cloned().chain(names).collect();
             let (chosen, candidates) = choose_service(instances, &entry.failure_domain, &excluded);
             if tried.is_empty() {
-                ended.record.candidates = candidates;
+                call_record.record.candidates = candidates;
             }
             let Some(instance) = chosen else {
-                let mut untried = waiting.iter().filter(|(name, _)| !tried.contains(name));
+                let mut untried = backing_off.iter().filter(|(name, _)| !tried.contains(name));
                 return Err(self.no_server(progress, untried.next().map(|(_, left)| *left)));
             };
             tried.push(instance.instance.clone());
-            ended.record.chains.push(vec![instance.instance.clone()]);
+            call_record
+                .record
+                .chains
+                .push(vec![instance.instance.clone()]);
             let (was_sent, dispatched) = progress.dispatch();
             let sent_at = clock::now();
-            let error = match self.try_on(entry, instance, deadline).await {
+            let error = match self.send_to(entry, instance, deadline).await {
                 Ok(answer) => {
                     if answer.status < StatusCode::INTERNAL_SERVER_ERROR.as_u16() {
-                        entry.run_finished(self.signature);
+                        entry.record_finished_run(self.signature);
                     }
                     return Ok(answer);
                 }
                 Err(error) => error,
             };
             if matches!(error, ClientError::Broken { .. }) {
-                self.broke_at(entry, instance, sent_at);
+                self.report_broken_run(entry, instance, sent_at);
             }
             instance.stats.step_lost();
             progress = if error.is_unsent() && !was_sent {
-                Progress::Undispatched(dispatched.never_connected())
+                DispatchState::Undispatched(dispatched.never_connected())
             } else {
-                Progress::Dispatched(dispatched)
+                DispatchState::Dispatched(dispatched)
             };
             let may_retry = error.is_unsent() || self.is_repeatable;
             let has_time = tried.len() < MAX_TRIES && clock::now() < deadline;
-            let may_go_on = may_retry && has_time && entry.may_run_again(self.signature).await;
+            let may_go_on = may_retry && has_time && entry.is_retry_allowed(self.signature).await;
             if !(may_go_on && entry.retries.spend()) {
                 let refusal =
-                    Refusal::new(progress.give_up(ReasonCode::EngineLost), error.to_string());
+                    Refusal::new(progress.fail(ReasonCode::EngineLost), error.to_string());
                 return Err(refusal.retry_after(Duration::from_secs(1)));
             }
         }
@@ -295,19 +298,23 @@
 
     /// The refusal when no server is available; `left` is the time until the first
     /// backoff ends, `None` without any.
-    fn no_server(&self, progress: Progress, left: Option<Duration>) -> Refusal {
+    fn no_server(&self, progress: DispatchState, left: Option<Duration>) -> Refusal {
         if let Some(left) = left {
             let detail = "the service's servers requested a backoff; retry when it ends";
-            return Refusal::new(progress.give_up(ReasonCode::Overloaded), detail)
-                .retry_after(left);
+            return Refusal::new(progress.fail(ReasonCode::Overloaded), detail).retry_after(left);
         }
         let detail = format!("no live instance of pool {:?}", self.service.pool);
-        Refusal::new(progress.give_up(ReasonCode::NoChain), detail).retry_after(NO_SERVER_PAUSE)
+        Refusal::new(progress.fail(ReasonCode::NoChain), detail).retry_after(NO_SERVER_PAUSE)
     }
 
     /// Reports that the connection to a server broke, so that the server is probed
     /// for a crash.
-    fn broke_at(&self, entry: &Arc<EntryState>, instance: &ServiceInstance, sent_at: Instant) {
+    fn report_broken_run(
+        &self,
+        entry: &Arc<EntryState>,
+        instance: &ServiceInstance,
+        sent_at: Instant,
+    ) {
         let quarantine = &entry.quarantine;
         let server = quarantine.plain_server(&instance.instance, instance.addr);
         let run = BrokenRun {
@@ -323,15 +330,15 @@
                 at: clock::now(),
             },
         };
-        entry.run_broke(run, server);
+        entry.record_broken_run(run, server);
     }
 
-    async fn try_on(
+    async fn send_to(
         &self,
         entry: &EntryState,
         instance: &ServiceInstance,
         deadline: Instant,
-    ) -> Result<KeptAnswer, ClientError> {
+    ) -> Result<StoredAnswer, ClientError> {
         let sent_at = clock::now();
         instance.stats.stream_started(sent_at);
         let wait = deadline.saturating_duration_since(sent_at);
@@ -351,7 +358,7 @@
         entry: &EntryState,
         instance: &ServiceInstance,
         wait: Duration,
-    ) -> Result<KeptAnswer, ClientError> {
+    ) -> Result<StoredAnswer, ClientError> {
         let addr = instance.addr;
         if let Some(left) = entry.backoffs.left(addr) {
             return Err(ClientError::BackedOff { addr, left });
@@ -377,7 +384,7 @@
             message: error.to_string(),
         })?;
         let content_type = head.headers.get("content-type").map(HeaderValue::to_str);
-        Ok(KeptAnswer {
+        Ok(StoredAnswer {
             request_id: self.request_id.clone(),
             body_digest: String::new(),
             status: head.status.as_u16(),
--- a/crates/rookferry_entry/src/lib.rs
+++ b/crates/rookferry_entry/src/lib.rs
@@ -16,9 +16,10 @@
 mod discovery;
 mod entry;
 mod http;
-mod known;
+
 mod peers;
 mod quarantine;
+mod registry;
 mod runner;
 mod settings;
 mod snapshot;
--- a/crates/rookferry_entry/src/peers/heartbeat.rs
+++ b/crates/rookferry_entry/src/peers/heartbeat.rs
@@ -34,7 +34,7 @@
 /// the next rounds.
 const MAX_SUSPECTS: usize = 3;
 /// Assumed size of the first heartbeat.
-const FIRST_GUESS_BYTES: usize = 100;
+const INITIAL_SIZE_BYTES: usize = 100;
 
 /// Contents of a heartbeat datagram.
 #[derive(Debug, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
     let budget = entry.settings.limits.heartbeat_bytes_per_s;
     let mut plan = HeartbeatPlan::new(entry.failure_domain.clone(), budget);
     let mut seq = 0;
-    let mut bytes = FIRST_GUESS_BYTES;
+    let mut bytes = INITIAL_SIZE_BYTES;
     let mut interval = Duration::ZERO;
     loop {
         let wake = entry.peers.wake.notified();
@@ -55,7 +55,7 @@
         let heartbeat = own_heartbeat(&entry, seq, peer_addr, interval);
         let targets = entry
             .peers
-            .targets(&entry.known.peers(), &entry.instance, peer_addr);
+            .targets(&entry.registry.peers(), &entry.instance, peer_addr);
         let round = plan.next_round(&targets, bytes);
         match seal(&entry, heartbeat) {
             Ok(datagram) => {
@@ -70,7 +70,7 @@
                 warn!(entry.log, "peers: heartbeat not sent"; "part" => "peers", "error" => %error);
             }
         }
-        suspect(&entry);
+        mark_suspects(&entry);
         interval = plan.interval(round.len(), bytes);
         let _ = tokio::time::timeout(interval, wake).await;
     }
@@ -100,7 +100,7 @@
 fn seal(entry: &EntryState, heartbeat: Heartbeat) -> Result<Vec<u8>, DatagramError> {
     let mut datagram = PeerDatagram {
         heartbeat,
-        suspects: entry.quarantine.next_told(MAX_SUSPECTS),
+        suspects: entry.quarantine.suspects_to_advertise(MAX_SUSPECTS),
     };
     let sealed = entry.peers.key.seal_message(&datagram);
     if sealed.is_err() && !datagram.suspects.is_empty() {
@@ -132,7 +132,7 @@
 /// Digests of the engines that this instance polls. If there are too many for one
 /// datagram, successive heartbeats rotate through them.
 fn digests(entry: &EntryState, seq: u64) -> Vec<EngineDigest> {
-    let all = entry.known.digests(clock::now());
+    let all = entry.registry.digests(clock::now());
     let parts = all.len().div_ceil(MAX_DIGESTS).max(1) as u64;
     let part = usize::try_from(seq % parts).unwrap_or(0);
     let mut parts = all.chunks(MAX_DIGESTS).skip(part);
@@ -144,15 +144,15 @@
         heartbeat,
         suspects,
     } = datagram;
-    entry.learn_suspects(&suspects, &heartbeat.instance);
+    entry.merge_suspects(&suspects, &heartbeat.instance);
     let engines = heartbeat.engines.clone();
     let taken = entry.peers.lock().on_heartbeat(clock::now(), heartbeat);
     match taken {
-        Ok(is_news) => {
-            if is_news {
-                entry.peers.news.notify_waiters();
+        Ok(has_changes) => {
+            if has_changes {
+                entry.peers.changed.notify_waiters();
             }
-            discovery::heard(entry, &engines);
+            discovery::merge_digests(entry, &engines);
         }
         Err(fault @ HeartbeatFault::SameName { .. }) => {
             warn!(entry.log, "peers: {}", fault; "part" => "peers");
@@ -164,7 +164,7 @@
     }
 }
 
-fn suspect(entry: &EntryState) {
+fn mark_suspects(entry: &EntryState) {
     let suspected = entry.peers.lock().tick(clock::now());
     for instance in suspected {
         info!(entry.log, "peers: no heartbeats from peer; it is suspected"; "part" => "peers", "peer" => %instance);
--- a/crates/rookferry_entry/src/peers/mod.rs
+++ b/crates/rookferry_entry/src/peers/mod.rs
@@ -14,7 +14,7 @@
 use crate::entry::EntryState;
 
 pub(crate) use state::PeerState;
-pub(crate) use tcp::ask;
+pub(crate) use tcp::send_request;
 
 /// Starts sending and receiving heartbeats, and serving peers' requests.
 pub(crate) fn start(
--- a/crates/rookferry_entry/src/peers/state.rs
+++ b/crates/rookferry_entry/src/peers/state.rs
@@ -24,7 +24,7 @@
     /// Notified to send a heartbeat at once.
     pub(crate) wake: Notify,
     /// Notified when a peer's heartbeat shows a change.
-    pub(crate) news: Notify,
+    pub(crate) changed: Notify,
     members: Mutex<MemberTable>,
     seeds: Vec<SocketAddr>,
 }
@@ -39,7 +39,7 @@
         Self {
             key: DatagramKey::from_secret(&settings.site_secret),
             wake: Notify::new(),
-            news: Notify::new(),
+            changed: Notify::new(),
             members: Mutex::new(MemberTable::new(own, incarnation, failure_domain)),
             seeds: settings.known_peers.clone(),
         }
--- a/crates/rookferry_entry/src/peers/tcp.rs
+++ b/crates/rookferry_entry/src/peers/tcp.rs
@@ -26,14 +26,14 @@
 use tokio::sync::Semaphore;
 
 use crate::entry::EntryState;
-use crate::http::serve_keyed;
+use crate::http::serve_forwarded;
 
 const NONCE_BYTES: usize = 32;
 const PROOF_BYTES: usize = 32;
 /// Largest message, above the platform's largest object.
 const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 /// Time limit of a peer request that doesn't run a call.
-const ASK_TIMEOUT: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time limit of a peer request that runs a call.
 const RUN_TIMEOUT: Duration = Duration::from_mins(1);
 /// Most connections of peers served at once.
@@ -61,14 +61,14 @@
 }
 
 /// Sends a request to a peer and waits for its response.
-pub(crate) async fn ask(
+pub(crate) async fn send_request(
     entry: &EntryState,
     addr: SocketAddr,
     request: &PeerRequest,
 ) -> Result<PeerAnswer, PeerError> {
     let wait = match request {
         PeerRequest::Run(_) => RUN_TIMEOUT,
-        _ => ASK_TIMEOUT,
+        _ => REQUEST_TIMEOUT,
     };
     let Ok(answer) = tokio::time::timeout(wait, exchange(entry, addr, request)).await else {
         return Err(PeerError::TimedOut);
@@ -106,7 +106,7 @@
         let entry = entry.clone();
         tokio::spawn(async move {
             let _permit = permit;
-            if let Err(error) = serve_one(&entry, stream).await {
+            if let Err(error) = serve_connection(&entry, stream).await {
                 debug!(entry.log, "tcp::serve: request dropped";
                     "part" => "peers", "source" => %source, "error" => %error);
             }
@@ -114,11 +114,12 @@
     }
 }
 
-async fn serve_one(entry: &Arc<EntryState>, mut stream: TcpStream) -> Result<(), PeerError> {
-    let Ok(request) = tokio::time::timeout(ASK_TIMEOUT, receive(entry, &mut stream)).await else {
+async fn serve_connection(entry: &Arc<EntryState>, mut stream: TcpStream) -> Result<(), PeerError> {
+    let Ok(request) = tokio::time::timeout(REQUEST_TIMEOUT, receive(entry, &mut stream)).await
+    else {
         return Err(PeerError::TimedOut);
     };
-    let answer = answer(entry, request?).await;
+    let answer = respond(entry, request?).await;
     write_message(&mut stream, &answer).await
 }
 
@@ -137,7 +138,7 @@
     read_message(stream).await
 }
 
-async fn answer(entry: &Arc<EntryState>, request: PeerRequest) -> PeerAnswer {
+async fn respond(entry: &Arc<EntryState>, request: PeerRequest) -> PeerAnswer {
     match request {
         PeerRequest::Config { above } => {
             let (version, body) = entry.config.body();
@@ -149,7 +150,7 @@
                 body: body.to_string(),
             }
         }
-        PeerRequest::Instances => PeerAnswer::Instances(entry.known.list()),
+        PeerRequest::Instances => PeerAnswer::Instances(entry.registry.list()),
         PeerRequest::Decision { request_id } => {
             let record = entry.decisions.get(&request_id);
             let record = record.and_then(|record| serde_json::to_string(&*record).ok());
@@ -164,10 +165,13 @@
             window_ms,
         } => {
             let key = ClaimKey { digest, object };
-            let reply = entry.claims.claim_here(&key, claim, window_ms, true).await;
+            let reply = entry
+                .claims
+                .claim_locally(&key, claim, window_ms, true)
+                .await;
             PeerAnswer::Claim(reply)
         }
-        PeerRequest::Run(call) => serve_keyed(entry, call).await,
+        PeerRequest::Run(call) => serve_forwarded(entry, call).await,
     }
 }
 
--- a/crates/rookferry_entry/src/quarantine.rs
+++ b/crates/rookferry_entry/src/quarantine.rs
@@ -37,10 +37,10 @@
 
 /// How long the retry of a suspected call waits for the probe of the last server. A
 /// crashed engine is recognized by its new incarnation at the latest.
-const VERDICT_WAIT: Duration = Duration::from_millis(500);
+const PROBE_WAIT: Duration = Duration::from_millis(500);
 /// Pause before each probe of a server, in order. A crashed server refuses the
 /// connection at once, or responds with a new incarnation after its restart.
-const CHECK_PAUSES: [Duration; 6] = [
+const PROBE_PAUSES: [Duration; 6] = [
     Duration::ZERO,
     Duration::from_millis(25),
     Duration::from_millis(100),
@@ -51,7 +51,7 @@
 
 /// A server incarnation that is probed for a crash.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Server {
+pub(crate) enum ProbedServer {
     /// An engine, which reports its incarnation.
     Engine {
         engine: EngineId,
@@ -62,12 +62,12 @@
     /// its detected crashes stands in for it.
     Plain {
         name: InstanceId,
-        ends: u64,
+        exits: u64,
         addr: SocketAddr,
     },
 }
 
-impl Server {
+impl ProbedServer {
     /// Key of the server's incarnation.
     pub(crate) fn key(&self) -> ServerKey {
         match self {
@@ -76,7 +76,7 @@
                 incarnation,
                 addr,
             } => ServerKey::new(*addr, engine, Some(*incarnation)),
-            Self::Plain { name, ends, addr } => ServerKey::new(*addr, name, Some(*ends)),
+            Self::Plain { name, exits, addr } => ServerKey::new(*addr, name, Some(*exits)),
         }
     }
 }
@@ -87,14 +87,14 @@
     calls: Mutex<Quarantine>,
     broken: Mutex<BrokenRuns>,
     /// Number of detected crashes of each plain server.
-    plain_ends: Mutex<BTreeMap<InstanceId, u64>>,
+    plain_exits: Mutex<BTreeMap<InstanceId, u64>>,
     /// Notified when a probe has finished.
-    decided: Notify,
+    probe_finished: Notify,
 }
 
 impl CallQuarantine {
     /// At most `most` suspected calls for the next heartbeat.
-    pub(crate) fn next_told(&self, most: usize) -> Vec<SuspectObservation> {
+    pub(crate) fn suspects_to_advertise(&self, most: usize) -> Vec<SuspectObservation> {
         self.calls().next_advertised(most, clock::now())
     }
 
@@ -107,34 +107,37 @@
     }
 
     /// The current incarnation of a plain service's server.
-    pub(crate) fn plain_server(&self, name: &InstanceId, addr: SocketAddr) -> Server {
-        Server::Plain {
+    pub(crate) fn plain_server(&self, name: &InstanceId, addr: SocketAddr) -> ProbedServer {
+        ProbedServer::Plain {
             name: name.clone(),
-            ends: self.plain_ends().get(name).copied().unwrap_or_default(),
+            exits: self.plain_exits().get(name).copied().unwrap_or_default(),
             addr,
         }
     }
 
-    fn plain_ends(&self) -> MutexGuard<'_, BTreeMap<InstanceId, u64>> {
-        self.plain_ends
+    fn plain_exits(&self) -> MutexGuard<'_, BTreeMap<InstanceId, u64>> {
+        self.plain_exits
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Waits until all servers at which a call's runs broke have been probed.
-    async fn decided(&self, signature: RequestSignature) {
-        until(&self.decided, || !self.broken().is_undecided(signature)).await;
+    async fn wait_for_probes(&self, signature: RequestSignature) {
+        until(&self.probe_finished, || {
+            !self.broken().is_undecided(signature)
+        })
+        .await;
     }
 
     fn server_answered(&self, server: ServerKey) {
         self.broken().server_answered(server);
-        self.decided.notify_waiters();
+        self.probe_finished.notify_waiters();
     }
 }
 
 impl EntryState {
     /// Time until a call's quarantine ends; `None` if it is not quarantined.
-    pub(crate) fn held_for(&self, signature: RequestSignature) -> Option<Duration> {
+    pub(crate) fn quarantined_for(&self, signature: RequestSignature) -> Option<Duration> {
         let suspicion = self.quarantine.calls().suspicion(signature, clock::now());
         match suspicion {
             Suspicion::Quarantined { left } => Some(left),
@@ -144,26 +147,26 @@
 
     /// Whether a call may be retried after a broken run. A call with earlier crashes
     /// first waits for the probe of the last server.
-    pub(crate) async fn may_run_again(&self, signature: RequestSignature) -> bool {
+    pub(crate) async fn is_retry_allowed(&self, signature: RequestSignature) -> bool {
         let suspicion = self.quarantine.calls().suspicion(signature, clock::now());
         if let Suspicion::Suspected { .. } = suspicion {
-            let decided = self.quarantine.decided(signature);
+            let probes = self.quarantine.wait_for_probes(signature);
             // If the probe isn't finished in time, the run doesn't count as a crash
             // for this decision.
-            let _ = tokio::time::timeout(VERDICT_WAIT, decided).await;
+            let _ = tokio::time::timeout(PROBE_WAIT, probes).await;
         }
-        self.held_for(signature).is_none()
+        self.quarantined_for(signature).is_none()
     }
 
     /// Records a broken run, and probes its server for a crash unless a probe is
     /// pending.
-    pub(crate) fn run_broke(self: &Arc<Self>, run: BrokenRun, server: Server) {
-        let noted = self.quarantine.broken().record(run, clock::now());
-        match noted {
-            BrokenRunStatus::ServerExited(run) => self.runs_crashed(&[run]),
+    pub(crate) fn record_broken_run(self: &Arc<Self>, run: BrokenRun, server: ProbedServer) {
+        let status = self.quarantine.broken().record(run, clock::now());
+        match status {
+            BrokenRunStatus::ServerExited(run) => self.record_crashed_runs(&[run]),
             BrokenRunStatus::Unprobed => {
                 let entry = self.clone();
-                tokio::spawn(async move { entry.check_ended(&server).await });
+                tokio::spawn(async move { entry.probe_server(&server).await });
             }
             BrokenRunStatus::ProbePending => {}
         }
@@ -171,34 +174,34 @@
 
     /// Probes a server until it is known whether it crashed, or the pauses are used
     /// up.
-    async fn check_ended(&self, server: &Server) {
-        let mut is_heard = false;
-        for pause in CHECK_PAUSES {
+    async fn probe_server(&self, server: &ProbedServer) {
+        let mut has_connected = false;
+        for pause in PROBE_PAUSES {
             tokio::time::sleep(pause).await;
-            match self.ask_whether_ended(server).await {
-                Some(true) => return self.server_ended(server),
+            match self.has_exited(server).await {
+                Some(true) => return self.record_server_exit(server),
                 // A plain server reports no incarnation: one that accepts
                 // connections now may be about to exit.
-                Some(false) if matches!(server, Server::Plain { .. }) => is_heard = true,
+                Some(false) if matches!(server, ProbedServer::Plain { .. }) => has_connected = true,
                 Some(false) => return self.quarantine.server_answered(server.key()),
                 None => {}
             }
         }
-        if is_heard {
+        if has_connected {
             self.quarantine.server_answered(server.key());
         }
     }
 
     /// Probes a server once; `None` if the result is inconclusive.
-    async fn ask_whether_ended(&self, server: &Server) -> Option<bool> {
+    async fn has_exited(&self, server: &ProbedServer) -> Option<bool> {
         match server {
-            Server::Engine {
+            ProbedServer::Engine {
                 incarnation, addr, ..
             } => match self.engines.info(*addr).await {
                 Ok(info) => Some(info.incarnation != *incarnation),
                 Err(error) => error.is_refused().then_some(true),
             },
-            Server::Plain { addr, .. } => match TcpStream::connect(addr).await {
+            ProbedServer::Plain { addr, .. } => match TcpStream::connect(addr).await {
                 Ok(_) => Some(false),
                 Err(error) => {
                     let is_refused = error.kind() == std::io::ErrorKind::ConnectionRefused;
@@ -208,22 +211,27 @@
         }
     }
 
-    fn server_ended(&self, server: &Server) {
-        if let Server::Plain { name, ends, .. } = server {
-            self.quarantine.plain_ends().insert(name.clone(), ends + 1);
+    fn record_server_exit(&self, server: &ProbedServer) {
+        if let ProbedServer::Plain { name, exits, .. } = server {
+            self.quarantine
+                .plain_exits()
+                .insert(name.clone(), exits + 1);
         }
         self.backoffs.forget(server.key().addr);
         let mut broken = self.quarantine.broken();
         let crashed = broken.server_exited(server.key(), clock::now());
         drop(broken);
-        self.runs_crashed(&crashed);
-        self.quarantine.decided.notify_waiters();
+        self.record_crashed_runs(&crashed);
+        self.quarantine.probe_finished.notify_waiters();
     }
 
     /// Counts a server's crash for each of the runs that it broke.
-    fn runs_crashed(&self, runs: &[BrokenRun]) {
-        let ends: Vec<_> = runs.iter().map(|run| (run.signature, run.crash)).collect();
-        let changes = self.quarantine.calls().record_crashes(&ends, clock::now());
+    fn record_crashed_runs(&self, runs: &[BrokenRun]) {
+        let crashes: Vec<_> = runs.iter().map(|run| (run.signature, run.crash)).collect();
+        let changes = self
+            .quarantine
+            .calls()
+            .record_crashes(&crashes, clock::now());
         for run in runs {
             counter!("rookferry_runs_crashed_total").increment(1);
             warn!(self.log, "request: server crashed while running it"; "part" => "quarantine",
@@ -231,28 +239,28 @@
                 "server" => %run.crash.server.addr, "progress" => ?run.crash.progress);
         }
         for (signature, change) in changes {
-            self.note_change(signature, change, "own");
+            self.log_change(signature, change, "own");
         }
     }
 
     /// Records that a call ran successfully, which clears its earlier crashes.
-    pub(crate) fn run_finished(&self, signature: RequestSignature) {
+    pub(crate) fn record_finished_run(&self, signature: RequestSignature) {
         let change = self
             .quarantine
             .calls()
             .record_success(signature, clock::now());
-        self.note_change(signature, change, "own");
+        self.log_change(signature, change, "own");
     }
 
     /// Merges a peer's suspected calls.
-    pub(crate) fn learn_suspects(&self, told: &[SuspectObservation], source: &str) {
-        for seen in told {
+    pub(crate) fn merge_suspects(&self, observations: &[SuspectObservation], source: &str) {
+        for seen in observations {
             let change = self.quarantine.calls().merge(seen, clock::now());
-            self.note_change(seen.signature, change, source);
+            self.log_change(seen.signature, change, source);
         }
     }
 
-    fn note_change(&self, signature: RequestSignature, change: QuarantineChange, source: &str) {
+    fn log_change(&self, signature: RequestSignature, change: QuarantineChange, source: &str) {
         match change {
             QuarantineChange::None => {}
             QuarantineChange::Quarantined => {
--- a/crates/rookferry_entry/src/known.rs
+++ b/crates/rookferry_entry/src/registry.rs
@@ -35,28 +35,28 @@
 use rookferry_wire::LoadReport;
 
 /// Consecutive failed polls after which an engine counts as lost.
-const LOST_AFTER: u32 = 2;
+const LOST_AFTER_FAILURES: u32 = 2;
 
 #[derive(Debug)]
-struct KnownServer {
+struct ServerRecord {
     entry: InstanceEntry,
     tag: u32,
     info: Option<EngineInfo>,
-    failed_asks: u32,
+    failed_polls: u32,
     next_cache_event: u64,
     stats: Arc<EngineStats>,
     /// Last load report from the engine itself, with the time of receipt.
     report: Option<(Instant, LoadReport)>,
     /// Whether this instance is assigned to poll it.
-    is_own: bool,
+    is_assigned: bool,
     /// Time of the last poll or digest; `None` while its info is missing or outdated.
-    last_news: Option<Instant>,
+    last_update: Option<Instant>,
 }
 
 /// Inputs for the choice of engines to poll: this instance, the live instances,
 /// and the polling budget.
 #[derive(Debug)]
-pub(crate) struct Asker<'a> {
+pub(crate) struct PollContext<'a> {
     pub(crate) own: &'a InstanceId,
     pub(crate) failure_domain: &'a DomainId,
     pub(crate) by_domain: &'a BTreeMap<DomainId, Vec<InstanceId>>,
@@ -66,7 +66,7 @@
 
 /// An engine to poll, and why.
 #[derive(Debug)]
-pub(crate) struct Ask {
+pub(crate) struct EnginePoll {
     pub(crate) engine: EngineId,
     pub(crate) addr: SocketAddr,
     pub(crate) next_cache_event: u64,
@@ -75,15 +75,15 @@
 
 /// State of all listed backend servers.
 #[derive(Debug, Default)]
-pub(crate) struct Known {
-    servers: Mutex<BTreeMap<EngineId, KnownServer>>,
+pub(crate) struct ServerRegistry {
+    servers: Mutex<BTreeMap<EngineId, ServerRecord>>,
     peers: Mutex<Vec<InstanceEntry>>,
     /// Locked while a snapshot is built and stored, so that an older one never
     /// replaces a newer one.
     rebuilding: Mutex<()>,
 }
 
-impl Known {
+impl ServerRegistry {
     /// The listed entry instances.
     pub(crate) fn peers(&self) -> Vec<InstanceEntry> {
         self.peers
@@ -98,7 +98,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<EngineId, KnownServer>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<EngineId, ServerRecord>> {
         self.servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -127,7 +127,7 @@
 
     /// Replaces the list; returns whether a backend server was added, removed or
     /// changed. A server at a new address starts without state.
-    pub(crate) fn listed(&self, instances: Vec<InstanceEntry>) -> bool {
+    pub(crate) fn apply_list(&self, instances: Vec<InstanceEntry>) -> bool {
         let mut servers = self.lock();
         let mut peers = Vec::new();
         let mut former = std::mem::take(&mut *servers);
@@ -140,8 +140,8 @@
             let known = former.remove(&entry.name);
             is_changed |= known.as_ref().is_none_or(|known| known.entry != entry);
             let server = match known {
-                Some(known) if known.entry.addr == entry.addr => KnownServer { entry, ..known },
-                _ => KnownServer::new(entry),
+                Some(known) if known.entry.addr == entry.addr => ServerRecord { entry, ..known },
+                _ => ServerRecord::new(entry),
             };
             servers.insert(server.entry.name.clone(), server);
         }
@@ -186,37 +186,37 @@
     /// The engines to poll now: those assigned to this instance, and as many others
     /// as the budget allows. Of these, engines of its own failure domain go first,
     /// then those with the oldest update.
-    pub(crate) fn to_ask(&self, now: Instant, asker: &Asker<'_>) -> Vec<Ask> {
+    pub(crate) fn due_polls(&self, now: Instant, context: &PollContext<'_>) -> Vec<EnginePoll> {
         let mut servers = self.lock();
         let mut own = Vec::new();
         let mut others = Vec::new();
-        let mut undescribed = 0;
+        let mut without_info = 0;
         for server in servers.values_mut() {
             if server.entry.kind != InstanceKind::ModelEngine {
                 continue;
             }
-            let is_near = server.entry.failure_domain == *asker.failure_domain;
-            let reason = server.ask_reason(now, asker);
-            server.is_own = reason == Some(PollReason::Assigned);
+            let is_local = server.entry.failure_domain == *context.failure_domain;
+            let reason = server.reason_to_poll(now, context);
+            server.is_assigned = reason == Some(PollReason::Assigned);
             let Some(reason) = reason else {
                 continue;
             };
-            undescribed += usize::from(server.info.is_none());
+            without_info += usize::from(server.info.is_none());
             if reason == PollReason::Assigned {
-                own.push(server.ask(reason));
+                own.push(server.poll(reason));
             } else {
-                others.push((!is_near, server.last_news, server.ask(reason)));
+                others.push((!is_local, server.last_update, server.poll(reason)));
             }
         }
-        others.sort_by_key(|(is_far, last_news, _)| (*is_far, *last_news));
-        let allowed = extra_polls_allowed(own.len(), undescribed, asker.bytes_per_s);
-        own.extend(others.into_iter().take(allowed).map(|(.., ask)| ask));
+        others.sort_by_key(|(is_remote, last_update, _)| (*is_remote, *last_update));
+        let allowed = extra_polls_allowed(own.len(), without_info, context.bytes_per_s);
+        own.extend(others.into_iter().take(allowed).map(|(.., poll)| poll));
         own
     }
 
     /// Records an engine's info, or a failed poll if there is none; returns whether
     /// its info or state changed.
-    pub(crate) fn described(
+    pub(crate) fn record_info(
         &self,
         now: Instant,
         name: &EngineId,
@@ -226,27 +226,27 @@
         let Some(server) = servers.get_mut(name) else {
             return false;
         };
-        server.last_news = Some(now);
+        server.last_update = Some(now);
         let former = server.state();
         let Some(info) = info else {
-            server.failed_asks = server.failed_asks.saturating_add(1);
+            server.failed_polls = server.failed_polls.saturating_add(1);
             return server.state() != former;
         };
-        server.failed_asks = 0;
+        server.failed_polls = 0;
         let is_changed = server.info.as_ref() != Some(&info);
         server.info = Some(info);
         is_changed || server.state() != former
     }
 
     /// Records a load report that was polled from an engine.
-    pub(crate) fn reported(&self, now: Instant, name: &EngineId, report: LoadReport) {
+    pub(crate) fn record_load(&self, now: Instant, name: &EngineId, report: LoadReport) {
         if let Some(server) = self.lock().get_mut(name) {
             server.stats.reported(now, &report);
             server.report = Some((now, report));
         }
     }
 
-    pub(crate) fn cache_events_read(&self, name: &EngineId, next: u64) {
+    pub(crate) fn record_next_cache_event(&self, name: &EngineId, next: u64) {
         if let Some(server) = self.lock().get_mut(name) {
             server.next_cache_event = next;
         }
@@ -255,13 +255,13 @@
     /// Digests of the engines that this instance polls, for its heartbeats.
     pub(crate) fn digests(&self, now: Instant) -> Vec<EngineDigest> {
         let servers = self.lock();
-        let own = servers.values().filter(|server| server.is_own);
+        let own = servers.values().filter(|server| server.is_assigned);
         own.filter_map(|server| server.digest(now)).collect()
     }
 
     /// Merges a peer's digests, except for engines that this instance polls itself;
     /// returns whether an engine's state changed.
-    pub(crate) fn heard(&self, now: Instant, digests: &[EngineDigest]) -> bool {
+    pub(crate) fn merge_digests(&self, now: Instant, digests: &[EngineDigest]) -> bool {
         let mut servers = self.lock();
         let by_tag: BTreeMap<u32, &EngineDigest> = digests
             .iter()
@@ -272,28 +272,28 @@
             let Some(digest) = by_tag.get(&server.tag) else {
                 continue;
             };
-            if !server.is_own {
-                is_changed |= server.hear(now, digest);
+            if !server.is_assigned {
+                is_changed |= server.merge_digest(now, digest);
             }
         }
         is_changed
     }
 }
 
-impl KnownServer {
-    fn ask_reason(&self, now: Instant, asker: &Asker<'_>) -> Option<PollReason> {
-        let of_domain = asker.by_domain.get(&self.entry.failure_domain);
+impl ServerRecord {
+    fn reason_to_poll(&self, now: Instant, context: &PollContext<'_>) -> Option<PollReason> {
+        let of_domain = context.by_domain.get(&self.entry.failure_domain);
         let input = PollInput {
             engine: &self.entry.name,
-            candidates: of_domain.map_or(asker.all, Vec::as_slice),
+            candidates: of_domain.map_or(context.all, Vec::as_slice),
             is_described: self.info.is_some(),
-            last_update: self.last_news,
+            last_update: self.last_update,
         };
-        poll_reason(now, asker.own, &input)
+        poll_reason(now, context.own, &input)
     }
 
-    fn ask(&self, reason: PollReason) -> Ask {
-        Ask {
+    fn poll(&self, reason: PollReason) -> EnginePoll {
+        EnginePoll {
             engine: self.entry.name.clone(),
             addr: self.entry.addr,
             next_cache_event: self.next_cache_event,
@@ -306,12 +306,12 @@
             tag: engine_tag(&entry.name),
             entry,
             info: None,
-            failed_asks: 0,
+            failed_polls: 0,
             next_cache_event: 0,
             stats: Arc::default(),
             report: None,
-            is_own: false,
-            last_news: None,
+            is_assigned: false,
+            last_update: None,
         }
     }
 
@@ -320,7 +320,7 @@
         if says_leaving || self.entry.state == InstanceState::Leaving {
             return EngineState::Leaving;
         }
-        if self.failed_asks >= LOST_AFTER {
+        if self.failed_polls >= LOST_AFTER_FAILURES {
             return EngineState::Lost;
         }
         EngineState::Live
@@ -336,22 +336,26 @@
             step_us: u32::try_from(report.step_us).unwrap_or(u32::MAX),
             age_ms: u16::try_from(age.as_millis()).unwrap_or(u16::MAX),
             info_tag: info_tag(info),
-            is_lost: self.failed_asks >= LOST_AFTER,
+            is_lost: self.failed_polls >= LOST_AFTER_FAILURES,
             is_leaving: info.leaving,
         })
     }
 
-    fn hear(&mut self, now: Instant, digest: &EngineDigest) -> bool {
+    fn merge_digest(&mut self, now: Instant, digest: &EngineDigest) -> bool {
         let Some(info) = self.info.as_mut() else {
             return false;
         };
-        let former = (self.failed_asks >= LOST_AFTER, info.leaving);
+        let former = (self.failed_polls >= LOST_AFTER_FAILURES, info.leaving);
         // Changed info has to be polled from the engine; only `leaving` is urgent and
         // taken from the peer.
         info.leaving = digest.is_leaving;
         let is_described = info_tag(info) == digest.info_tag;
-        self.failed_asks = if digest.is_lost { LOST_AFTER } else { 0 };
-        self.last_news = if is_described { Some(now) } else { None };
+        self.failed_polls = if digest.is_lost {
+            LOST_AFTER_FAILURES
+        } else {
+            0
+        };
+        self.last_update = if is_described { Some(now) } else { None };
         let report = LoadReport {
             age_ms: u64::from(digest.age_ms),
             queued_steps: 0,
--- a/crates/rookferry_entry/src/runner.rs
+++ b/crates/rookferry_entry/src/runner.rs
@@ -35,10 +35,10 @@
 use slog::info;
 use tokio::sync::watch;
 
-use crate::admission::StreamNeed;
+use crate::admission::StreamRequirements;
 use crate::admission::StreamSlots;
 use crate::entry::EntryState;
-use crate::quarantine::Server;
+use crate::quarantine::ProbedServer;
 
 /// Bounds of the pause before lost engines are tried again. It doubles each time,
 /// and is reset to the minimum by the next token.
@@ -53,7 +53,7 @@
 
 /// Why a stream didn't finish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum StreamEnd {
+pub(crate) enum StreamError {
     /// The driver abandoned it.
     Abandoned(AbandonReason),
     /// Its deadline passed.
@@ -61,14 +61,14 @@
     /// Its caller disconnected.
     CallerGone,
     /// It is quarantined, since engines crashed each time that they ran it.
-    Held,
+    Quarantined,
 }
 
 /// One active stream.
 pub(crate) struct StreamRun<'a> {
     pub(crate) entry: &'a Arc<EntryState>,
     pub(crate) driver: &'a mut StreamDriver,
-    pub(crate) need: &'a StreamNeed,
+    pub(crate) requirements: &'a StreamRequirements,
     pub(crate) slots: StreamSlots,
     pub(crate) sink: &'a mut dyn TokenSink,
     /// Becomes true when the caller no longer needs the stream.
@@ -76,15 +76,15 @@
     /// Progress since its chain last changed.
     progress: RunProgress,
     /// Engines not to be chosen as the next replacement.
-    lost: Vec<EngineId>,
+    lost_engines: Vec<EngineId>,
     replace_pause: Duration,
     /// Engines that may hold state of the stream, to be cancelled at its end.
-    used: Vec<EngineId>,
+    used_engines: Vec<EngineId>,
     /// Engines that have opened the stream; they are used even while they leave.
-    opened: Vec<EngineId>,
+    opened_engines: Vec<EngineId>,
     run: RunId,
     /// When the stream was first sent to each engine.
-    joined: BTreeMap<EngineId, Instant>,
+    first_sent_at: BTreeMap<EngineId, Instant>,
     /// Each chain that the stream ran on, in order.
     chains: Vec<Vec<EngineId>>,
 }
@@ -93,12 +93,12 @@
     pub(crate) fn new(
         entry: &'a Arc<EntryState>,
         driver: &'a mut StreamDriver,
-        need: &'a StreamNeed,
+        requirements: &'a StreamRequirements,
         slots: StreamSlots,
         sink: &'a mut dyn TokenSink,
         cancelled: watch::Receiver<bool>,
     ) -> Self {
-        let used: Vec<EngineId> = driver
+        let used_engines: Vec<EngineId> = driver
             .stages()
             .iter()
             .map(|stage| stage.engine.clone())
@@ -106,39 +106,39 @@
         Self {
             entry,
             driver,
-            need,
+            requirements,
             slots,
             sink,
             cancelled,
             progress: RunProgress::Begun,
-            lost: Vec::new(),
+            lost_engines: Vec::new(),
             replace_pause: MIN_REPLACE_PAUSE,
-            chains: vec![used.clone()],
-            used,
-            opened: Vec::new(),
+            chains: vec![used_engines.clone()],
+            used_engines,
+            opened_engines: Vec::new(),
             run: rand::random(),
-            joined: BTreeMap::new(),
+            first_sent_at: BTreeMap::new(),
         }
     }
 
     /// Runs the stream to its end and cancels it on its engines; returns each
     /// chain that it ran on.
-    pub(crate) async fn run(mut self) -> (Result<(), StreamEnd>, Vec<Vec<EngineId>>) {
+    pub(crate) async fn run(mut self) -> (Result<(), StreamError>, Vec<Vec<EngineId>>) {
         let mut cancelled = self.cancelled.clone();
-        let deadline = self.need.deadline;
+        let deadline = self.requirements.deadline;
         let result = tokio::select! {
             result = self.drive() => result,
-            () = clock::sleep_until(deadline) => Err(StreamEnd::Deadline),
-            _ = cancelled.wait_for(|is_cancelled| *is_cancelled) => Err(StreamEnd::CallerGone),
+            () = clock::sleep_until(deadline) => Err(StreamError::Deadline),
+            _ = cancelled.wait_for(|is_cancelled| *is_cancelled) => Err(StreamError::CallerGone),
         };
         // An instance that took the stream over still needs it on the engines.
-        if result != Err(StreamEnd::Abandoned(AbandonReason::TakenOver)) {
-            self.free_engines();
+        if result != Err(StreamError::Abandoned(AbandonReason::TakenOver)) {
+            self.cancel_on_engines();
         }
         (result, self.chains)
     }
 
-    async fn drive(&mut self) -> Result<(), StreamEnd> {
+    async fn drive(&mut self) -> Result<(), StreamError> {
         let mut actions = self.driver.start();
         loop {
             let mut opens = Vec::new();
@@ -155,22 +155,26 @@
                         self.sink.token(index, token);
                     }
                     StreamAction::Replace { layers, lost } => {
-                        if !self.entry.may_run_again(self.need.signature).await {
-                            return Err(StreamEnd::Held);
+                        if !self
+                            .entry
+                            .is_retry_allowed(self.requirements.signature)
+                            .await
+                        {
+                            return Err(StreamError::Quarantined);
                         }
                         self.progress = RunProgress::Begun;
                         events.push(self.replace(layers, lost).await);
                     }
                     StreamAction::Finish => return Ok(()),
-                    StreamAction::Abandon { reason } => return Err(StreamEnd::Abandoned(reason)),
+                    StreamAction::Abandon { reason } => return Err(StreamError::Abandoned(reason)),
                 }
             }
             let now = clock::now();
             for (engine, _) in &opens {
-                self.joined.entry(engine.clone()).or_insert(now);
+                self.first_sent_at.entry(engine.clone()).or_insert(now);
             }
             let answers = self.open_all(opens).await;
-            self.note_opened(&answers);
+            self.record_opened(&answers);
             events.extend(answers);
             actions = Vec::new();
             for event in events {
@@ -179,7 +183,7 @@
             if actions.is_empty() {
                 // Each response is awaited above, so that the driver always has an
                 // action until the stream ends.
-                return Err(StreamEnd::Abandoned(AbandonReason::NotHeld));
+                return Err(StreamError::Abandoned(AbandonReason::NotHeld));
             }
         }
     }
@@ -228,7 +232,7 @@
                 info!(self.entry.log, "stream: no result for a step";
                     "part" => "stream", "stream" => %self.driver.stream(), "engine" => %engine, "error" => %error);
                 if matches!(error, ClientError::Broken { .. }) || error.is_refused() {
-                    self.broke_at(&engine);
+                    self.report_broken_run(&engine);
                 }
                 StageEvent::Lost { engine, attempt }
             }
@@ -237,20 +241,20 @@
 
     /// Reports that the run's connection to an engine broke, so that the engine is
     /// probed for a crash.
-    fn broke_at(&self, engine: &EngineId) {
+    fn report_broken_run(&self, engine: &EngineId) {
         let snapshot = self.entry.snapshot.load();
         let Some(known) = snapshot.fleet.engine(engine) else {
             return;
         };
-        let server = Server::Engine {
+        let server = ProbedServer::Engine {
             engine: engine.clone(),
             incarnation: known.info.incarnation,
             addr: known.addr,
         };
-        let joined_at = self.joined.get(engine).copied();
+        let joined_at = self.first_sent_at.get(engine).copied();
         let joined_at = joined_at.unwrap_or_else(clock::now);
         let run = BrokenRun {
-            signature: self.need.signature,
+            signature: self.requirements.signature,
             request: self.driver.stream().to_string(),
             crash: RunCrash {
                 server: server.key(),
@@ -262,7 +266,7 @@
                 at: clock::now(),
             },
         };
-        self.entry.run_broke(run, server);
+        self.entry.record_broken_run(run, server);
     }
 
     async fn open_all(&self, opens: Vec<(EngineId, AttemptRequest)>) -> Vec<StageEvent> {
@@ -278,7 +282,7 @@
             return StageEvent::Lost { engine, attempt };
         };
         // The engine may have started leaving after it was chosen.
-        if !self.opened.contains(&engine) && self.is_leaving(&engine) {
+        if !self.opened_engines.contains(&engine) && self.is_leaving(&engine) {
             info!(self.entry.log, "stream: engine is leaving; attempt not opened";
                 "part" => "stream", "engine" => %engine);
             return StageEvent::Lost { engine, attempt };
@@ -303,10 +307,10 @@
         }
     }
 
-    fn note_opened(&mut self, answers: &[StageEvent]) {
+    fn record_opened(&mut self, answers: &[StageEvent]) {
         for answer in answers {
             if let StageEvent::Opened { engine, .. } = answer {
-                self.opened.push(engine.clone());
+                self.opened_engines.push(engine.clone());
             }
         }
     }
@@ -321,41 +325,46 @@
     /// are found; the caller's deadline ends the search.
     async fn replace(&mut self, layers: LayerRange, lost: EngineId) -> StageEvent {
         self.slots.remove(&lost);
-        self.lost.push(lost);
+        self.lost_engines.push(lost);
         loop {
-            let stages = self.other_engines(layers);
+            let stages = self.choose_replacements(layers);
             if !stages.is_empty() {
                 let snapshot = self.entry.snapshot.load_full();
                 self.slots.add(&snapshot.fleet, &stages);
-                self.used
+                self.used_engines
                     .extend(stages.iter().map(|stage| stage.engine.clone()));
-                self.note_chain(layers, &stages);
+                self.record_chain(layers, &stages);
                 return StageEvent::Replaced { stages };
             }
             // A lost engine may have restarted, with an empty cache.
-            self.lost.clear();
+            self.lost_engines.clear();
             tokio::time::sleep(self.replace_pause).await;
             self.replace_pause = (self.replace_pause * 2).min(MAX_REPLACE_PAUSE);
         }
     }
 
-    fn other_engines(&self, layers: LayerRange) -> Vec<Stage> {
+    fn choose_replacements(&self, layers: LayerRange) -> Vec<Stage> {
         let snapshot = self.entry.snapshot.load();
-        let Some(graph) = snapshot.fleet.graph(&self.need.pool, &self.need.model) else {
+        let Some(graph) = snapshot
+            .fleet
+            .graph(&self.requirements.pool, &self.requirements.model)
+        else {
             return Vec::new();
         };
         // Once it is no longer excluded, the replaced engine itself may be chosen:
         // it may be the only one that comes back.
-        let kept = self.kept_stages(layers).map(|stage| stage.engine.clone());
-        let waiting = self.entry.admission.backed_off(&snapshot).into_iter();
-        let waiting = waiting.map(|(engine, _)| engine);
-        let lost = self.lost.iter().cloned();
-        let excluded: Vec<EngineId> = lost.chain(kept).chain(waiting).collect();
+        let kept = self
+            .stages_outside(layers)
+            .map(|stage| stage.engine.clone());
+        let backing_off = self.entry.admission.backed_off(&snapshot).into_iter();
+        let backing_off = backing_off.map(|(engine, _)| engine);
+        let lost = self.lost_engines.iter().cloned();
+        let excluded: Vec<EngineId> = lost.chain(kept).chain(backing_off).collect();
         let request = ChainRequest {
             layers,
             excluded: &excluded,
             cached: &[],
-            seed: self.need.seed,
+            seed: self.requirements.seed,
             beyond_limit: true,
         };
         let policy = &snapshot.table.config().policy;
@@ -365,8 +374,8 @@
         chosen.stages
     }
 
-    fn note_chain(&mut self, layers: LayerRange, stages: &[Stage]) {
-        let kept = self.kept_stages(layers);
+    fn record_chain(&mut self, layers: LayerRange, stages: &[Stage]) {
+        let kept = self.stages_outside(layers);
         let mut chain: Vec<&Stage> = kept.chain(stages).collect();
         chain.sort_by_key(|stage| stage.layers);
         self.chains.push(
@@ -378,7 +387,7 @@
     }
 
     /// The stages of the chain outside a range of layers.
-    fn kept_stages(&self, layers: LayerRange) -> impl Iterator<Item = &Stage> {
+    fn stages_outside(&self, layers: LayerRange) -> impl Iterator<Item = &Stage> {
         let stages = self.driver.stages().iter();
         stages.filter(move |stage| {
             stage.layers.end <= layers.start || stage.layers.start >= layers.end
@@ -401,12 +410,12 @@
     }
 
     /// Cancels the stream on each engine that was ever part of its chain.
-    fn free_engines(&self) {
+    fn cancel_on_engines(&self) {
         let request = CancelRequest {
             stream: self.driver.stream(),
             attempt: self.driver.attempt(),
         };
-        for engine in &self.used {
+        for engine in &self.used_engines {
             let Some(addr) = self.addr(engine) else {
                 continue;
             };
