--- a/crates/rookferry_entry/tests/backoff.rs
+++ b/crates/rookferry_entry/tests/backoff.rs
@@ -1,7 +1,8 @@
-//! Engines and plain servers that refuse with 503 and ask for time, on the
-//! product's own interface. Nothing read what such a refusal said: an engine
-//! counted as lost after two of them and was asked again four times a second, and
-//! a plain server got its share of all calls on.
+//! Backend servers that refuse with 503 and `Retry-After`.
+//!
+//! Guards against ignoring the requested backoff. Then an engine counts as lost
+//! after two refusals and is polled on four times a second, and a plain server
+//! still gets its share of the calls.
 
 mod support;
 
@@ -22,26 +23,27 @@
 use support::eventually;
 use support::request;
 
-/// A time that no test outlasts, in seconds.
-const LONG_S: f64 = 50.0;
+/// Requested backoff in seconds, longer than any test runs.
+const BACKOFF_S: f64 = 50.0;
 const CALLS: usize = 10;
-/// More refusals than any test sees.
-const ALL: u32 = 100_000;
+/// Number of refusals that no test uses up.
+const MANY_REFUSALS: u32 = 100_000;
 
-/// Has a backend server refuse calls and ask for time.
-async fn ask_for_backoff(site: &TestSite, addr: SocketAddr, refusals: u32) {
-    let fault = json!({"retry_after": LONG_S.to_string(), "refusals": refusals});
+/// Makes a backend server refuse calls and request a backoff.
+async fn request_backoff(site: &TestSite, addr: SocketAddr, refusals: u32) {
+    let fault = json!({"retry_after": BACKOFF_S.to_string(), "refusals": refusals});
     site.fault(addr, fault).await;
 }
 
-/// Calls that reached a server since it asked for time, if it has.
-async fn calls_since(site: &TestSite, addr: SocketAddr) -> Option<u32> {
+/// Number of calls that reached a server since it requested a backoff; `None` if it
+/// hasn't.
+async fn calls_since_backoff(site: &TestSite, addr: SocketAddr) -> Option<u32> {
     let wait = support::PATIENCE;
     let calls = site.client.get(addr, "/admin/calls-since-asked", wait);
     calls.await.expect("a count")
 }
 
-/// Calls the plain service; gives the status and the body.
+/// Calls the plain service; returns the status and the body.
 async fn call_service(site: &TestSite) -> (StatusCode, Value) {
     let addr = site.entries[0].callers;
     let request = Request::builder()
@@ -61,13 +63,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_asks_for_backoff_gets_no_call_in_it() {
+async fn an_engine_gets_no_call_during_its_backoff() {
     let site = TestSite::start(1).await;
-    site.settled().await;
+    site.wait_until_settled().await;
     let engine = site.site.addrs.engines["s0-1"];
-    ask_for_backoff(&site, engine, 1).await;
-    eventually("it asks for time", async || {
-        calls_since(&site, engine).await.is_some()
+    request_backoff(&site, engine, 1).await;
+    eventually("it requests a backoff", async || {
+        calls_since_backoff(&site, engine).await.is_some()
     })
     .await;
     for number in 0..CALLS {
@@ -80,79 +82,79 @@
         };
         assert_whole(&answer, &prompt, 5);
     }
-    assert_eq!(calls_since(&site, engine).await, Some(0));
+    assert_eq!(calls_since_backoff(&site, engine).await, Some(0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_plain_server_that_asks_for_backoff_gets_no_call_in_it() {
+async fn a_plain_server_gets_no_call_during_its_backoff() {
     let site = TestSite::start(1).await;
-    site.settled().await;
+    site.wait_until_settled().await;
     let apps: Vec<SocketAddr> = site.site.addrs.apps.values().copied().collect();
     for app in &apps {
-        ask_for_backoff(&site, *app, 1).await;
+        request_backoff(&site, *app, 1).await;
     }
-    let mut asking = None;
-    eventually("one asks for time", async || {
+    let mut backing_off = None;
+    eventually("one requests a backoff", async || {
         call_service(&site).await;
         for app in &apps {
-            if calls_since(&site, *app).await.is_some() {
-                asking = Some(*app);
+            if calls_since_backoff(&site, *app).await.is_some() {
+                backing_off = Some(*app);
             }
         }
-        asking.is_some()
+        backing_off.is_some()
     })
     .await;
-    let asking = asking.expect("one asks");
-    for app in apps.iter().filter(|app| **app != asking) {
-        ask_for_backoff(&site, *app, 0).await;
+    let backing_off = backing_off.expect("one requests a backoff");
+    for app in apps.iter().filter(|app| **app != backing_off) {
+        request_backoff(&site, *app, 0).await;
     }
     for _ in 0..CALLS {
         let (status, _) = call_service(&site).await;
         assert_eq!(status, StatusCode::OK);
     }
-    assert_eq!(calls_since(&site, asking).await, Some(0));
+    assert_eq!(calls_since_backoff(&site, backing_off).await, Some(0));
 }
 
-/// What a caller is told, and whether it names the time that is left.
-fn names_the_time(problem: &Value) -> bool {
+/// Whether a problem document says "not run" with the time left of the backoff.
+fn has_time_left(problem: &Value) -> bool {
     let retry_after_ms = problem["retry_after_ms"].as_f64().unwrap_or_default();
     problem["outcome"] == "not_run"
-        && retry_after_ms > LONG_S * 500.0
-        && retry_after_ms <= LONG_S * 1_000.0
+        && retry_after_ms > BACKOFF_S * 500.0
+        && retry_after_ms <= BACKOFF_S * 1_000.0
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_is_told_when_plain_servers_take_calls_again() {
+async fn a_refusal_names_the_end_of_the_plain_servers_backoff() {
     let site = TestSite::start(1).await;
-    site.settled().await;
+    site.wait_until_settled().await;
     for app in site.site.addrs.apps.values() {
-        ask_for_backoff(&site, *app, ALL).await;
+        request_backoff(&site, *app, MANY_REFUSALS).await;
     }
-    eventually("a caller is told", async || {
-        names_the_time(&call_service(&site).await.1)
+    eventually("a caller gets the time left", async || {
+        has_time_left(&call_service(&site).await.1)
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_is_told_when_engines_take_calls_again() {
+async fn a_refusal_names_the_end_of_the_engines_backoff() {
     let site = TestSite::start(1).await;
-    site.settled().await;
+    site.wait_until_settled().await;
     for engine in site.site.addrs.engines.values() {
-        ask_for_backoff(&site, *engine, ALL).await;
+        request_backoff(&site, *engine, MANY_REFUSALS).await;
     }
     for (engine, addr) in &site.site.addrs.engines {
-        eventually(&format!("{engine} asks for time"), async || {
-            calls_since(&site, *addr).await.is_some()
+        eventually(&format!("{engine} requests a backoff"), async || {
+            calls_since_backoff(&site, *addr).await.is_some()
         })
         .await;
     }
     let caller = site.caller();
     let body = request("a prompt", 5, false);
-    let told = caller.complete(site.entries[0].callers, &body, None).await;
-    let Ending::Told(problem) = told else {
-        panic!("not told: {told:?}");
+    let refused = caller.complete(site.entries[0].callers, &body, None).await;
+    let Ending::Told(problem) = refused else {
+        panic!("not refused: {refused:?}");
     };
     let problem = serde_json::to_value(&problem).expect("JSON");
-    assert!(names_the_time(&problem), "{problem}");
+    assert!(has_time_left(&problem), "{problem}");
 }
--- a/crates/rookferry_entry/tests/configuration.rs
+++ b/crates/rookferry_entry/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! Configurations: in force on every node, never back to an earlier one,
-//! under races, cuts and outages.
+//! Configurations: an accepted version becomes active on every instance and is never
+//! replaced by an earlier one, under races, network cuts and outages.
 
 mod support;
 
@@ -26,13 +26,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_accepted_version_is_in_force_everywhere_and_never_reverts() {
+async fn an_accepted_version_is_active_everywhere_and_never_reverts() {
     let site = TestSite::start(4).await;
     let mut seen: BTreeMap<String, u64> = BTreeMap::new();
     for number in 0..10 {
         let version = site.apply(numbered(number)).await;
         for entry in &site.entries {
-            site.in_force(entry, version).await;
+            site.wait_for_version(entry, version).await;
             let status = site.status(entry).await.expect("a status");
             let now = status["config_version"].as_u64().expect("a version");
             let former = seen.insert(entry.name.clone(), now).unwrap_or(0);
@@ -45,7 +45,7 @@
     }
 }
 
-/// Of two that race from the same version, one is told of the conflict.
+/// Of two concurrent writes over the same version, one gets a conflict.
 #[tokio::test(flavor = "multi_thread")]
 async fn of_two_racing_operators_one_gets_a_conflict() {
     let site = TestSite::start(1).await;
@@ -76,19 +76,19 @@
     assert_eq!(written, 1, "{one:?} {two:?}");
 }
 
-/// An instance that the platform is cut from gets new versions from a peer;
-/// one that starts meanwhile gets the configuration from its peers.
+/// An instance that can't reach the platform gets the configuration and new versions
+/// from its peers.
 #[tokio::test(flavor = "multi_thread")]
-async fn instances_cut_from_the_platform_follow_their_peers() {
+async fn instances_without_the_platform_follow_their_peers() {
     let mut site = TestSite::start(2).await;
     let nowhere = json!({"platform": "127.0.0.1:9"});
     site.add_entry(nowhere).await;
     let version = site.apply(numbered(7)).await;
     for entry in &site.entries {
-        site.in_force(entry, version).await;
+        site.wait_for_version(entry, version).await;
     }
-    // The list of backend servers comes from a peer as well.
-    site.settled().await;
+    // It gets the list of backend servers from a peer too.
+    site.wait_until_settled().await;
     let ending = site
         .caller()
         .complete(site.entries[2].callers, &request("cut off", 4, false), None)
@@ -96,13 +96,14 @@
     assert!(matches!(ending, Ending::Answered(_)), "{ending:?}");
 }
 
-/// With the platform out, what was in force stays, and requests go on.
+/// While the platform is unavailable, the active version stays and requests are
+/// served.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_leaves_the_last_one_in_force() {
+async fn the_active_version_outlasts_a_platform_outage() {
     let site = TestSite::start(2).await;
     let version = site.apply(numbered(3)).await;
     for entry in &site.entries {
-        site.in_force(entry, version).await;
+        site.wait_for_version(entry, version).await;
     }
     site.platform_fault(json!({"dead": true})).await;
     for entry in &site.entries {
@@ -117,11 +118,11 @@
     site.platform_fault(json!({"dead": false})).await;
     let next = site.apply(numbered(4)).await;
     for entry in &site.entries {
-        site.in_force(entry, next).await;
+        site.wait_for_version(entry, next).await;
     }
 }
 
-/// Without any source it serves nothing and says why.
+/// An instance without any source of a configuration refuses requests as not ready.
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_configuration_nothing_is_served() {
     let mut site = TestSite::start(0).await;
@@ -132,22 +133,23 @@
         .complete(entry.callers, &request("too early", 4, false), None)
         .await;
     let Ending::Told(problem) = ending else {
-        panic!("not told: {ending:?}");
+        panic!("not refused: {ending:?}");
     };
     assert_eq!(problem.reason, rookferry_wire::ReasonCode::NotReady);
     let status = site.status(entry).await.expect("a status");
     assert_eq!(status["is_ready"], false);
 }
 
-/// A bad one that got past the tool is refused; the one in force stays.
+/// An invalid version that was written past the tool's checks is rejected; the active
+/// one stays.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bad_one_never_takes_effect() {
+async fn an_invalid_version_is_rejected() {
     let site = TestSite::start(1).await;
     let good = site.status(&site.entries[0]).await.expect("a status")["config_version"].clone();
     site.apply(json!({"routes": [{"name": "x", "pool": "none"}]}))
         .await;
     let next = site.apply(numbered(1)).await;
-    site.in_force(&site.entries[0], next).await;
+    site.wait_for_version(&site.entries[0], next).await;
     let ending = site
         .caller()
         .complete(
@@ -160,7 +162,7 @@
     assert_ne!(good.as_u64(), Some(next));
 }
 
-/// A datagram of another site, a replayed one or noise changes nothing.
+/// A datagram that isn't sealed with the site's secret is dropped and changes nothing.
 #[rstest]
 #[case::noise(vec![0; 64])]
 #[case::short(vec![1])]
@@ -191,9 +193,9 @@
     assert_eq!(status["members"].as_array().map(Vec::len), Some(0));
 }
 
-/// Faults in settings are all told, with their paths, before a port is open.
+/// `--check` reports all faults in settings with their paths.
 #[test]
-fn faults_in_settings_are_told_with_their_paths() {
+fn check_reports_all_settings_faults_with_their_paths() {
     let file =
         std::env::temp_dir().join(format!("rookferry-settings-{}.json", uuid::Uuid::now_v7()));
     let settings = json!({
@@ -207,10 +209,10 @@
         .arg(&file)
         .output()
         .expect("it runs");
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let reported = String::from_utf8_lossy(&output.stderr).into_owned();
     let _ = std::fs::remove_file(&file);
     assert!(!output.status.success());
     for path in ["instance", "operators", "site_secret", "limits.connections"] {
-        assert!(told.contains(path), "{path} is missing in {told}");
+        assert!(reported.contains(path), "{path} is missing in {reported}");
     }
 }
--- a/crates/rookferry_entry/tests/crashing.rs
+++ b/crates/rookferry_entry/tests/crashing.rs
@@ -1,8 +1,9 @@
-//! A call that ends each server that begins to run it, on the product's own
-//! interface. The instance that drives a stream from stage to stage looks for
-//! another engine whenever one is lost, until the route's deadline: each call
-//! ended engines as often as they came back, 50 times in six sends of four
-//! seconds, and each send began with nothing against it.
+//! Calls that crash each server that runs them.
+//!
+//! Guards against retrying such a call without limit. The instance that runs a
+//! stream replaces a lost engine until the route's deadline, so without a
+//! quarantine each call crashes engines as often as they restart: 50 times in six
+//! calls of four seconds. Without shared counts, each new call starts over.
 
 mod support;
 
@@ -25,18 +26,18 @@
 use uuid::Uuid;
 
 const TOKENS: u32 = 5;
-const DEADLY: &str = "ends engines";
-/// Servers that may end under one call, and how often it may reach them then.
-const MAX_ENDS: u32 = 6;
+const CRASHING_PROMPT: &str = "ends engines";
+/// Most crashes that one call may cause.
+const MAX_CRASHES: u32 = 6;
 const SENDS: usize = 6;
 
-async fn engine_ends(site: &TestSite) -> u32 {
+async fn engine_crashes(site: &TestSite) -> u32 {
     site.ledgers().await.iter().map(|ledger| ledger.ends).sum()
 }
 
 /// Waits until calls with other content are served by every instance.
-async fn until_served(site: &TestSite) {
-    site.settled().await;
+async fn wait_until_served(site: &TestSite) {
+    site.wait_until_settled().await;
     for entry in &site.entries {
         eventually("another call is served", async || {
             let body = request("another prompt", TOKENS, false);
@@ -51,46 +52,44 @@
 #[case::without_a_key(false)]
 #[case::under_a_new_key_each_time(true)]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_completion_under_which_three_engines_ended_is_kept_from_the_others(
-    #[case] is_keyed: bool,
-) {
+async fn a_completion_that_crashes_engines_is_quarantined(#[case] is_keyed: bool) {
     let site = TestSite::start(2).await;
     let mut config = support::config();
     config["routes"][0]["deadline_ms"] = json!(4_000);
     let version = site.apply(config).await;
     for entry in &site.entries {
-        site.in_force(entry, version).await;
+        site.wait_for_version(entry, version).await;
     }
     for engine in ["s0-1", "s0-2"] {
-        site.engine_fault(engine, json!({"ends_under": DEADLY}))
+        site.engine_fault(engine, json!({"ends_under": CRASHING_PROMPT}))
             .await;
     }
     let mut last = None;
     for number in 0..SENDS {
-        until_served(&site).await;
+        wait_until_served(&site).await;
         let entry = &site.entries[number % 2];
         let key = is_keyed.then(|| Uuid::now_v7().to_string());
-        let body = request(DEADLY, TOKENS, false);
+        let body = request(CRASHING_PROMPT, TOKENS, false);
         let caller = site.caller();
         last = Some(caller.complete(entry.callers, &body, key.as_deref()).await);
     }
-    let ends = engine_ends(&site).await;
-    assert!(ends <= MAX_ENDS, "{ends} engines ended under one call");
+    let ends = engine_crashes(&site).await;
+    assert!(ends <= MAX_CRASHES, "one call crashed engines {ends} times");
     let Some(Ending::Told(problem)) = last else {
-        panic!("not told: {last:?}");
+        panic!("not refused: {last:?}");
     };
     assert_eq!(problem.reason, ReasonCode::Quarantined);
-    // Of a key nobody knows whether it was run for another call.
+    // With a key it is unknown whether the key was run for an earlier call.
     let outcome = if is_keyed {
         Outcome::Unknown
     } else {
         Outcome::NotRun
     };
     assert_eq!(problem.outcome, outcome);
-    until_served(&site).await;
+    wait_until_served(&site).await;
 }
 
-/// Calls the plain service; gives the status, and the answer if it was whole.
+/// Calls the plain service; returns the answer's JSON body, if it is complete.
 async fn call_service(site: &TestSite, entry: usize, body: &'static str) -> Option<Value> {
     let addr = site.entries[entry].callers;
     let request = Request::builder()
@@ -106,30 +105,31 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_under_which_three_servers_ended_is_kept_from_the_others() {
+async fn a_call_that_crashes_plain_servers_is_quarantined() {
     let site = TestSite::start(2).await;
     for addr in site.site.addrs.apps.values() {
-        site.fault(*addr, json!({"ends_under": DEADLY})).await;
+        site.fault(*addr, json!({"ends_under": CRASHING_PROMPT}))
+            .await;
     }
-    let mut told = None;
+    let mut response = None;
     for number in 0..SENDS {
         eventually("another call is served", async || {
             let answer = call_service(&site, number % 2, "harmless").await;
             answer.is_some_and(|answer| answer["body"] == "harmless")
         })
         .await;
-        told = call_service(&site, number % 2, DEADLY).await;
+        response = call_service(&site, number % 2, CRASHING_PROMPT).await;
     }
-    let told = told.expect("a problem");
-    assert_eq!(told["reason"], "quarantined", "{told}");
-    assert_eq!(told["outcome"], "not_run");
+    let response = response.expect("a problem");
+    assert_eq!(response["reason"], "quarantined", "{response}");
+    assert_eq!(response["outcome"], "not_run");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_completion_whose_engines_end_of_something_else_is_served_on() {
+async fn a_completion_whose_engines_crash_for_other_reasons_is_served() {
     let site = TestSite::start(2).await;
     for number in 0..5 {
-        until_served(&site).await;
+        wait_until_served(&site).await;
         let body = request("a bystander", 40, false);
         let caller = site.caller();
         let asked = caller.complete(site.entries[number % 2].callers, &body, None);
--- a/crates/rookferry_entry/tests/keyed.rs
+++ b/crates/rookferry_entry/tests/keyed.rs
@@ -1,4 +1,4 @@
-//! Requests that may run once, under kills, pauses, outages and lost answers.
+//! Calls with an idempotency key under kills, pauses, outages and lost responses.
 
 mod support;
 
@@ -26,14 +26,14 @@
     Uuid::now_v7().to_string()
 }
 
-fn told(ending: Ending) -> Problem {
+fn expect_problem(ending: Ending) -> Problem {
     match ending {
         Ending::Told(problem) => problem,
-        other => panic!("not told: {other:?}"),
+        other => panic!("not refused: {other:?}"),
     }
 }
 
-/// Sends a keyed call in a task of its own.
+/// Sends a call with a key in a separate task.
 fn send(
     site: &TestSite,
     entry: &EntryProcess,
@@ -47,8 +47,13 @@
     tokio::spawn(async move { caller.complete(addr, &body, Some(&key)).await })
 }
 
-/// Comes back with a key until there is an answer or a final word.
-async fn come_back(site: &TestSite, entry: &EntryProcess, prompt: &str, key: &str) -> Ending {
+/// Retries with a key until the outcome is no longer "running".
+async fn retry_until_done(
+    site: &TestSite,
+    entry: &EntryProcess,
+    prompt: &str,
+    key: &str,
+) -> Ending {
     loop {
         let ending = send(site, entry, prompt, key).await.expect("an ending");
         match &ending {
@@ -70,7 +75,7 @@
     let (prompt, key) = ("write the rule", key());
     let mut ids = Vec::new();
     for entry in [&site.entries[0], &site.entries[0], &site.entries[1]] {
-        let Ending::Answered(answer) = come_back(&site, entry, prompt, &key).await else {
+        let Ending::Answered(answer) = retry_until_done(&site, entry, prompt, &key).await else {
             panic!("no answer");
         };
         assert_whole(&answer, prompt, TOKENS);
@@ -81,12 +86,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_runs_is_not_run_again() {
+async fn a_running_key_is_not_run_again() {
     let site = TestSite::start(2).await;
     let (prompt, key) = ("runs already", key());
     let first = send(&site, &site.entries[0], prompt, &key);
     eventually("it runs", async || runs(&site, prompt).await).await;
-    let again = told(
+    let again = expect_problem(
         send(&site, &site.entries[0], prompt, &key)
             .await
             .expect("an ending"),
@@ -107,9 +112,10 @@
 async fn a_key_with_another_body_is_refused(#[case] other: usize) {
     let site = TestSite::start(2).await;
     let key = key();
-    let first = come_back(&site, &site.entries[0], "one body", &key).await;
+    let first = retry_until_done(&site, &site.entries[0], "one body", &key).await;
     assert!(matches!(first, Ending::Answered(_)));
-    let problem = told(come_back(&site, &site.entries[other], "another body", &key).await);
+    let problem =
+        expect_problem(retry_until_done(&site, &site.entries[other], "another body", &key).await);
     assert_eq!(
         (problem.outcome, problem.reason),
         (Outcome::NotRun, ReasonCode::KeyReused)
@@ -117,7 +123,7 @@
     assert!(!runs(&site, "another body").await);
 }
 
-/// Two accounts may use the same key.
+/// Two accounts can use the same key.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_belongs_to_its_account() {
     let site = TestSite::start(1).await;
@@ -127,7 +133,7 @@
         support::OTHER_KEY.to_owned(),
         Duration::from_secs(20),
     );
-    let own = come_back(&site, &site.entries[0], "desk's", &key).await;
+    let own = retry_until_done(&site, &site.entries[0], "desk's", &key).await;
     let others = other
         .complete(
             site.entries[0].callers,
@@ -141,8 +147,8 @@
     ));
 }
 
-/// The owner dies after dispatch; another instance resumes and gives the
-/// whole answer, and nothing ran twice.
+/// The owner is killed after dispatch; another instance resumes the stream and
+/// returns the complete answer, and no position runs twice.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_owners_work_is_resumed(#[values(0, 5, 30)] after_positions: usize) {
@@ -157,7 +163,7 @@
     .await;
     site.entries[0].kill();
     assert!(matches!(first.await, Ok(Ending::Cut(_))));
-    let ending = come_back(&site, &site.entries[1], prompt, &key).await;
+    let ending = retry_until_done(&site, &site.entries[1], prompt, &key).await;
     let Ending::Answered(answer) = ending else {
         panic!("no answer: {ending:?}");
     };
@@ -166,10 +172,10 @@
     assert_no_repeats(&site.ledgers().await);
 }
 
-/// The owner is paused past all patience, its work is resumed elsewhere, and
-/// then it wakes: it is fenced and tells nothing false.
+/// The owner is paused until it is suspected, another instance resumes its work, and
+/// then it continues: the engines fence it off, and it returns nothing false.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_owner_that_wakes_does_no_harm() {
+async fn a_paused_owner_that_resumes_is_fenced() {
     let site = TestSite::start(2).await;
     let (prompt, key) = ("the owner sleeps", key());
     let first = send(&site, &site.entries[0], prompt, &key);
@@ -180,11 +186,12 @@
         status["members"][0]["state"] == "suspect"
     })
     .await;
-    let Ending::Answered(answer) = come_back(&site, &site.entries[1], prompt, &key).await else {
+    let Ending::Answered(answer) = retry_until_done(&site, &site.entries[1], prompt, &key).await
+    else {
         panic!("no answer");
     };
     assert_whole(&answer, prompt, TOKENS);
-    site.entries[0].wake();
+    site.entries[0].resume();
     match first.await.expect("an ending") {
         Ending::Answered(answer) => assert_whole(&answer, prompt, TOKENS),
         Ending::Told(problem) => assert_ne!(problem.outcome, Outcome::NotRun),
@@ -194,9 +201,10 @@
     assert_no_repeats(&site.ledgers().await);
 }
 
-/// The engines have lost the work as well: unknown, and never run again.
+/// Owner and engines have lost the work: its outcome is unknown, and it never runs
+/// again.
 #[tokio::test(flavor = "multi_thread")]
-async fn work_that_nobody_holds_is_unknown_and_stays_so() {
+async fn lost_work_stays_unknown_and_never_runs_again() {
     let mut site = TestSite::start(2).await;
     let (prompt, key) = ("all is lost", key());
     let _first = send(&site, &site.entries[0], prompt, &key);
@@ -207,21 +215,23 @@
         site.engine_fault(engine, json!({"dead": false})).await;
     }
     for _ in 0..2 {
-        let problem = told(come_back(&site, &site.entries[1], prompt, &key).await);
+        let problem = expect_problem(retry_until_done(&site, &site.entries[1], prompt, &key).await);
         assert_eq!(problem.outcome, Outcome::Unknown, "{problem:?}");
     }
     assert_eq!(site.streams_of(prompt).await, 1);
 }
 
-/// A caller that goes away loses nothing: the work is finished and kept.
+/// When the caller of a keyed call disconnects, the work is finished and its answer
+/// stored.
 #[tokio::test(flavor = "multi_thread")]
-async fn keyed_work_of_a_caller_that_went_away_is_finished_and_kept() {
+async fn keyed_work_of_a_disconnected_caller_is_finished_and_stored() {
     let site = TestSite::start(1).await;
     let (prompt, key) = ("gone for lunch", key());
     let first = send(&site, &site.entries[0], prompt, &key);
     eventually("it runs", async || runs(&site, prompt).await).await;
     first.abort();
-    let Ending::Answered(answer) = come_back(&site, &site.entries[0], prompt, &key).await else {
+    let Ending::Answered(answer) = retry_until_done(&site, &site.entries[0], prompt, &key).await
+    else {
         panic!("no answer");
     };
     assert_whole(&answer, prompt, TOKENS);
@@ -231,17 +241,17 @@
     assert!(streams.all(|runs| runs.refused == 0));
 }
 
-/// The platform is out: refused at once, with a ticket that works meanwhile
-/// at the instance that minted it, through any other.
+/// While the platform is unavailable, a keyed call is refused at once with a ticket.
+/// The ticket is valid at the instance that minted it, directly or through another.
 #[rstest]
 #[case::same(0)]
 #[case::through_another(1)]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_is_told_and_a_ticket_gets_through(#[case] via: usize) {
+async fn during_a_platform_outage_a_ticket_replaces_the_key(#[case] via: usize) {
     let site = TestSite::start(2).await;
     let prompt = "during the outage";
     site.platform_fault(json!({"dead": true})).await;
-    let problem = told(
+    let problem = expect_problem(
         send(&site, &site.entries[0], prompt, &key())
             .await
             .expect("an ending"),
@@ -253,7 +263,7 @@
     assert!(!runs(&site, prompt).await);
     let ticket = problem.ticket.expect("a ticket");
     for _ in 0..2 {
-        let ending = come_back(&site, &site.entries[via], prompt, &ticket).await;
+        let ending = retry_until_done(&site, &site.entries[via], prompt, &ticket).await;
         let Ending::Answered(answer) = ending else {
             panic!("no answer: {ending:?}");
         };
@@ -262,14 +272,14 @@
     assert_eq!(site.streams_of(prompt).await, 1);
 }
 
-/// Platform out and entry instance killed together: the ticket's outcome is
-/// unknown, and it never runs again.
+/// The platform is unavailable and the instance that minted a ticket is killed: the
+/// ticket's outcome is unknown, and its call never runs.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_ticket_of_a_dead_instance_never_runs() {
+async fn a_ticket_of_a_killed_instance_never_runs() {
     let mut site = TestSite::start(2).await;
     let prompt = "two faults";
     site.platform_fault(json!({"dead": true})).await;
-    let problem = told(
+    let problem = expect_problem(
         send(&site, &site.entries[0], prompt, &key())
             .await
             .expect("an ending"),
@@ -279,11 +289,11 @@
     let ending = send(&site, &site.entries[1], prompt, &ticket)
         .await
         .expect("an ending");
-    assert_eq!(told(ending).outcome, Outcome::Unknown);
+    assert_eq!(expect_problem(ending).outcome, Outcome::Unknown);
     assert!(!runs(&site, prompt).await);
 }
 
-/// Each way in which a claim's write can go wrong.
+/// Faults of the platform during a claim's write.
 #[rstest]
 #[case::answer_lost(json!({"lose_answers": 1}))]
 #[case::slow(json!({"delay_ms": 200}))]
@@ -293,7 +303,7 @@
     let (prompt, key) = ("a lost answer", key());
     site.platform_fault(fault).await;
     for entry in &site.entries {
-        let ending = come_back(&site, entry, prompt, &key).await;
+        let ending = retry_until_done(&site, entry, prompt, &key).await;
         let Ending::Answered(answer) = ending else {
             panic!("no answer: {ending:?}");
         };
@@ -302,7 +312,7 @@
     assert_eq!(site.streams_of(prompt).await, 1);
 }
 
-/// The same key at all instances at once: one stream.
+/// The same key sent to all instances at once runs as one stream.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_race_for_a_key_has_one_winner() {
     let site = TestSite::start(3).await;
@@ -327,7 +337,7 @@
     }
 }
 
-/// Stage killed and claim's answer lost together.
+/// The response to a claim is lost, and an engine of the stream is killed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_answer_and_a_lost_stage_together_run_once() {
     let site = TestSite::start(1).await;
@@ -341,12 +351,12 @@
     assert_eq!(site.streams_of(prompt).await, 1);
 }
 
-/// A service's call that may not be repeated is sent once, whatever happens.
+/// A service call that isn't repeatable is sent at most once, whatever fails.
 #[rstest]
 #[case::answer_lost(json!({"lose_answers": 1}))]
 #[case::killed(json!({"dead": true}))]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_submitted_call_is_never_sent_twice(
+async fn a_call_that_is_not_repeatable_is_never_sent_twice(
     #[case] fault: serde_json::Value,
     #[values(true, false)] is_keyed: bool,
 ) {
@@ -365,16 +375,16 @@
             key.as_deref(),
         )
         .await;
-    let problem = told(ending);
+    let problem = expect_problem(ending);
     assert_eq!(problem.outcome, Outcome::Unknown);
     let calls = site.app_calls().await;
     assert!(calls.values().all(|count| *count == 1), "{calls:?}");
     assert!(calls.len() <= 1, "{calls:?}");
 }
 
-/// A call that may be repeated goes to the other instance.
+/// A repeatable call is retried on the other server.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lookup_is_tried_on_another_instance() {
+async fn a_repeatable_call_is_retried_on_another_server() {
     let site = TestSite::start(1).await;
     let first = site
         .site
--- a/crates/rookferry_entry/tests/leaving.rs
+++ b/crates/rookferry_entry/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Leaving: backend servers get no new work, and planned stops cut nothing.
+//! Leaving: backend servers that leave get no new work, and planned stops interrupt
+//! no request.
 
 mod support;
 
@@ -14,18 +15,18 @@
 use support::eventually;
 use support::request;
 
-/// Who says that an engine leaves.
+/// Source of the report that an engine is leaving.
 #[derive(Clone, Copy, Debug)]
-enum Word {
+enum LeaveSource {
     Engine,
     List,
     Selector,
 }
 
-async fn say(site: &TestSite, word: Word, engine: &str) {
-    match word {
-        Word::Engine => site.engine_fault(engine, json!({"leaving": true})).await,
-        Word::List => {
+async fn report_leaving(site: &TestSite, source: LeaveSource, engine: &str) {
+    match source {
+        LeaveSource::Engine => site.engine_fault(engine, json!({"leaving": true})).await,
+        LeaveSource::List => {
             let entry = json!({
                 "name": engine,
                 "kind": InstanceKind::ModelEngine,
@@ -36,7 +37,7 @@
             });
             site.list(engine, Some(entry)).await;
         }
-        Word::Selector => {
+        LeaveSource::Selector => {
             let mut value = config();
             value["leaving"] = json!([format!("engine = {engine}")]);
             site.apply(value).await;
@@ -44,14 +45,14 @@
     }
 }
 
-/// New streams on an engine, by its ledger.
+/// Number of streams that an engine has run, by its ledger.
 async fn streams(site: &TestSite, engine: &str) -> usize {
     let ledgers = site.ledgers().await;
     let ledger = ledgers.iter().find(|ledger| *ledger.engine == *engine);
     ledger.expect("its ledger").streams.len()
 }
 
-/// Streams that are or were on any first stage.
+/// Number of streams that any first stage has run.
 async fn first_stages(site: &TestSite) -> usize {
     let ledgers = site.ledgers().await;
     let first = ledgers.iter().filter(|ledger| ledger.layers.start == 0);
@@ -61,7 +62,7 @@
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_engine_gets_no_new_work_and_keeps_its_streams(
-    #[values(Word::Engine, Word::List, Word::Selector)] word: Word,
+    #[values(LeaveSource::Engine, LeaveSource::List, LeaveSource::Selector)] source: LeaveSource,
 ) {
     let site = TestSite::start(2).await;
     let mut running = Vec::new();
@@ -78,18 +79,21 @@
             )
         }));
     }
-    // All of them: one that is chosen before the word and sent after it would
-    // count as new work below.
+    // Waits for all of them: a request placed before the report and sent after it
+    // would count as new work below.
     eventually("all requests are on engines", async || {
         first_stages(&site).await >= running.len() && streams(&site, "s1-1").await > 0
     })
     .await;
-    say(&site, word, "s1-1").await;
+    report_leaving(&site, source, "s1-1").await;
     for entry in &site.entries {
-        eventually("the word is heard", async || {
-            let status = site.status(entry).await.unwrap_or_default();
-            status["engines"]["s1-1"]["state"] == "leaving"
-        })
+        eventually(
+            "the instance knows that the engine is leaving",
+            async || {
+                let status = site.status(entry).await.unwrap_or_default();
+                status["engines"]["s1-1"]["state"] == "leaving"
+            },
+        )
         .await;
     }
     let before = streams(&site, "s1-1").await;
@@ -119,9 +123,9 @@
     }
 }
 
-/// Every instance is replaced, one after the other, under load.
+/// Every instance is replaced under load, one after the other.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rolling_restart_cuts_no_request() {
+async fn a_rolling_restart_interrupts_no_request() {
     let mut site = TestSite::start(3).await;
     let mut running = Vec::new();
     for round in 0..3 {
@@ -134,18 +138,18 @@
                 (caller.complete(addr, &body, None).await, prompt)
             }));
         }
-        eventually("requests are under way", async || {
+        eventually("requests are active", async || {
             let ledgers = site.ledgers().await;
             let seen = ledgers.iter().filter(|ledger| ledger.layers.start == 0);
             seen.map(|ledger| ledger.streams.len()).sum::<usize>() >= (round + 1) * 10
         })
         .await;
         site.entries[0].terminate();
-        let code = site.entries[0].ended().await;
-        assert_eq!(code, Some(0), "it left with requests under way");
+        let code = site.entries[0].wait_for_exit().await;
+        assert_eq!(code, Some(0), "it left with active requests");
         site.entries.remove(0);
         site.add_entry(json!({})).await;
-        site.settled().await;
+        site.wait_until_settled().await;
     }
     for task in running {
         let (ending, prompt) = task.await.expect("an ending");
@@ -156,9 +160,9 @@
     }
 }
 
-/// A leaving instance says so first, then takes no more connections.
+/// A leaving instance first fails `/readyz`, then accepts no more connections.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_instance_turns_its_readiness_off_first() {
+async fn a_leaving_instance_first_fails_readiness() {
     let mut site = TestSite::start(1).await;
     let operators = site.entries[0].operators;
     site.entries[0].terminate();
@@ -170,10 +174,10 @@
         ready.is_err()
     })
     .await;
-    assert_eq!(site.entries[0].ended().await, Some(0));
+    assert_eq!(site.entries[0].wait_for_exit().await, Some(0));
 }
 
-/// A new engine gets work without anyone's doing.
+/// A new engine in the list gets work without operator action.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_joins_gets_work() {
     let engines = support::engines();
--- a/crates/rookferry_entry/tests/path.rs
+++ b/crates/rookferry_entry/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path, and what is told about bad input.
+//! The request path from caller to engines and back, and refusals of invalid input.
 
 mod support;
 
@@ -139,7 +139,7 @@
 #[case::bad_labels(Bad { header: Some(("rookferry-labels", "novalue")), ..bad(COMPLETIONS, &json!({"model": "scribe", "prompt": "x"})) }, 400, ReasonCode::BadRequest)]
 #[case::old_key(Bad { header: Some(("idempotency-key", "00000000-0000-7000-8000-000000000000")), ..bad(COMPLETIONS, &json!({"model": "scribe", "prompt": "x"})) }, 410, ReasonCode::KeyExpired)]
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_gets_a_clear_error_and_is_not_run(
+async fn invalid_input_is_refused_and_not_run(
     #[case] bad: Bad,
     #[case] status: u16,
     #[case] reason: ReasonCode,
@@ -179,7 +179,7 @@
     );
 }
 
-/// A head or a body that never ends is given up, not waited for.
+/// A request head or body that doesn't arrive in time is refused.
 #[rstest]
 #[case::head("POST /v1/completions HTTP/1.1\r\nhost: x\r\n", "408")]
 #[case::body(
@@ -187,7 +187,7 @@
     "408"
 )]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_slow_caller_is_told_so(#[case] sent: &str, #[case] status: &str) {
+async fn a_slow_request_is_refused(#[case] sent: &str, #[case] status: &str) {
     let site = TestSite::start(1).await;
     let answer = exchange(&site, sent).await;
     assert!(answer.contains(&format!("HTTP/1.1 {status}")), "{answer}");
@@ -201,14 +201,14 @@
     stream.write_all(sent.as_bytes()).await.expect("it is sent");
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer);
-    // A reset after the answer is as good as an end.
+    // A connection reset after the answer counts as its end.
     let _ = tokio::time::timeout(Duration::from_secs(20), read).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// A caller that goes away frees its engines.
+/// A stream whose caller disconnects is cancelled on its engines.
 #[tokio::test(flavor = "multi_thread")]
-async fn work_of_a_caller_that_went_away_is_cancelled() {
+async fn work_of_a_disconnected_caller_is_cancelled() {
     let site = TestSite::start(1).await;
     let impatient = Caller::new(
         site.client.clone(),
@@ -232,14 +232,14 @@
     .await;
 }
 
-/// No engine at all: told at once, and not run.
+/// Without a complete chain, a request is refused at once and not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_chain_the_caller_is_told_at_once() {
+async fn without_a_chain_a_request_is_refused_at_once() {
     let site = TestSite::start(1).await;
     for engine in ["s1-1", "s1-2"] {
         site.engine_fault(engine, json!({"dead": true})).await;
     }
-    eventually("both are taken for lost", async || {
+    eventually("both count as lost", async || {
         let status = site.status(&site.entries[0]).await.unwrap_or_default();
         let lost = |engine: &str| status["engines"][engine]["state"] == "lost";
         lost("s1-1") && lost("s1-2")
@@ -250,7 +250,7 @@
         .complete(site.entries[0].callers, &request("x", 4, false), None)
         .await;
     let Ending::Told(problem) = ending else {
-        panic!("not told: {ending:?}");
+        panic!("not refused: {ending:?}");
     };
     assert_eq!(
         (problem.outcome, problem.reason),
--- a/crates/rookferry_entry/tests/soak.rs
+++ b/crates/rookferry_entry/tests/soak.rs
@@ -1,8 +1,7 @@
-//! A soak: mixed load while engines and entry instances are killed, frozen and
+//! Soak test: mixed load while engines and entry instances are killed, frozen and
 //! replaced. Every request is checked against the engines' ledgers.
 //!
-//! `ROOKFERRY_SOAK_REQUESTS` sets the number of requests; a few hundred run
-//! with the other tests.
+//! `ROOKFERRY_SOAK_REQUESTS` sets the number of requests; the default is 360.
 
 mod support;
 
@@ -23,7 +22,7 @@
 use support::assert_no_repeats;
 
 const RATE_PER_S: f64 = 60.0;
-/// How often something is killed or frozen.
+/// Time between two faults.
 const FAULT_EVERY: Duration = Duration::from_millis(1_500);
 
 fn requests() -> u64 {
@@ -66,8 +65,10 @@
     }
 }
 
-/// Kills, freezes and replaces in turn until the load has ended.
-async fn harass(site: &mut TestSite, load: &tokio::task::JoinHandle<LoadRun>) -> (u32, u32) {
+/// Injects faults until the load has ended: replaces an entry instance, kills an
+/// engine, freezes an engine, and so on. Returns the numbers of engine faults and of
+/// entry kills.
+async fn inject_faults(site: &mut TestSite, load: &tokio::task::JoinHandle<LoadRun>) -> (u32, u32) {
     let engines: Vec<String> = site.site.addrs.engines.keys().cloned().collect();
     let (mut engine_faults, mut entry_kills) = (0, 0);
     let mut round = 0;
@@ -101,15 +102,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_is_wrong_doubled_or_untruthful_in_a_soak() {
+async fn every_outcome_in_a_soak_is_correct_and_truthful() {
     let mut site = TestSite::start(3).await;
     let load = tokio::spawn(LoadRun::run(plan(&site)));
-    let (engine_faults, entry_kills) = harass(&mut site, &load).await;
+    let (engine_faults, entry_kills) = inject_faults(&mut site, &load).await;
     let run = load.await.expect("the load");
     println!("{engine_faults} engine faults, {entry_kills} entry kills");
     println!("{}", run.report.to_text());
     let ledgers = site.ledgers().await;
-    assert_no_repeats(&alive(&ledgers));
+    assert_no_repeats(&without_restarted(&ledgers));
     let mut streams: BTreeMap<u64, Vec<String>> = BTreeMap::new();
     for ledger in &ledgers {
         for (stream, runs) in &ledger.streams {
@@ -136,7 +137,7 @@
             let has_run = streams.values().flatten().any(|known| known == stream);
             assert!(
                 !has_run && !calls.contains_key(id),
-                "not run, it said: {id}"
+                "reported as not run, but it ran: {id}"
             );
         }
     }
@@ -145,13 +146,14 @@
         let is_once = request.kind == CallKind::Once;
         is_once && matches!(&request.ending, Ending::Told(problem) if problem.outcome == Outcome::Running)
     });
-    assert_eq!(lost.count(), 0, "a key that runs for ever");
+    assert_eq!(lost.count(), 0, "a key stays running for ever");
 }
 
-/// Dead engines come back empty and rebuild what they had run; only runs
-/// within one life may not repeat, which ledgers can't tell apart, so that
-/// streams of more than one run are left to the answers' comparison.
-fn alive(ledgers: &[rookferry_standin::Ledger]) -> Vec<rookferry_standin::Ledger> {
+/// The ledgers without streams that lived through a restart of their engine.
+///
+/// A restarted engine rebuilds positions that it had run, and a ledger can't tell
+/// incarnations apart; these streams are checked by comparing answers only.
+fn without_restarted(ledgers: &[rookferry_standin::Ledger]) -> Vec<rookferry_standin::Ledger> {
     let mut ledgers = ledgers.to_vec();
     for ledger in &mut ledgers {
         ledger.streams.retain(|_, runs| !runs.has_died);
--- a/crates/rookferry_entry/tests/stream_faults.rs
+++ b/crates/rookferry_entry/tests/stream_faults.rs
@@ -1,7 +1,7 @@
-//! Faults of engines and links while tokens flow, with real processes.
+//! Faults of engines and links while a stream runs, with real processes.
 //!
-//! Rows are the steps: before the first token, between two tokens, before the
-//! last one. Columns are the faults. The checks read the engines' ledgers.
+//! Each fault is combined with each stage, and with a time after the first token, in
+//! the middle, and before the last token. The checks read the engines' ledgers.
 
 mod support;
 
@@ -25,7 +25,7 @@
 const TOKENS: u32 = 12;
 const PATIENCE: Duration = Duration::from_secs(30);
 
-/// What happens to an engine that holds a stage.
+/// Fault of an engine that runs a stage.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Killed,
@@ -48,8 +48,8 @@
     }
 }
 
-/// A stream whose tokens are read one by one.
-struct Reading {
+/// Client that reads a stream's tokens one by one.
+struct StreamReader {
     body: hyper::body::Incoming,
     buffer: String,
     id: String,
@@ -57,7 +57,7 @@
     is_done: bool,
 }
 
-impl Reading {
+impl StreamReader {
     async fn open(site: &TestSite, prompt: &str) -> Self {
         let addr = site.entries[0].callers;
         let body = serde_json::to_vec(&request(prompt, TOKENS, true)).expect("JSON");
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Reads until there are `count` tokens, or the end.
+    /// Reads until `count` tokens have arrived, or the stream ends.
     async fn read(&mut self, count: usize) {
         while self.tokens.len() < count && !self.is_done {
             let frame = tokio::time::timeout(PATIENCE, self.body.frame())
@@ -124,7 +124,7 @@
     }
 }
 
-/// The engine that holds a stage of the only stream.
+/// The engine that runs a stage of the only stream.
 async fn holder(site: &TestSite, stage: &str) -> String {
     let mut found = None;
     eventually("an engine holds the stage", async || {
@@ -156,23 +156,23 @@
 ) {
     let site = TestSite::start(1).await;
     let prompt = "a stage is lost";
-    let mut reading = Reading::open(&site, prompt).await;
-    reading.read(after).await;
+    let mut reader = StreamReader::open(&site, prompt).await;
+    reader.read(after).await;
     let lost = holder(&site, stage).await;
     site.engine_fault(&lost, fault.order()).await;
     if matches!(fault, Fault::FrozenThenWoken) {
-        reading.read(after + 2).await;
+        reader.read(after + 2).await;
         site.engine_fault(&lost, json!({"frozen": false})).await;
     }
-    reading.read(TOKENS as usize + 1).await;
-    assert!(reading.is_done, "the answer is whole");
-    assert_eq!(reading.tokens, expected(prompt, TOKENS));
+    reader.read(TOKENS as usize + 1).await;
+    assert!(reader.is_done, "the answer is whole");
+    assert_eq!(reader.tokens, expected(prompt, TOKENS));
     assert_eq!(site.streams_of(prompt).await, 1);
-    assert_no_repeats_but_rebuilt(&site, &lost).await;
+    assert_no_repeats_except_on(&site, &lost).await;
 }
 
-/// Engines that were not lost ran each position once.
-async fn assert_no_repeats_but_rebuilt(site: &TestSite, lost: &str) {
+/// Checks that all engines but `lost` ran each position at most once.
+async fn assert_no_repeats_except_on(site: &TestSite, lost: &str) {
     let ledgers = site.ledgers().await;
     let others: Vec<_> = ledgers
         .into_iter()
@@ -181,33 +181,34 @@
     assert_no_repeats(&others);
 }
 
-/// Both engines of a stage die, one after the other; the first has come back.
+/// The engines of a stage are killed in turn, the second after the first has
+/// restarted.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stage_killed_twice_changes_nothing_for_the_caller() {
     let site = TestSite::start(1).await;
     let prompt = "killed twice";
-    let mut reading = Reading::open(&site, prompt).await;
-    reading.read(3).await;
+    let mut reader = StreamReader::open(&site, prompt).await;
+    reader.read(3).await;
     let first = holder(&site, "s1").await;
     let second = if first == "s1-1" { "s1-2" } else { "s1-1" };
     site.engine_fault(&first, json!({"dead": true})).await;
-    reading.read(6).await;
+    reader.read(6).await;
     site.engine_fault(&first, json!({"dead": false})).await;
     site.engine_fault(second, json!({"dead": true})).await;
-    reading.read(TOKENS as usize + 1).await;
-    assert!(reading.is_done);
-    assert_eq!(reading.tokens, expected(prompt, TOKENS));
+    reader.read(TOKENS as usize + 1).await;
+    assert!(reader.is_done);
+    assert_eq!(reader.tokens, expected(prompt, TOKENS));
 }
 
-/// Every engine of a stage is gone for a while; the stream waits for one to
-/// come back, whichever it is, rather than fail.
+/// All engines of a stage are lost for a while; the stream waits until one of them
+/// restarts instead of failing.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stage_without_engines_is_waited_for(#[values("s2-1", "s2-2")] comes_back: &str) {
+async fn a_stream_waits_for_a_stage_without_engines(#[values("s2-1", "s2-2")] comes_back: &str) {
     let site = TestSite::start(1).await;
     let prompt = "nobody is left";
-    let mut reading = Reading::open(&site, prompt).await;
-    reading.read(3).await;
+    let mut reader = StreamReader::open(&site, prompt).await;
+    reader.read(3).await;
     for engine in ["s2-1", "s2-2"] {
         site.engine_fault(engine, json!({"dead": true})).await;
     }
@@ -217,22 +218,22 @@
     })
     .await;
     site.engine_fault(comes_back, json!({"dead": false})).await;
-    reading.read(TOKENS as usize + 1).await;
-    assert!(reading.is_done);
-    assert_eq!(reading.tokens, expected(prompt, TOKENS));
+    reader.read(TOKENS as usize + 1).await;
+    assert!(reader.is_done);
+    assert_eq!(reader.tokens, expected(prompt, TOKENS));
 }
 
-/// The engine that a stream was last on is the only one to come back.
+/// The stream's last engine of a stage is the only one that restarts.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stage_goes_back_to_its_own_engine_if_no_other_is_left() {
+async fn a_stage_returns_to_its_engine_if_no_other_is_left() {
     let site = TestSite::start(1).await;
     let prompt = "back to where it was";
-    let mut reading = Reading::open(&site, prompt).await;
-    reading.read(2).await;
+    let mut reader = StreamReader::open(&site, prompt).await;
+    reader.read(2).await;
     let first = holder(&site, "s1").await;
     let second = if first == "s1-1" { "s1-2" } else { "s1-1" };
     site.engine_fault(&first, json!({"dead": true})).await;
-    reading.read(5).await;
+    reader.read(5).await;
     site.engine_fault(second, json!({"dead": true})).await;
     eventually("both are taken for lost", async || {
         let status = site.status(&site.entries[0]).await.unwrap_or_default();
@@ -241,7 +242,7 @@
     })
     .await;
     site.engine_fault(second, json!({"dead": false})).await;
-    reading.read(TOKENS as usize + 1).await;
-    assert!(reading.is_done);
-    assert_eq!(reading.tokens, expected(prompt, TOKENS));
+    reader.read(TOKENS as usize + 1).await;
+    assert!(reader.is_done);
+    assert_eq!(reader.tokens, expected(prompt, TOKENS));
 }
--- a/crates/rookferry_entry/tests/support/mod.rs
+++ b/crates/rookferry_entry/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A site for tests: stand-ins in this process, entry instances as processes
-//! of their own that can be killed, paused and stopped.
+//! Test site: stand-ins of platform and backend servers in this process, and entry
+//! instances as child processes that can be killed, paused and stopped.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::BTreeMap;
@@ -43,11 +43,11 @@
 pub const KEY: &str = "desk-key";
 pub const OTHER_KEY: &str = "other-key";
 pub const SERVICE: &str = "flags";
-/// How long a condition is waited for; only a hang takes this long.
+/// Longest wait for a condition; only a hang takes this long.
 pub const PATIENCE: Duration = Duration::from_secs(40);
 const CALL: Duration = Duration::from_secs(5);
 
-/// Waits until a condition holds.
+/// Polls until a condition holds; panics after [`PATIENCE`].
 pub async fn eventually<F: AsyncFnMut() -> bool>(what: &str, mut holds: F) {
     let start = Instant::now();
     while !holds().await {
@@ -69,7 +69,7 @@
     fn signal(&self, signal: Signal) {
         let pid = i32::try_from(self.child.id()).expect("a pid");
         let pid = Pid::from_raw(pid).expect("a pid");
-        // One that has ended already is as good as killed.
+        // Fails only if the process has already exited.
         let _ = kill_process(pid, signal);
     }
 
@@ -82,7 +82,7 @@
         self.signal(Signal::STOP);
     }
 
-    pub fn wake(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
@@ -90,14 +90,14 @@
         self.signal(Signal::TERM);
     }
 
-    /// Waits for its end and returns its exit code.
-    pub async fn ended(&mut self) -> Option<i32> {
+    /// Waits until the process exits; returns its exit code, `None` after a signal.
+    pub async fn wait_for_exit(&mut self) -> Option<i32> {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status.code();
             }
-            assert!(start.elapsed() < PATIENCE, "{} never ended", self.name);
+            assert!(start.elapsed() < PATIENCE, "{} never exited", self.name);
             tokio::time::sleep(Duration::from_millis(15)).await;
         }
     }
@@ -125,7 +125,8 @@
     }
 }
 
-/// Engines: two for each of three stages, in two failure domains.
+/// Engine configurations: two engines for each of three stages, one per failure
+/// domain.
 pub fn engines() -> Vec<EngineConfig> {
     let mut engines = Vec::new();
     for copy in 1..=2_u16 {
@@ -172,8 +173,8 @@
 }
 
 impl TestSite {
-    /// Starts stand-ins and a number of instances, and waits until each sees
-    /// all engines and all others.
+    /// Starts stand-ins and a number of instances, and waits until each instance sees
+    /// all engines and all other instances.
     pub async fn start(entries: usize) -> Self {
         Self::start_with(entries, engines()).await
     }
@@ -218,11 +219,11 @@
         for _ in 0..entries {
             this.add_entry(json!({})).await;
         }
-        this.settled().await;
+        this.wait_until_settled().await;
         this
     }
 
-    /// Starts one more instance; `changes` go over its settings.
+    /// Starts one more instance; `changes` replace keys of its settings.
     pub async fn add_entry(&mut self, changes: Value) {
         self.started += 1;
         let name = format!("entry-{}", self.started);
@@ -287,7 +288,7 @@
     }
 
     /// Waits until each instance sees all engines and all other instances.
-    pub async fn settled(&self) {
+    pub async fn wait_until_settled(&self) {
         for entry in &self.entries {
             eventually("an instance sees the site", async || {
                 self.sees_all(entry).await
@@ -329,7 +330,7 @@
         HttpPlatform::new(self.client.clone(), self.platform_addr())
     }
 
-    /// Writes a configuration over the current one; returns its version.
+    /// Replaces the configuration on the platform; returns the new version.
     pub async fn apply(&self, value: Value) -> u64 {
         let platform = self.platform();
         let current = platform
@@ -344,9 +345,9 @@
         }
     }
 
-    /// Waits until a version is in force on an instance.
-    pub async fn in_force(&self, entry: &EntryProcess, version: u64) {
-        eventually("a version is in force", async || {
+    /// Waits until a version is active on an instance.
+    pub async fn wait_for_version(&self, entry: &EntryProcess, version: u64) {
+        eventually("a version is active", async || {
             let status = self.status(entry).await.unwrap_or_default();
             status["config_version"].as_u64() >= Some(version)
         })
@@ -355,7 +356,7 @@
 
     pub async fn fault(&self, addr: SocketAddr, fault: Value) {
         let ordered: Result<(), _> = self.client.post(addr, "/admin/fault", &fault, CALL).await;
-        ordered.expect("a fault is ordered");
+        ordered.expect("a fault is injected");
     }
 
     pub async fn engine_fault(&self, engine: &str, fault: Value) {
@@ -375,7 +376,7 @@
         ledgers
     }
 
-    /// Calls of plain services by request id, over all their instances.
+    /// Number of calls that plain servers received, by request id.
     pub async fn app_calls(&self) -> BTreeMap<String, u32> {
         let mut calls: BTreeMap<String, u32> = BTreeMap::new();
         for addr in self.site.addrs.apps.values() {
@@ -391,7 +392,7 @@
         calls
     }
 
-    /// How many streams ran a prompt.
+    /// Number of distinct streams that ran a prompt.
     pub async fn streams_of(&self, prompt: &str) -> usize {
         let digest = rookferry_standin::prompt_digest(&tokens_of(prompt));
         let ledgers = self.ledgers().await;
@@ -405,7 +406,7 @@
         streams.len()
     }
 
-    /// Whether any engine ran anything of a request.
+    /// Whether any engine ran a position of a request.
     pub async fn ran(&self, request_id: &str) -> bool {
         let stream = request_id.rsplit_once('.').map_or("", |(_, stream)| stream);
         let ledgers = self.ledgers().await;
@@ -425,7 +426,7 @@
         self.site.addrs.engines[engine]
     }
 
-    /// Removes an instance from the platform's list, or sets its state.
+    /// Sets a server's entry in the platform's list, or removes it.
     pub async fn list(&self, name: &str, entry: Option<Value>) {
         let path = format!("/admin/instances/{name}");
         let method = if entry.is_some() {
@@ -450,7 +451,7 @@
     }
 }
 
-/// The tokens of a prompt's answer by a plain loop.
+/// Expected tokens of a prompt's answer, by the reference implementation.
 pub fn expected(prompt: &str, max_tokens: u32) -> Vec<u64> {
     reference_answer(LAYERS, &tokens_of(prompt), max_tokens)
 }
