--- a/crates/rookferry_entry/src/claims.rs
+++ b/crates/rookferry_entry/src/claims.rs
@@ -1,4 +1,9 @@
-//! Claims on the platform: a task for each shard object runs its writer.
+//! Claims of idempotency keys, stored in shard objects on the platform.
+//!
+//! A claim grants one caller the right to dispatch the call of a key. For each
+//! shard object a task runs its [`ClaimWriter`]: it collects claims from this
+//! instance and from peers, and writes them together, at most once per
+//! [`WRITE_INTERVAL`]. Tasks start with the first claim and stop after [`IDLE_TIMEOUT`].
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -35,18 +40,18 @@
 use crate::entry::now_ms;
 use crate::peers;
 
-/// Asks that may wait for one object's task.
-const QUEUED_ASKS: usize = 1_024;
-/// The least time between two writes of one object, so that the writes of all
-/// objects stay within the platform's rate and claims share them.
+/// Capacity of the command queue of one object's task.
+const MAX_QUEUED_MESSAGES: usize = 1_024;
+/// Least time between two writes of one object. It keeps the writes of all
+/// objects within the platform's rate, and lets claims share a write.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
-/// How often expired objects are looked for.
+/// How often expired objects are deleted.
 const DELETE_INTERVAL: Duration = Duration::from_mins(10);
-/// Idle time after which an object's task ends.
-const IDLE: Duration = Duration::from_mins(1);
+/// Idle time after which an object's task stops.
+const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// What an object's task is sent.
-enum Message {
+/// A command for an object's task.
+enum WriterMessage {
     Ask {
         digest: String,
         claim: Claim,
@@ -58,27 +63,30 @@
     },
 }
 
-/// The claims of one instance.
+/// The claim writer tasks of one instance, by object.
 pub(crate) struct Claims {
     platform: Arc<dyn Platform>,
     log: Logger,
-    writers: Mutex<HashMap<String, mpsc::Sender<Message>>>,
+    writers: Mutex<HashMap<String, mpsc::Sender<WriterMessage>>>,
 }
 
-/// Claims a key. A claim that was granted is this caller's alone.
+/// Claims a key. At most one caller is granted each key.
 ///
-/// One instance writes each object for all, so that claims of many instances
-/// share a write and rarely conflict. Where that one doesn't answer, this one
-/// writes the object itself with the same nonce: if the other has written it
-/// after all, that shows as granted.
+/// One instance writes each object on behalf of all, so that claims of many
+/// instances share a write and rarely conflict. If that instance doesn't respond,
+/// this one writes the object itself with the same nonce: if the other had written
+/// the claim after all, it is recognized by its nonce and granted.
 pub(crate) async fn claim(
     entry: &EntryState,
     key: &ClaimKey,
     claim: Claim,
     window_ms: u64,
 ) -> ClaimResponse {
-    let Some(addr) = home_addr(entry, &key.object) else {
-        return entry.claims.claim_here(key, claim, window_ms, false).await;
+    let Some(addr) = writer_addr(entry, &key.object) else {
+        return entry
+            .claims
+            .claim_locally(key, claim, window_ms, false)
+            .await;
     };
     let request = PeerRequest::Claim {
         object: key.object.clone(),
@@ -86,30 +94,36 @@
         claim: claim.clone(),
         window_ms,
     };
-    match peers::ask(entry, addr, &request).await {
+    match peers::send_request(entry, addr, &request).await {
         Ok(PeerResponse::Claim(ClaimResponse::Refused(refusal))) => {
             entry.claims.withdraw(&key.object, claim.nonce, window_ms);
             ClaimResponse::Refused(refusal)
         }
         Ok(PeerResponse::Claim(reply)) => reply,
-        Ok(_) | Err(_) => entry.claims.claim_here(key, claim, window_ms, false).await,
+        Ok(_) | Err(_) => {
+            entry
+                .claims
+                .claim_locally(key, claim, window_ms, false)
+                .await
+        }
     }
 }
 
-/// Deletes objects whose keys are refused for good by now, each by its home.
+/// Deletes objects whose keys have all expired; each object's writer instance does
+/// so.
 pub(crate) async fn delete_expired(entry: Arc<EntryState>) {
     loop {
         tokio::time::sleep(jittered(DELETE_INTERVAL)).await;
         let window_ms = entry.snapshot.load().table.config().policy.key_window_ms;
         for object in ClaimKey::expired_objects(now_ms(), window_ms) {
-            if home_addr(&entry, &object).is_none() {
+            if writer_addr(&entry, &object).is_none() {
                 delete(&entry, &object).await;
             }
         }
     }
 }
 
-/// One that can't be deleted now is looked at again next time.
+/// Deletes an object; a failure is logged and tried again in the next round.
 async fn delete(entry: &EntryState, object: &str) {
     let Ok(Some(found)) = entry.platform.get(CLAIMS_KIND, object).await else {
         return;
@@ -124,13 +138,14 @@
     }
 }
 
-/// Where the instance is asked that writes an object; `None` if it is this
-/// one.
-fn home_addr(entry: &EntryState, object: &str) -> Option<SocketAddr> {
+/// Address of the instance that writes an object; `None` if it is this one.
+fn writer_addr(entry: &EntryState, object: &str) -> Option<SocketAddr> {
     let members = entry.peers.lock();
     let live = members.live();
-    let home = rendezvous_owner(object, &live)?;
-    members.get(home).map(|member| member.heartbeat.peer_addr)
+    let writer_instance = rendezvous_owner(object, &live)?;
+    members
+        .get(writer_instance)
+        .map(|member| member.heartbeat.peer_addr)
 }
 
 impl Claims {
@@ -142,8 +157,10 @@
         }
     }
 
-    /// Writes a claim from this instance, for itself or for a peer.
-    pub(crate) async fn claim_here(
+    /// Writes a claim from this instance, for its own caller or for a peer's.
+    ///
+    /// Refused as contended when the task's queue is full.
+    pub(crate) async fn claim_locally(
         &self,
         key: &ClaimKey,
         claim: Claim,
@@ -151,7 +168,7 @@
         is_forwarded: bool,
     ) -> ClaimResponse {
         let (answer, reply) = oneshot::channel();
-        let message = Message::Ask {
+        let message = WriterMessage::Ask {
             digest: key.digest.clone(),
             claim,
             is_forwarded,
@@ -165,21 +182,21 @@
         reply.await.unwrap_or(refused)
     }
 
-    /// Takes back a claim that was never dispatched.
+    /// Withdraws a claim that was never dispatched.
     fn withdraw(&self, object: &str, nonce: u64, window_ms: u64) {
-        // If it can't be sent the claim stays, and its key is told as unknown.
+        // If this fails the claim stays, and its key is reported as unknown.
         let _ = self
             .writer(object, window_ms)
-            .try_send(Message::Withdraw { nonce });
+            .try_send(WriterMessage::Withdraw { nonce });
     }
 
-    fn writer(&self, object: &str, window_ms: u64) -> mpsc::Sender<Message> {
+    fn writer(&self, object: &str, window_ms: u64) -> mpsc::Sender<WriterMessage> {
         let mut writers = self.writers.lock().unwrap_or_else(PoisonError::into_inner);
         writers.retain(|_, writer| !writer.is_closed());
         if let Some(writer) = writers.get(object) {
             return writer.clone();
         }
-        let (sender, messages) = mpsc::channel(QUEUED_ASKS);
+        let (sender, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         writers.insert(object.to_owned(), sender.clone());
         let task = WriterTask {
             platform: self.platform.clone(),
@@ -206,11 +223,11 @@
 }
 
 impl WriterTask {
-    async fn run(mut self, mut messages: mpsc::Receiver<Message>) {
+    async fn run(mut self, mut messages: mpsc::Receiver<WriterMessage>) {
         loop {
-            let Ok(first) = tokio::time::timeout(IDLE, messages.recv()).await else {
+            let Ok(first) = tokio::time::timeout(IDLE_TIMEOUT, messages.recv()).await else {
                 messages.close();
-                // What came in before the close is still served.
+                // Commands that arrived before the close are still served.
                 while let Ok(message) = messages.try_recv() {
                     self.serve(message, &mut messages).await;
                 }
@@ -223,13 +240,13 @@
         }
     }
 
-    /// Serves a message and all that came in the meantime, in one write if
-    /// nothing goes wrong.
-    async fn serve(&mut self, first: Message, messages: &mut mpsc::Receiver<Message>) {
+    /// Serves a command and all that have arrived since, with a single write
+    /// unless it conflicts or fails.
+    async fn serve(&mut self, first: WriterMessage, messages: &mut mpsc::Receiver<WriterMessage>) {
         tokio::time::sleep_until(self.next_write).await;
-        self.take(first);
+        self.on_message(first);
         while let Ok(message) = messages.try_recv() {
-            self.take(message);
+            self.on_message(message);
         }
         let mut actions = self.writer.on_event(now_ms(), ClaimEvent::Flush);
         loop {
@@ -257,10 +274,10 @@
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn on_message(&mut self, message: WriterMessage) {
         let event = match message {
-            Message::Withdraw { nonce } => ClaimEvent::Withdraw { nonce },
-            Message::Ask {
+            WriterMessage::Withdraw { nonce } => ClaimEvent::Withdraw { nonce },
+            WriterMessage::Ask {
                 digest,
                 claim,
                 is_forwarded,
@@ -277,7 +294,7 @@
                 }
             }
         };
-        // Asks only wait; the flush that follows writes them.
+        // This only queues the claim; the flush that follows writes it.
         let _ = self.writer.on_event(now_ms(), event);
     }
 
@@ -297,12 +314,12 @@
             Ok(PutResponse::Written { version }) => ClaimEvent::Written { version },
             Ok(PutResponse::Conflict { current }) => ClaimEvent::Conflict { current },
             Err(PlatformError::Lost { message }) => {
-                warn!(self.log, "claims: answer lost, reading back";
+                warn!(self.log, "claims: response to a write lost; reading the object back";
                     "part" => "claims", "object" => &self.object, "error" => message);
                 ClaimEvent::WriteLost
             }
             Err(PlatformError::Rejected { message }) => {
-                warn!(self.log, "claims: write turned away";
+                warn!(self.log, "claims: write rejected";
                     "part" => "claims", "object" => &self.object, "error" => message);
                 ClaimEvent::WriteRejected
             }
@@ -311,7 +328,7 @@
 
     fn answer(&mut self, id: ClaimRequestId, answer: ClaimResponse) {
         if let Some(waiting) = self.waiting.remove(&id) {
-            // One that no longer waits never dispatches.
+            // A caller that no longer waits never dispatches its call.
             let _ = waiting.send(answer);
         }
     }
--- a/crates/rookferry_entry/src/http/call.rs
+++ b/crates/rookferry_entry/src/http/call.rs
@@ -1,4 +1,5 @@
-//! What all calls have in common: who calls, with what, under which labels.
+//! Handling common to all calls: authentication, limits, body, labels, and the
+//! record that is written when a call ends.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -23,13 +24,13 @@
 use uuid::Uuid;
 
 use super::refusal::Refusal;
-use crate::counters::Served;
+use crate::counters::ServeOutcome;
 use crate::entry::EntryState;
 use crate::entry::now_ms;
 use crate::snapshot::AccountPermit;
 use crate::snapshot::Snapshot;
 
-/// Labels that a caller may give a request.
+/// Most labels in a request's `rookferry-labels` header.
 const MAX_LABELS: usize = 16;
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 const REPEATABLE: &str = "rookferry-repeatable";
@@ -37,43 +38,47 @@
 const COMPLETIONS: &str = "/v1/completions";
 const LABELS: &str = "rookferry-labels";
 
-/// A call of a known account, with its body read and nothing dispatched.
+/// An authenticated call with its body read, not yet dispatched.
 pub(super) struct Call {
     pub(super) request: Undispatched,
-    /// The random part of its id, and the id of its stream.
-    pub(super) number: Uuid,
+    /// UUID at the end of its request id; also the id of its stream.
+    pub(super) uuid: Uuid,
     pub(super) account: AccountId,
     pub(super) weight: f64,
     pub(super) snapshot: Arc<Snapshot>,
     pub(super) body: Bytes,
     pub(super) labels: Labels,
-    /// The caller's labels as it sent them.
+    /// Value of the `rookferry-labels` header.
     pub(super) raw_labels: String,
-    /// The key, if it may run once.
+    /// The idempotency key; ignored for calls declared repeatable.
     pub(super) key: Option<String>,
-    /// What the caller says about repeats.
+    /// Value of the `rookferry-repeatable` header, if given.
     pub(super) repeatable: Option<bool>,
-    /// The plain service and the path within it, for calls of one.
+    /// Plain service and the path within it; `None` for model calls.
     pub(super) service: Option<(String, String)>,
-    /// The method.
+    /// HTTP method.
     pub(super) method: String,
     pub(super) received_at: Instant,
     pub(super) record: DecisionRecord,
-    /// Whether a peer passed it on.
+    /// Whether a peer forwarded it.
     pub(super) is_forwarded: bool,
     pub(super) permit: AccountPermit,
-    /// Made when it is first asked for.
+    /// Computed on first use.
     signature: OnceLock<RequestSignature>,
 }
 
 impl Call {
-    /// Reads a call from a caller.
+    /// Authenticates a caller and reads its call.
+    ///
+    /// # Errors
+    ///
+    /// A refusal that is not logged yet.
     pub(super) async fn receive(
         entry: &Arc<EntryState>,
         inbound: &mut InboundRequest,
     ) -> Result<Self, Refusal> {
         let received_at = clock::now();
-        let (request_id, number) = entry.new_request();
+        let (request_id, uuid) = entry.new_request();
         let request = Undispatched::new(request_id);
         if entry.leaving.load(Ordering::SeqCst) && entry.snapshot.load().table.version() == 0 {
             return Err(Refusal::new(
@@ -86,7 +91,7 @@
             let not_run = request.refuse(ReasonCode::NotReady);
             let refusal = Refusal::new(
                 not_run,
-                "no configuration is in force yet; ask another instance",
+                "no configuration is active yet; use another instance",
             );
             return Err(refusal.retry_after(Duration::from_secs(1)));
         }
@@ -110,8 +115,9 @@
             .and_then(|gauge| gauge.enter(limit))
         else {
             let not_run = request.refuse(ReasonCode::AccountLimit);
-            let detail =
-                format!("account {account} has {limit} requests under way here, its limit");
+            let detail = format!(
+                "account {account} has {limit} active requests on this instance, its limit"
+            );
             return Err(Refusal::new(not_run, detail).retry_after(Duration::from_millis(500)));
         };
         let body = match read_body(entry, inbound).await {
@@ -143,12 +149,12 @@
             is_forwarded: false,
             permit,
         };
-        Self::assemble(entry, request, number, snapshot, parts)
+        Self::assemble(entry, request, uuid, snapshot, parts)
     }
 
-    /// Takes a call that a peer passes on; the peer has checked its caller.
+    /// Accepts a call forwarded by a peer, which has authenticated the caller.
     pub(super) fn forwarded(entry: &Arc<EntryState>, call: &KeyedCall) -> Result<Self, Refusal> {
-        let (request_id, number) = entry.new_request();
+        let (request_id, uuid) = entry.new_request();
         let request = Undispatched::new(request_id);
         let snapshot = entry.snapshot.load_full();
         let account: AccountId = call.account.as_str().into();
@@ -160,7 +166,7 @@
             let not_run = request.refuse(ReasonCode::Unauthorized);
             return Err(Refusal::new(
                 not_run,
-                format!("no account {account} at the key's owner"),
+                format!("the key's owner has no account {account}"),
             ));
         };
         let parts = CallParts {
@@ -176,13 +182,13 @@
             is_forwarded: true,
             permit,
         };
-        Self::assemble(entry, request, number, snapshot.clone(), parts)
+        Self::assemble(entry, request, uuid, snapshot.clone(), parts)
     }
 
     fn assemble(
         entry: &Arc<EntryState>,
         request: Undispatched,
-        number: Uuid,
+        uuid: Uuid,
         snapshot: Arc<Snapshot>,
         parts: CallParts,
     ) -> Result<Self, Refusal> {
@@ -202,7 +208,7 @@
         };
         Ok(Self {
             request,
-            number,
+            uuid,
             account: parts.account,
             weight: parts.weight,
             snapshot,
@@ -221,7 +227,7 @@
         })
     }
 
-    /// What tells that it is the same call when it comes again.
+    /// Identifies retries of the same call.
     pub(super) fn signature(&self) -> RequestSignature {
         *self.signature.get_or_init(|| {
             let path = match &self.service {
@@ -232,13 +238,13 @@
         })
     }
 
-    /// Turns a call away under which servers ended, if it is held. Of one that
-    /// may run once it isn't known whether its key was run before.
-    pub(super) fn refuse_if_held(self, entry: &EntryState) -> Result<Self, Refusal> {
-        let Some(left) = entry.held_for(self.signature()) else {
+    /// Refuses the call if it is quarantined. With an idempotency key its outcome is
+    /// unknown, since the key may have been run before.
+    pub(super) fn refuse_if_quarantined(self, entry: &EntryState) -> Result<Self, Refusal> {
+        let Some(left) = entry.quarantined_for(self.signature()) else {
             return Ok(self);
         };
-        let detail = "servers ended each time that they ran this; it is held for a time";
+        let detail = "servers crashed each time that they ran this call; it is quarantined";
         let refusal = if self.key.is_some() {
             self.unknown(entry, ReasonCode::Quarantined, detail)
         } else {
@@ -247,7 +253,7 @@
         Err(refusal.retry_after(left))
     }
 
-    /// Gives it up before dispatch, with its record.
+    /// Refuses the call before dispatch, and records that.
     pub(super) fn refuse(
         self,
         entry: &EntryState,
@@ -255,10 +261,12 @@
         detail: impl Into<String>,
     ) -> Refusal {
         let not_run = self.request.refuse(reason);
-        ended_without_route(self.record, self.account).told(entry, Refusal::new(not_run, detail))
+        record_without_route(self.record, self.account)
+            .record_refusal(entry, Refusal::new(not_run, detail))
     }
 
-    /// Gives it up where earlier work under its key may have run.
+    /// Refuses the call when earlier work under its key may have run, and records
+    /// that.
     pub(super) fn unknown(
         self,
         entry: &EntryState,
@@ -266,12 +274,13 @@
         detail: impl Into<String>,
     ) -> Refusal {
         let unknown = self.request.into_unknown(reason);
-        ended_without_route(self.record, self.account).told(entry, Refusal::new(unknown, detail))
+        record_without_route(self.record, self.account)
+            .record_refusal(entry, Refusal::new(unknown, detail))
     }
 }
 
-const fn ended_without_route(record: DecisionRecord, account: AccountId) -> Ended {
-    Ended {
+const fn record_without_route(record: DecisionRecord, account: AccountId) -> CallRecord {
+    CallRecord {
         record,
         account,
         route: String::new(),
@@ -292,15 +301,15 @@
     permit: AccountPermit,
 }
 
-/// What is left of a call to be recorded when it ends.
-pub(super) struct Ended {
+/// The part of a call that is needed to record its end.
+pub(super) struct CallRecord {
     pub(super) record: DecisionRecord,
     pub(super) account: AccountId,
     pub(super) route: String,
 }
 
-impl Ended {
-    /// It was answered whole.
+impl CallRecord {
+    /// Records a complete answer of `size` tokens or, for services, bytes.
     pub(super) fn answered(
         mut self,
         entry: &EntryState,
@@ -309,11 +318,11 @@
         gaps: Vec<Duration>,
     ) {
         self.record.result = Some(DecisionResult::Answered { size });
-        let served = Served {
+        let served = ServeOutcome {
             route: self.route,
             account: self.account.to_string(),
             is_answered: true,
-            is_callers_fault: false,
+            is_caller_error: false,
             first_token,
             gaps,
         };
@@ -321,30 +330,30 @@
         entry.decisions.insert(self.record);
     }
 
-    fn told(self, entry: &EntryState, refusal: Refusal) -> Refusal {
+    fn record_refusal(self, entry: &EntryState, refusal: Refusal) -> Refusal {
         self.refused(entry, &refusal);
         refusal
     }
 
-    /// It got no answer.
+    /// Records and logs a refusal.
     pub(super) fn refused(mut self, entry: &EntryState, refusal: &Refusal) {
         self.record.result = Some(DecisionResult::Failed {
             outcome: refusal.outcome(),
             reason: refusal.reason,
             detail: refusal.detail.clone(),
         });
-        let served = Served {
+        let served = ServeOutcome {
             route: self.route,
             account: self.account.to_string(),
-            is_callers_fault: refusal.is_callers_fault(),
-            ..Served::default()
+            is_caller_error: refusal.is_caller_error(),
+            ..ServeOutcome::default()
         };
         count(entry, &served);
         log_refusal(entry, refusal);
         entry.decisions.insert(self.record);
     }
 
-    /// Its caller went away.
+    /// Records that the caller disconnected.
     pub(super) fn caller_gone(mut self, entry: &EntryState) {
         self.record.result = Some(DecisionResult::CallerGone);
         counter!("rookferry_requests_total", "route" => self.route, "result" => "caller_gone")
@@ -353,19 +362,21 @@
     }
 }
 
-/// Logs a refusal that has no record of its own.
+/// Logs a refusal; called directly only where there is no decision record.
 pub(super) fn log_refusal(entry: &EntryState, refusal: &Refusal) {
     info!(entry.log, "request: no answer";
         "part" => "request", "request_id" => %refusal.request_id(),
         "outcome" => ?refusal.outcome(), "reason" => ?refusal.reason, "detail" => &refusal.detail);
 }
 
-fn count(entry: &EntryState, served: &Served) {
+fn count(entry: &EntryState, served: &ServeOutcome) {
     let snapshot = entry.snapshot.load();
-    entry.counters.served(snapshot.table.config(), served);
+    entry
+        .counters
+        .count_request(snapshot.table.config(), served);
 }
 
-/// The name after `/apps/` and the path after that, query included.
+/// Service name after `/apps/`, and the path with the query after the name.
 fn service_of(inbound: &InboundRequest) -> Option<(String, String)> {
     let path = inbound
         .uri
@@ -403,8 +414,8 @@
     })
 }
 
-/// Labels of account, instance and request, each under its own prefix so that
-/// a caller can't pass its labels off as another's.
+/// Labels of account, instance and request. Each kind has its own prefix, so that a
+/// caller can't imitate the labels of others.
 fn labels_of(entry: &EntryState, snapshot: &Snapshot, parts: &CallParts) -> Result<Labels, String> {
     let mut labels = Labels::new();
     labels.insert("account".to_owned(), parts.account.to_string());
@@ -431,7 +442,7 @@
         }
         let Some((name, value)) = pair.split_once('=') else {
             return Err(format!(
-                "Rookferry-Labels has {pair:?}; use name=value, parted by commas"
+                "Rookferry-Labels has {pair:?}; use name=value, separated by commas"
             ));
         };
         labels.insert(format!("request.{}", name.trim()), value.trim().to_owned());
--- a/crates/rookferry_entry/src/http/forward.rs
+++ b/crates/rookferry_entry/src/http/forward.rs
@@ -1,5 +1,5 @@
-//! Calls passed on to the instance that owns their key, and those that peers
-//! pass on to this one.
+//! Forwarding of calls to the instance that owns their key, and serving calls that
+//! peers forward here.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,12 +20,12 @@
 use super::refusal::Refusal;
 use super::respond;
 use super::service;
-use crate::answers::KeptAnswer;
+use crate::answers::StoredAnswer;
 use crate::entry::EntryState;
 use crate::peers;
 
-/// Serves a call that a peer passes on.
-pub(crate) async fn serve_keyed(entry: &Arc<EntryState>, keyed: KeyedCall) -> PeerResponse {
+/// Serves a call that a peer forwards.
+pub(crate) async fn serve_forwarded(entry: &Arc<EntryState>, keyed: KeyedCall) -> PeerResponse {
     let response = match Call::forwarded(entry, &keyed) {
         Ok(call) => match &keyed.service {
             Some((name, path)) => service::serve(entry, call, &keyed.method, name, path).await,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Passes a ticket on to the instance that minted it.
+/// Forwards a call with a ticket to the instance that minted the ticket.
 pub(super) async fn forward_ticket(
     entry: &Arc<EntryState>,
     call: Call,
@@ -82,10 +82,10 @@
     }
 }
 
-/// The owner's process has ended: nothing listens at its address.
+/// The owner's process is gone: nothing listens at its address.
 pub(super) struct OwnerGone;
 
-/// Passes a call on to its key's owner.
+/// Forwards a call to the owner of its key; fails only if the owner is gone.
 pub(super) async fn forward(
     entry: &Arc<EntryState>,
     call: &Call,
@@ -98,16 +98,16 @@
         service: call.service.clone(),
         method: call.method.clone(),
         labels: call.raw_labels.clone(),
-        body: whole_body(call),
+        body: canonical_body(call),
     };
-    match peers::ask(entry, addr, &PeerRequest::Run(keyed)).await {
+    match peers::send_request(entry, addr, &PeerRequest::Run(keyed)).await {
         Ok(PeerResponse::Ran {
             status,
             content_type,
             request_id,
             body,
         }) => {
-            let answer = KeptAnswer {
+            let answer = StoredAnswer {
                 request_id,
                 body_digest: String::new(),
                 status,
@@ -118,7 +118,7 @@
         }
         Err(error) if error.is_refused() => Err(OwnerGone),
         Ok(_) | Err(_) => {
-            let detail = "the key's owner did not answer; come back with the key";
+            let detail = "the key's owner did not respond; retry with the key";
             let refusal = Refusal::running(&call.request, detail);
             log_refusal(entry, &refusal);
             Ok(respond::refused(entry, &refusal))
@@ -126,9 +126,9 @@
     }
 }
 
-/// A model call's body as peers and digests see it: the caller's wish for
-/// events is met by whoever answers it, and changes nothing of the work.
-pub(super) fn whole_body(call: &Call) -> Vec<u8> {
+/// A call's body in canonical form, for forwarding and digests. In model calls
+/// `stream` is removed: it selects the form of the response, not the work.
+pub(super) fn canonical_body(call: &Call) -> Vec<u8> {
     let body = serde_json::from_slice(&call.body);
     let (None, Ok(serde_json::Value::Object(mut body))) = (&call.service, body) else {
         return call.body.to_vec();
--- a/crates/rookferry_entry/src/http/keyed.rs
+++ b/crates/rookferry_entry/src/http/keyed.rs
@@ -1,8 +1,10 @@
-//! Calls that may run once: claims, tickets, and callers that come back.
+//! Calls with an idempotency key, which run at most once: claims, tickets, and
+//! retries.
 //!
-//! A call is dispatched only by the instance whose claim or ticket its key
-//! is. Any other instance passes it on to that one, or, when that one is
-//! gone, resumes what the engines still hold; it never starts the work.
+//! Only the instance that owns the claim or ticket of a key dispatches its call.
+//! Any other instance forwards the call to the owner. If the owner's process is
+//! gone, it resumes the stream that the engines still hold, and never starts the
+//! work itself. A retry is answered from the stored response where there is one.
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -34,9 +36,9 @@
 
 use super::call::Call;
 use super::call::log_refusal;
+use super::forward::canonical_body;
 use super::forward::forward;
 use super::forward::forward_ticket;
-use super::forward::whole_body;
 use super::model;
 use super::model::ModelRun;
 use super::model::ModelWork;
@@ -44,41 +46,41 @@
 use super::respond;
 use super::sse;
 use crate::admission::Placement;
-use crate::answers::KeptAnswer;
 use crate::answers::KeyState;
+use crate::answers::StoredAnswer;
 use crate::claims;
 use crate::entry::EntryState;
 use crate::entry::now_ms;
 
-/// When a caller that couldn't claim its key should come back.
+/// Suggested retry time for a caller whose key couldn't be claimed.
 const CLAIM_RETRY: Duration = Duration::from_secs(1);
 
-/// A key, where it is claimed, and the body it stands for.
+/// A parsed key with its claim object, and the digest of the call's body.
 #[derive(Clone, Debug)]
 pub(super) struct KeyedBody {
     pub(super) key: ClaimKey,
     pub(super) body_digest: String,
 }
 
-/// What a key allows.
-pub(super) enum KeyVerdict {
-    /// Dispatch; the key is marked as running.
+/// What may be done with a call, as decided by its key.
+pub(super) enum KeyDecision {
+    /// Dispatch it; the key is marked as running.
     Dispatch(Box<Call>),
-    /// Answer with this.
+    /// Don't dispatch it; send this response.
     Respond(Response<Body>),
-    /// Resume another instance's work.
+    /// Resume the stream of another instance's claim.
     Resume(Box<Call>, Claim),
 }
 
-/// What this instance knows of a key's work.
-enum KnownWork {
+/// State of a key's work on this instance, compared with the call's body.
+enum LocalWork {
     Nothing,
     Running,
     OtherBody,
-    Finished(KeptAnswer),
+    Finished(StoredAnswer),
 }
 
-/// Serves a model call with a key.
+/// Serves a model call that has a key.
 pub(super) async fn serve_model(
     entry: &Arc<EntryState>,
     call: Call,
@@ -89,42 +91,42 @@
         Ok(checked) => checked,
         Err(response) => return *response,
     };
-    let placement = match entry.admission.place(work.need.clone()).await {
+    let placement = match entry.admission.place(work.requirements.clone()).await {
         Ok(placement) => placement,
-        Err(no_place) => return model::refuse_place(entry, call, &work, no_place),
+        Err(placement_error) => return model::refuse_unplaced(entry, call, &work, placement_error),
     };
-    let stream = Some(call.number);
+    let stream = Some(call.uuid);
     let chain = placement
         .stages
         .iter()
         .map(|stage| stage.engine.clone())
         .collect();
-    match settle_key(entry, call, &keyed, stream, chain, is_stream).await {
-        KeyVerdict::Respond(response) => response,
-        KeyVerdict::Dispatch(call) => {
-            let spec = work.spec(call.number, &placement);
-            let keep = Some((keyed.key.digest, keyed.body_digest));
-            let run = ModelRun::new(*call, work, placement, StreamDriver::new(spec), keep);
+    match resolve_key(entry, call, &keyed, stream, chain, is_stream).await {
+        KeyDecision::Respond(response) => response,
+        KeyDecision::Dispatch(call) => {
+            let spec = work.spec(call.uuid, &placement);
+            let store_as = Some((keyed.key.digest, keyed.body_digest));
+            let run = ModelRun::new(*call, work, placement, StreamDriver::new(spec), store_as);
             run.respond(entry).await
         }
-        KeyVerdict::Resume(call, claim) => {
+        KeyDecision::Resume(call, claim) => {
             resume(entry, *call, work, placement, keyed, &claim).await
         }
     }
 }
 
-/// Reads a call's key; a caller that comes back is answered here, without a
-/// place on engines or a call to the platform.
+/// Parses a call's key. A retry of a call that this instance has served is
+/// answered here, without placing a stream or calling the platform.
 pub(super) fn check_key(
     entry: &EntryState,
     call: Call,
     is_stream: bool,
 ) -> Result<(Call, KeyedBody), Box<Response<Body>>> {
-    match KeyedBody::read(&call) {
+    match KeyedBody::parse(&call) {
         Ok(keyed) => {
-            let call = respond_known(entry, call, &keyed, is_stream)?;
+            let call = respond_if_known(entry, call, &keyed, is_stream)?;
             let call = call
-                .refuse_if_held(entry)
+                .refuse_if_quarantined(entry)
                 .map_err(|refusal| Box::new(respond::refused(entry, &refusal)))?;
             Ok((call, keyed))
         }
@@ -141,18 +143,18 @@
     }
 }
 
-/// Finds out whether a call may be dispatched, and claims its key if so.
-pub(super) async fn settle_key(
+/// Decides what may be done with a call: claims its key, or redeems its ticket.
+pub(super) async fn resolve_key(
     entry: &Arc<EntryState>,
     call: Call,
     keyed: &KeyedBody,
     stream: Option<StreamId>,
     chain: Vec<EngineId>,
     is_stream: bool,
-) -> KeyVerdict {
+) -> KeyDecision {
     let key = call.key.clone().unwrap_or_default();
     if TicketIssuer::is_ticket(&key) {
-        return settle_ticket(entry, call, &key, keyed, is_stream).await;
+        return redeem_ticket(entry, call, &key, keyed, is_stream).await;
     }
     let claim = Claim {
         owner: entry.instance.clone(),
@@ -167,86 +169,88 @@
     let claiming = entry.answers.claiming(&keyed.key.digest);
     let answer = claims::claim(entry, &keyed.key, claim, window_ms).await;
     match answer {
-        // Begun before the mark goes, so that the key is never seen as absent.
+        // Marked as running before `claiming` is dropped, so that the key is never
+        // seen as absent.
         ClaimResponse::Granted => begin(entry, call, keyed, is_stream),
         ClaimResponse::Taken(claim) => {
             drop(claiming);
-            settle_taken(entry, call, keyed, claim, is_stream).await
+            resolve_claimed(entry, call, keyed, claim, is_stream).await
         }
-        ClaimResponse::Refused(refusal) => KeyVerdict::Respond(refuse_claim(entry, call, refusal)),
+        ClaimResponse::Refused(refusal) => KeyDecision::Respond(refuse_claim(entry, call, refusal)),
     }
 }
 
-/// The last gate before dispatch on this instance.
-fn begin(entry: &EntryState, call: Call, keyed: &KeyedBody, is_stream: bool) -> KeyVerdict {
+/// Marks the key as running, unless it already runs or has run on this instance.
+fn begin(entry: &EntryState, call: Call, keyed: &KeyedBody, is_stream: bool) -> KeyDecision {
     if entry.answers.begin(&keyed.key.digest) {
-        return KeyVerdict::Dispatch(Box::new(call));
+        return KeyDecision::Dispatch(Box::new(call));
     }
-    let known = respond_known(entry, call, keyed, is_stream);
-    KeyVerdict::Respond(known_or_unknown(
+    let known = respond_if_known(entry, call, keyed, is_stream);
+    KeyDecision::Respond(respond_or_unknown(
         entry,
         known,
-        "the key's work has ended here",
+        "the key's work has ended on this instance",
     ))
 }
 
-async fn settle_taken(
+async fn resolve_claimed(
     entry: &Arc<EntryState>,
     call: Call,
     keyed: &KeyedBody,
     claim: Claim,
     is_stream: bool,
-) -> KeyVerdict {
+) -> KeyDecision {
     if claim.body_digest != keyed.body_digest {
         let detail = "the key was used for another body";
-        return KeyVerdict::Respond(refuse(entry, call, ReasonCode::KeyReused, detail));
+        return KeyDecision::Respond(refuse(entry, call, ReasonCode::KeyReused, detail));
     }
     if claim.owner == entry.instance && claim.incarnation == entry.incarnation {
-        return settle_own(
+        return resolve_own(
             entry,
             call,
             keyed,
             is_stream,
-            "the key's answer is no longer kept",
+            "the key's answer is no longer stored",
         );
     }
     if let Some(addr) = owner_addr(entry, &claim.owner, claim.incarnation)
         && !call.is_forwarded
     {
-        // A response, unless the owner is gone.
+        // Fails only if the owner's process is gone.
         if let Ok(response) = forward(entry, &call, addr, is_stream).await {
-            return KeyVerdict::Respond(response);
+            return KeyDecision::Respond(response);
         }
     }
     if claim.stream.is_none() {
-        let detail = "the instance that ran it is gone, and a service's call can't be resumed";
-        return KeyVerdict::Respond(unknown(entry, call, detail));
+        let detail =
+            "the instance that ran the call is gone, and calls of services can't be resumed";
+        return KeyDecision::Respond(unknown(entry, call, detail));
     }
-    KeyVerdict::Resume(Box::new(call), claim)
+    KeyDecision::Resume(Box::new(call), claim)
 }
 
-/// A key that this run of the instance claimed or minted before.
-fn settle_own(
+/// Resolves a key that this incarnation claimed or minted itself.
+fn resolve_own(
     entry: &EntryState,
     call: Call,
     keyed: &KeyedBody,
     is_stream: bool,
     dropped: &str,
-) -> KeyVerdict {
+) -> KeyDecision {
     if entry.answers.state(&keyed.key.digest) == KeyState::NotRun {
         return begin(entry, call, keyed, is_stream);
     }
-    let known = respond_known(entry, call, keyed, is_stream);
-    KeyVerdict::Respond(known_or_unknown(entry, known, dropped))
+    let known = respond_if_known(entry, call, keyed, is_stream);
+    KeyDecision::Respond(respond_or_unknown(entry, known, dropped))
 }
 
-async fn settle_ticket(
+async fn redeem_ticket(
     entry: &Arc<EntryState>,
     call: Call,
     ticket: &str,
     keyed: &KeyedBody,
     is_stream: bool,
-) -> KeyVerdict {
+) -> KeyDecision {
     let redeemed = {
         let mut tickets = entry.tickets.lock().unwrap_or_else(PoisonError::into_inner);
         tickets.redeem(clock::now(), ticket, &keyed.body_digest)
@@ -254,12 +258,12 @@
     let response = match redeemed {
         Ok(RedeemOutcome::Dispatch) => return begin(entry, call, keyed, is_stream),
         Ok(RedeemOutcome::AlreadyDispatched) => {
-            return settle_own(
+            return resolve_own(
                 entry,
                 call,
                 keyed,
                 is_stream,
-                "the ticket's answer is no longer kept",
+                "the ticket's answer is no longer stored",
             );
         }
         Err(TicketError::OtherInstance { instance }) => {
@@ -275,7 +279,7 @@
             refuse(entry, call, ReasonCode::BadRequest, &fault.to_string())
         }
     };
-    KeyVerdict::Respond(response)
+    KeyDecision::Respond(response)
 }
 
 async fn resume(
@@ -286,15 +290,15 @@
     keyed: KeyedBody,
     claim: &Claim,
 ) -> Response<Body> {
-    let stages = stages_of(entry, claim);
+    let stages = claimed_stages(entry, claim);
     let (Some(stages), Some(stream)) = (stages, claim.stream) else {
-        return unknown(entry, call, "the engines that ran it are gone");
+        return unknown(entry, call, "the engines that ran the call are gone");
     };
     if !entry.answers.begin(&keyed.key.digest) {
-        let known = respond_known(entry, call, &keyed, work.request.stream);
-        return known_or_unknown(entry, known, "the key's work has ended here");
+        let known = respond_if_known(entry, call, &keyed, work.request.stream);
+        return respond_or_unknown(entry, known, "the key's work has ended on this instance");
     }
-    info!(entry.log, "request: resumes another instance's stream";
+    info!(entry.log, "request: resuming another instance's stream";
         "part" => "request", "request_id" => %call.request.request_id(), "owner" => %claim.owner, "stream" => %stream);
     let former: Vec<EngineId> = placement
         .stages
@@ -306,13 +310,14 @@
     }
     placement.slots.add(&call.snapshot.fleet, &stages);
     let driver = StreamDriver::resume(work.spec_on(stream, stages), 1);
-    let keep = Some((keyed.key.digest, keyed.body_digest));
-    let run = ModelRun::new(call, work, placement, driver, keep);
+    let store_as = Some((keyed.key.digest, keyed.body_digest));
+    let run = ModelRun::new(call, work, placement, driver, store_as);
     run.respond(entry).await
 }
 
-/// The claim's chain, if its engines are known and still fit together.
-fn stages_of(entry: &EntryState, claim: &Claim) -> Option<Vec<Stage>> {
+/// The claim's chain, if its engines are known and their layers are still
+/// contiguous from 0.
+fn claimed_stages(entry: &EntryState, claim: &Claim) -> Option<Vec<Stage>> {
     let snapshot = entry.snapshot.load();
     let mut stages: Vec<Stage> = Vec::new();
     for name in &claim.chain {
@@ -329,7 +334,7 @@
     (!stages.is_empty()).then_some(stages)
 }
 
-/// Where the owner of a claim is heard, if that run of it answers.
+/// Peer address of a claim's owner, if that incarnation of it is not suspected.
 fn owner_addr(
     entry: &EntryState,
     owner: &InstanceId,
@@ -342,44 +347,44 @@
     is_owner.then_some(member.heartbeat.peer_addr)
 }
 
-/// Answers from what this instance knows of a key; gives the call back if it
-/// knows nothing.
-fn respond_known(
+/// Responds from this instance's state of a key; returns the call if there is
+/// none.
+fn respond_if_known(
     entry: &EntryState,
     call: Call,
     keyed: &KeyedBody,
     is_stream: bool,
 ) -> Result<Call, Box<Response<Body>>> {
-    match known_work(entry, keyed) {
-        KnownWork::Nothing => Ok(call),
-        KnownWork::Running => {
+    match local_work(entry, keyed) {
+        LocalWork::Nothing => Ok(call),
+        LocalWork::Running => {
             let refusal = Refusal::running(
                 &call.request,
-                "the key's work is running here; come back with the key",
+                "the key's work is running on this instance; retry with the key",
             );
             log_refusal(entry, &refusal);
             Err(Box::new(respond::refused(entry, &refusal)))
         }
-        KnownWork::OtherBody => {
+        LocalWork::OtherBody => {
             let detail = "the key was used for another body";
             Err(Box::new(refuse(entry, call, ReasonCode::KeyReused, detail)))
         }
-        KnownWork::Finished(answer) => Err(Box::new(replay(entry, &answer, is_stream))),
+        LocalWork::Finished(answer) => Err(Box::new(replay(entry, &answer, is_stream))),
     }
 }
 
-fn known_work(entry: &EntryState, keyed: &KeyedBody) -> KnownWork {
+fn local_work(entry: &EntryState, keyed: &KeyedBody) -> LocalWork {
     match entry.answers.state(&keyed.key.digest) {
-        KeyState::Absent | KeyState::NotRun => KnownWork::Nothing,
-        KeyState::Running => KnownWork::Running,
+        KeyState::Absent | KeyState::NotRun => LocalWork::Nothing,
+        KeyState::Running => LocalWork::Running,
         KeyState::Finished(answer) if answer.body_digest != keyed.body_digest => {
-            KnownWork::OtherBody
+            LocalWork::OtherBody
         }
-        KeyState::Finished(answer) => KnownWork::Finished(answer),
+        KeyState::Finished(answer) => LocalWork::Finished(answer),
     }
 }
 
-fn known_or_unknown(
+fn respond_or_unknown(
     entry: &EntryState,
     known: Result<Call, Box<Response<Body>>>,
     detail: &str,
@@ -390,19 +395,19 @@
     }
 }
 
-pub(super) fn replay(entry: &EntryState, answer: &KeptAnswer, is_stream: bool) -> Response<Body> {
+pub(super) fn replay(entry: &EntryState, answer: &StoredAnswer, is_stream: bool) -> Response<Body> {
     if is_stream && let Ok(whole) = serde_json::from_slice::<CompletionResponse>(&answer.body) {
         let response = sse::replay(&whole.id, &whole.tokens);
         return respond::finished(entry, &whole.id, response);
     }
-    respond::kept(entry, answer)
+    respond::stored(entry, answer)
 }
 
 fn refuse_claim(entry: &EntryState, call: Call, refusal: ClaimRefusal) -> Response<Body> {
     let (reason, detail) = match refusal {
         ClaimRefusal::Unavailable => (
             ReasonCode::ClaimUnavailable,
-            "the platform can't be reached to claim the key; come back with the key later, or with this ticket as the key now, and then with the ticket alone",
+            "the platform can't be reached to claim the key; retry with the key later, or with this ticket as the key now, and from then on with the ticket only",
         ),
         ClaimRefusal::Full => (
             ReasonCode::Overloaded,
@@ -426,22 +431,24 @@
     respond::refused(entry, &refusal)
 }
 
-/// What became of the key's earlier work can't be said.
+/// Responds that the outcome of the key's earlier work is unknown.
 pub(super) fn unknown(entry: &EntryState, call: Call, detail: &str) -> Response<Body> {
     let refusal = call.unknown(entry, ReasonCode::OwnerGone, detail);
     respond::refused(entry, &refusal)
 }
 
 impl KeyedBody {
-    /// Reads the key of a call and digests its body.
-    pub(super) fn read(call: &Call) -> Result<Self, ClaimKeyError> {
+    /// Parses the key of a call and computes the digest of its body.
+    ///
+    /// For calls of services the digest covers the method, service and path too.
+    pub(super) fn parse(call: &Call) -> Result<Self, ClaimKeyError> {
         let key = call.key.as_deref().unwrap_or_default();
         let window_ms = call.snapshot.table.config().policy.key_window_ms;
         let mut hash = Sha256::new();
         if let Some((service, path)) = &call.service {
             hash.update(format!("{}\0{service}\0{path}\0", call.method));
         }
-        hash.update(whole_body(call));
+        hash.update(canonical_body(call));
         Ok(Self {
             key: ClaimKey::parse(&call.account, key, now_ms(), window_ms)?,
             body_digest: hex::encode(hash.finalize()),
--- a/crates/rookferry_entry/src/http/operators.rs
+++ b/crates/rookferry_entry/src/http/operators.rs
@@ -1,4 +1,5 @@
-//! What operators ask an instance.
+//! Handlers of the operators' interface: health, metrics, status, configuration,
+//! fleet, and decision records.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,7 +21,7 @@
 use crate::entry::EntryState;
 use crate::peers;
 
-/// What an instance says about itself and its peers.
+/// Body of `/v1/status`.
 #[derive(Serialize)]
 struct Status {
     instance: String,
@@ -83,7 +84,7 @@
     )
 }
 
-/// The engines, for the controller beside this instance.
+/// Serves `/v1/fleet`: the engines, for the controller.
 pub(super) async fn fleet(entry: Arc<EntryState>, _inbound: InboundRequest) -> Response<Body> {
     let snapshot = entry.snapshot.load();
     let engines = snapshot.fleet.engines().iter();
@@ -99,7 +100,8 @@
     json_response(StatusCode::OK, &engines)
 }
 
-/// Any instance may be asked; the one named in the id answers.
+/// Serves `/v1/decisions/{request_id}`. Any instance can be asked: it fetches the
+/// record from the instance that the id names.
 pub(super) async fn decision(entry: Arc<EntryState>, inbound: InboundRequest) -> Response<Body> {
     let id = inbound
         .strip_path_prefix("/v1/decisions/")
@@ -110,8 +112,8 @@
     }
     let instance = id.rsplit_once('.').map_or("", |(instance, _)| instance);
     if *instance == *entry.instance {
-        return not_kept(&format!(
-            "{instance} keeps no record of {id}: it is too old, or from an earlier run"
+        return no_record(&format!(
+            "{instance} has no record of {id}: it is too old, or from an earlier incarnation"
         ));
     }
     let addr = {
@@ -121,23 +123,23 @@
             .map(|member| member.heartbeat.peer_addr)
     };
     let Some(addr) = addr else {
-        return not_kept(&format!(
-            "{instance:?}, which decided, is not known here; it may be gone"
+        return no_record(&format!(
+            "{instance:?}, which handled the request, is not known here; it may have left"
         ));
     };
     let request = PeerRequest::Decision {
         request_id: id.as_str().into(),
     };
-    match peers::ask(&entry, addr, &request).await {
+    match peers::send_request(&entry, addr, &request).await {
         Ok(PeerResponse::Decision { record }) => {
             let value: serde_json::Value = serde_json::from_str(&record).unwrap_or_default();
             json_response(StatusCode::OK, &value)
         }
-        Ok(_) => not_kept(&format!(
-            "{instance} keeps no record of {id}: it is too old, or from an earlier run"
+        Ok(_) => no_record(&format!(
+            "{instance} has no record of {id}: it is too old, or from an earlier incarnation"
         )),
-        Err(error) => not_kept(&format!(
-            "{instance}, which decided, does not answer: {error}"
+        Err(error) => no_record(&format!(
+            "{instance}, which handled the request, does not respond: {error}"
         )),
     }
 }
@@ -204,7 +206,7 @@
     engines.collect()
 }
 
-fn not_kept(reason: &str) -> Response<Body> {
+fn no_record(reason: &str) -> Response<Body> {
     json_response(
         StatusCode::NOT_FOUND,
         &serde_json::json!({ "explanation": reason }),
--- a/crates/rookferry_entry/src/peers/tcp.rs
+++ b/crates/rookferry_entry/src/peers/tcp.rs
@@ -1,8 +1,9 @@
-//! Requests between peers: one authenticated request a connection.
+//! Requests between peers over TCP: one authenticated request per connection.
 //!
-//! The asked instance sends a random number; the asker proves with it that it
-//! holds the site's secret, and sends its request in the same message. The
-//! site's network is trusted for secrecy, not for who speaks.
+//! The server sends a random nonce. The client proves with it that it holds the
+//! site's secret, and sends its request along with the proof. Messages are encoded
+//! with `postcard` after a 4-byte big-endian length. They aren't encrypted: the
+//! site's network is trusted for confidentiality, but not for authenticity.
 
 use std::io;
 use std::net::SocketAddr;
@@ -25,49 +26,49 @@
 use tokio::sync::Semaphore;
 
 use crate::entry::EntryState;
-use crate::http::serve_keyed;
+use crate::http::serve_forwarded;
 
 const NONCE_BYTES: usize = 32;
 const PROOF_BYTES: usize = 32;
 /// Largest message, above the platform's largest object.
 const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
-/// How long a peer may take for anything but running a request.
-const ASK_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a peer may take to run a request.
+/// Time limit of a peer request that doesn't run a call.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time limit of a peer request that runs a call.
 const RUN_TIMEOUT: Duration = Duration::from_mins(1);
-/// Peers served at once.
+/// Most connections of peers served at once.
 const MAX_PEERS: usize = 256;
 
-/// Why a peer gave no answer.
+/// Why a peer request failed.
 #[derive(Debug, Snafu)]
 pub(crate) enum PeerError {
     /// The connection failed.
-    #[snafu(display("peer connection: {source}"))]
+    #[snafu(display("connection to the peer failed: {source}"))]
     Connection { source: io::Error },
-    /// It took too long.
-    #[snafu(display("peer did not answer in time"))]
+    /// The peer didn't respond in time.
+    #[snafu(display("peer did not respond in time"))]
     TimedOut,
-    /// The message can't be read.
-    #[snafu(display("peer message: {source}"))]
+    /// A message can't be encoded or decoded.
+    #[snafu(display("invalid peer message: {source}"))]
     Message { source: postcard::Error },
 }
 
 impl PeerError {
-    /// Whether nothing listens at the peer's address.
+    /// Whether the connection was refused: no process listens at the peer's address.
     pub(crate) fn is_refused(&self) -> bool {
         matches!(self, Self::Connection { source } if source.kind() == io::ErrorKind::ConnectionRefused)
     }
 }
 
-/// Asks a peer.
-pub(crate) async fn ask(
+/// Sends a request to a peer and waits for its response.
+pub(crate) async fn send_request(
     entry: &EntryState,
     addr: SocketAddr,
     request: &PeerRequest,
 ) -> Result<PeerResponse, PeerError> {
     let wait = match request {
         PeerRequest::Run(_) => RUN_TIMEOUT,
-        _ => ASK_TIMEOUT,
+        _ => REQUEST_TIMEOUT,
     };
     let Ok(answer) = tokio::time::timeout(wait, exchange(entry, addr, request)).await else {
         return Err(PeerError::TimedOut);
@@ -105,7 +106,7 @@
         let entry = entry.clone();
         tokio::spawn(async move {
             let _permit = permit;
-            if let Err(error) = serve_one(&entry, stream).await {
+            if let Err(error) = serve_connection(&entry, stream).await {
                 debug!(entry.log, "tcp::serve: request dropped";
                     "part" => "peers", "source" => %source, "error" => %error);
             }
@@ -113,11 +114,12 @@
     }
 }
 
-async fn serve_one(entry: &Arc<EntryState>, mut stream: TcpStream) -> Result<(), PeerError> {
-    let Ok(request) = tokio::time::timeout(ASK_TIMEOUT, receive(entry, &mut stream)).await else {
+async fn serve_connection(entry: &Arc<EntryState>, mut stream: TcpStream) -> Result<(), PeerError> {
+    let Ok(request) = tokio::time::timeout(REQUEST_TIMEOUT, receive(entry, &mut stream)).await
+    else {
         return Err(PeerError::TimedOut);
     };
-    let answer = answer(entry, request?).await;
+    let answer = respond(entry, request?).await;
     write_message(&mut stream, &answer).await
 }
 
@@ -136,7 +138,7 @@
     read_message(stream).await
 }
 
-async fn answer(entry: &Arc<EntryState>, request: PeerRequest) -> PeerResponse {
+async fn respond(entry: &Arc<EntryState>, request: PeerRequest) -> PeerResponse {
     match request {
         PeerRequest::Config { above } => {
             let (version, body) = entry.config.body();
@@ -148,7 +150,7 @@
                 body: body.to_string(),
             }
         }
-        PeerRequest::Instances => PeerResponse::Instances(entry.known.list()),
+        PeerRequest::Instances => PeerResponse::Instances(entry.registry.list()),
         PeerRequest::Decision { request_id } => {
             let record = entry.decisions.get(&request_id);
             let record = record.and_then(|record| serde_json::to_string(&*record).ok());
@@ -163,10 +165,13 @@
             window_ms,
         } => {
             let key = ClaimKey { digest, object };
-            let reply = entry.claims.claim_here(&key, claim, window_ms, true).await;
+            let reply = entry
+                .claims
+                .claim_locally(&key, claim, window_ms, true)
+                .await;
             PeerResponse::Claim(reply)
         }
-        PeerRequest::Run(call) => serve_keyed(entry, call).await,
+        PeerRequest::Run(call) => serve_forwarded(entry, call).await,
     }
 }
 
--- a/crates/rookferry_entry/src/runner.rs
+++ b/crates/rookferry_entry/src/runner.rs
@@ -1,6 +1,8 @@
-//! Runs a stream: carries out what its driver asks for.
+//! Runs a stream: carries out the actions of its [`StreamDriver`].
 //!
-//! The driver in the core decides; this part sends, waits, and reports back.
+//! The driver in the core decides what happens next; this module does the I/O. It
+//! opens attempts and sends steps to engines, picks replacements for lost engines,
+//! passes tokens to a [`TokenSink`], and feeds the results back as events.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -33,54 +35,57 @@
 use slog::info;
 use tokio::sync::watch;
 
-use crate::admission::StreamNeed;
+use crate::admission::StreamRequirements;
 use crate::admission::StreamSlots;
 use crate::entry::EntryState;
-use crate::quarantine::Server;
+use crate::quarantine::ProbedServer;
 
-/// Pauses before engines that were lost are tried again, doubled each time and
-/// back to the shortest with the next token.
+/// Bounds of the pause before lost engines are tried again. It doubles each time,
+/// and is reset to the minimum by the next token.
 const MIN_REPLACE_PAUSE: Duration = Duration::from_millis(25);
 const MAX_REPLACE_PAUSE: Duration = Duration::from_millis(800);
 
-/// Takes the tokens of a stream.
+/// Consumer of a stream's tokens.
 pub(crate) trait TokenSink: Send + Sync {
-    /// The next token.
+    /// Called with each token in order; `index` counts from 0.
     fn token(&mut self, index: u32, token: u64);
 }
 
 /// Why a stream didn't finish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum StreamEnd {
-    /// The driver gave it up.
+pub(crate) enum StreamError {
+    /// The driver abandoned it.
     Abandoned(AbandonReason),
     /// Its deadline passed.
     Deadline,
-    /// Its caller went away.
+    /// Its caller disconnected.
     CallerGone,
-    /// Engines ended each time that they ran it.
-    Held,
+    /// It is quarantined, since engines crashed each time that they ran it.
+    Quarantined,
 }
 
-/// One stream under way.
+/// One active stream.
 pub(crate) struct StreamRun<'a> {
     pub(crate) entry: &'a Arc<EntryState>,
     pub(crate) driver: &'a mut StreamDriver,
-    pub(crate) need: &'a StreamNeed,
+    pub(crate) requirements: &'a StreamRequirements,
     pub(crate) slots: StreamSlots,
     pub(crate) sink: &'a mut dyn TokenSink,
-    /// Turns true when nobody wants the stream any more.
+    /// Becomes true when the caller no longer needs the stream.
     pub(crate) cancelled: watch::Receiver<bool>,
-    /// How far it has come since its chain last changed.
+    /// Progress since its chain last changed.
     progress: RunProgress,
-    lost: Vec<EngineId>,
+    /// Engines not to be chosen as the next replacement.
+    lost_engines: Vec<EngineId>,
     replace_pause: Duration,
-    used: Vec<EngineId>,
-    /// Engines that hold the stream; others get it only while they stay.
-    opened: Vec<EngineId>,
+    /// Engines that may hold state of the stream, to be cancelled at its end.
+    used_engines: Vec<EngineId>,
+    /// Engines that have opened the stream; they are used even while they leave.
+    opened_engines: Vec<EngineId>,
     run: RunId,
-    /// When it first came to each engine.
-    joined: BTreeMap<EngineId, Instant>,
+    /// When the stream was first sent to each engine.
+    first_sent_at: BTreeMap<EngineId, Instant>,
+    /// Each chain that the stream ran on, in order.
     chains: Vec<Vec<EngineId>>,
 }
 
@@ -88,12 +93,12 @@
     pub(crate) fn new(
         entry: &'a Arc<EntryState>,
         driver: &'a mut StreamDriver,
-        need: &'a StreamNeed,
+        requirements: &'a StreamRequirements,
         slots: StreamSlots,
         sink: &'a mut dyn TokenSink,
         cancelled: watch::Receiver<bool>,
     ) -> Self {
-        let used: Vec<EngineId> = driver
+        let used_engines: Vec<EngineId> = driver
             .stages()
             .iter()
             .map(|stage| stage.engine.clone())
@@ -101,39 +106,39 @@
         Self {
             entry,
             driver,
-            need,
+            requirements,
             slots,
             sink,
             cancelled,
             progress: RunProgress::Begun,
-            lost: Vec::new(),
+            lost_engines: Vec::new(),
             replace_pause: MIN_REPLACE_PAUSE,
-            chains: vec![used.clone()],
-            used,
-            opened: Vec::new(),
+            chains: vec![used_engines.clone()],
+            used_engines,
+            opened_engines: Vec::new(),
             run: rand::random(),
-            joined: BTreeMap::new(),
+            first_sent_at: BTreeMap::new(),
         }
     }
 
-    /// Runs the stream to its end and frees its engines; returns each chain
-    /// that it ran on.
-    pub(crate) async fn run(mut self) -> (Result<(), StreamEnd>, Vec<Vec<EngineId>>) {
+    /// Runs the stream to its end and cancels it on its engines; returns each
+    /// chain that it ran on.
+    pub(crate) async fn run(mut self) -> (Result<(), StreamError>, Vec<Vec<EngineId>>) {
         let mut cancelled = self.cancelled.clone();
-        let deadline = self.need.deadline;
+        let deadline = self.requirements.deadline;
         let result = tokio::select! {
             result = self.drive() => result,
-            () = clock::sleep_until(deadline) => Err(StreamEnd::Deadline),
-            _ = cancelled.wait_for(|is_cancelled| *is_cancelled) => Err(StreamEnd::CallerGone),
+            () = clock::sleep_until(deadline) => Err(StreamError::Deadline),
+            _ = cancelled.wait_for(|is_cancelled| *is_cancelled) => Err(StreamError::CallerGone),
         };
-        // Whoever took the stream over still needs it on the engines.
-        if result != Err(StreamEnd::Abandoned(AbandonReason::TakenOver)) {
-            self.free_engines();
+        // An instance that took the stream over still needs it on the engines.
+        if result != Err(StreamError::Abandoned(AbandonReason::TakenOver)) {
+            self.cancel_on_engines();
         }
         (result, self.chains)
     }
 
-    async fn drive(&mut self) -> Result<(), StreamEnd> {
+    async fn drive(&mut self) -> Result<(), StreamError> {
         let mut actions = self.driver.start();
         loop {
             let mut opens = Vec::new();
@@ -150,31 +155,35 @@
                         self.sink.token(index, token);
                     }
                     StreamAction::Replace { layers, lost } => {
-                        if !self.entry.may_run_again(self.need.signature).await {
-                            return Err(StreamEnd::Held);
+                        if !self
+                            .entry
+                            .is_retry_allowed(self.requirements.signature)
+                            .await
+                        {
+                            return Err(StreamError::Quarantined);
                         }
                         self.progress = RunProgress::Begun;
                         events.push(self.replace(layers, lost).await);
                     }
                     StreamAction::Finish => return Ok(()),
-                    StreamAction::Abandon { reason } => return Err(StreamEnd::Abandoned(reason)),
+                    StreamAction::Abandon { reason } => return Err(StreamError::Abandoned(reason)),
                 }
             }
             let now = clock::now();
             for (engine, _) in &opens {
-                self.joined.entry(engine.clone()).or_insert(now);
+                self.first_sent_at.entry(engine.clone()).or_insert(now);
             }
             let answers = self.open_all(opens).await;
-            self.note_opened(&answers);
+            self.record_opened(&answers);
             events.extend(answers);
             actions = Vec::new();
             for event in events {
                 actions.extend(self.driver.on_event(event));
             }
             if actions.is_empty() {
-                // Each answer is awaited above, so that the driver always has
-                // something to do until it ends.
-                return Err(StreamEnd::Abandoned(AbandonReason::NotHeld));
+                // Each response is awaited above, so that the driver always has an
+                // action until the stream ends.
+                return Err(StreamError::Abandoned(AbandonReason::NotHeld));
             }
         }
     }
@@ -220,43 +229,44 @@
                 {
                     stats.record_loss();
                 }
-                info!(self.entry.log, "stream: step lost";
+                info!(self.entry.log, "stream: no result for a step";
                     "part" => "stream", "stream" => %self.driver.stream(), "engine" => %engine, "error" => %error);
                 if matches!(error, ClientError::Broken { .. }) || error.is_connection_refused() {
-                    self.broke_at(&engine);
+                    self.report_broken_run(&engine);
                 }
                 StageEvent::Lost { engine, attempt }
             }
         }
     }
 
-    /// Its run broke at an engine.
-    fn broke_at(&self, engine: &EngineId) {
+    /// Reports that the run's connection to an engine broke, so that the engine is
+    /// probed for a crash.
+    fn report_broken_run(&self, engine: &EngineId) {
         let snapshot = self.entry.snapshot.load();
         let Some(known) = snapshot.fleet.engine(engine) else {
             return;
         };
-        let server = Server::Engine {
+        let server = ProbedServer::Engine {
             engine: engine.clone(),
             incarnation: known.info.incarnation,
             addr: known.addr,
         };
-        let joined_at = self.joined.get(engine).copied();
+        let joined_at = self.first_sent_at.get(engine).copied();
         let joined_at = joined_at.unwrap_or_else(clock::now);
         let run = BrokenRun {
-            signature: self.need.signature,
+            signature: self.requirements.signature,
             request: self.driver.stream().to_string(),
             crash: RunCrash {
                 server: server.key(),
                 run: self.run,
                 progress: self.progress,
                 joined_at,
-                // It took the stream.
+                // It was alive then: it accepted the stream.
                 alive_at: joined_at,
                 at: clock::now(),
             },
         };
-        self.entry.run_broke(run, server);
+        self.entry.record_broken_run(run, server);
     }
 
     async fn open_all(&self, opens: Vec<(EngineId, AttemptRequest)>) -> Vec<StageEvent> {
@@ -271,9 +281,9 @@
         let Some(addr) = self.addr(&engine) else {
             return StageEvent::Lost { engine, attempt };
         };
-        // The choice may be older than the word that the engine leaves.
-        if !self.opened.contains(&engine) && self.is_leaving(&engine) {
-            info!(self.entry.log, "stream: an engine left before it was asked";
+        // The engine may have started leaving after it was chosen.
+        if !self.opened_engines.contains(&engine) && self.is_leaving(&engine) {
+            info!(self.entry.log, "stream: engine is leaving; attempt not opened";
                 "part" => "stream", "engine" => %engine);
             return StageEvent::Lost { engine, attempt };
         }
@@ -297,10 +307,10 @@
         }
     }
 
-    fn note_opened(&mut self, answers: &[StageEvent]) {
+    fn record_opened(&mut self, answers: &[StageEvent]) {
         for answer in answers {
             if let StageEvent::Opened { engine, .. } = answer {
-                self.opened.push(engine.clone());
+                self.opened_engines.push(engine.clone());
             }
         }
     }
@@ -311,44 +321,50 @@
         known.is_some_and(|engine| engine.state == EngineState::Leaving)
     }
 
-    /// Looks for other engines until there are some or the time is over.
+    /// Searches for engines that can take over the layers of a lost one, until some
+    /// are found; the caller's deadline ends the search.
     async fn replace(&mut self, layers: LayerRange, lost: EngineId) -> StageEvent {
         self.slots.remove(&lost);
-        self.lost.push(lost);
+        self.lost_engines.push(lost);
         loop {
-            let stages = self.other_engines(layers);
+            let stages = self.choose_replacements(layers);
             if !stages.is_empty() {
                 let snapshot = self.entry.snapshot.load_full();
                 self.slots.add(&snapshot.fleet, &stages);
-                self.used
+                self.used_engines
                     .extend(stages.iter().map(|stage| stage.engine.clone()));
-                self.note_chain(layers, &stages);
+                self.record_chain(layers, &stages);
                 return StageEvent::Replaced { stages };
             }
-            // An engine that was lost may have come back, empty.
-            self.lost.clear();
+            // A lost engine may have restarted, with an empty cache.
+            self.lost_engines.clear();
             tokio::time::sleep(self.replace_pause).await;
             self.replace_pause = (self.replace_pause * 2).min(MAX_REPLACE_PAUSE);
         }
     }
 
-    fn other_engines(&self, layers: LayerRange) -> Vec<Stage> {
+    fn choose_replacements(&self, layers: LayerRange) -> Vec<Stage> {
         let snapshot = self.entry.snapshot.load();
-        let Some(graph) = snapshot.fleet.graph(&self.need.pool, &self.need.model) else {
+        let Some(graph) = snapshot
+            .fleet
+            .graph(&self.requirements.pool, &self.requirements.model)
+        else {
             return Vec::new();
         };
-        // The stage that is replaced may go to its own engine again, once that
-        // is no longer excluded: it may be the only one to come back.
-        let kept = self.kept_stages(layers).map(|stage| stage.engine.clone());
-        let waiting = self.entry.admission.backed_off(&snapshot).into_iter();
-        let waiting = waiting.map(|(engine, _)| engine);
-        let lost = self.lost.iter().cloned();
-        let excluded: Vec<EngineId> = lost.chain(kept).chain(waiting).collect();
+        // Once it is no longer excluded, the replaced engine itself may be chosen:
+        // it may be the only one that comes back.
+        let kept = self
+            .stages_outside(layers)
+            .map(|stage| stage.engine.clone());
+        let backing_off = self.entry.admission.backed_off(&snapshot).into_iter();
+        let backing_off = backing_off.map(|(engine, _)| engine);
+        let lost = self.lost_engines.iter().cloned();
+        let excluded: Vec<EngineId> = lost.chain(kept).chain(backing_off).collect();
         let request = ChainRequest {
             layers,
             excluded: &excluded,
             cached: &[],
-            seed: self.need.seed,
+            seed: self.requirements.seed,
             ignores_limit: true,
         };
         let policy = &snapshot.table.config().policy;
@@ -358,8 +374,8 @@
         chosen.stages
     }
 
-    fn note_chain(&mut self, layers: LayerRange, stages: &[Stage]) {
-        let kept = self.kept_stages(layers);
+    fn record_chain(&mut self, layers: LayerRange, stages: &[Stage]) {
+        let kept = self.stages_outside(layers);
         let mut chain: Vec<&Stage> = kept.chain(stages).collect();
         chain.sort_by_key(|stage| stage.layers);
         self.chains.push(
@@ -370,8 +386,8 @@
         );
     }
 
-    /// The stages beside those that hold the given layers.
-    fn kept_stages(&self, layers: LayerRange) -> impl Iterator<Item = &Stage> {
+    /// The stages of the chain outside a range of layers.
+    fn stages_outside(&self, layers: LayerRange) -> impl Iterator<Item = &Stage> {
         let stages = self.driver.stages().iter();
         stages.filter(move |stage| {
             stage.layers.end <= layers.start || stage.layers.start >= layers.end
@@ -393,27 +409,27 @@
         snapshot.fleet.engine(engine).map(|engine| engine.addr)
     }
 
-    /// Tells each engine that ever held the stream to drop it.
-    fn free_engines(&self) {
+    /// Cancels the stream on each engine that was ever part of its chain.
+    fn cancel_on_engines(&self) {
         let request = CancelRequest {
             stream: self.driver.stream(),
             attempt: self.driver.attempt(),
         };
-        for engine in &self.used {
+        for engine in &self.used_engines {
             let Some(addr) = self.addr(engine) else {
                 continue;
             };
             let entry = self.entry.clone();
             tokio::spawn(async move {
-                // Engines drop streams that nobody steps, if this is lost.
+                // If this is lost, engines drop streams that get no more steps.
                 let _ = entry.engines.cancel(addr, request).await;
             });
         }
     }
 }
 
-/// Sends steps to engines; a border of its own, so that steps of many streams
-/// can share a message.
+/// Sends steps to engines. It is separate from [`StreamRun`] so that steps of many
+/// streams can be batched into one message.
 pub(crate) struct StepSender {
     engines: Arc<dyn rookferry_net::EngineTransport>,
 }
@@ -435,7 +451,7 @@
         let result = answer.results.into_iter().next();
         result.ok_or_else(|| rookferry_net::ClientError::Decode {
             addr,
-            message: "no result for the step".to_owned(),
+            message: "the response has no result for the step".to_owned(),
         })
     }
 }
