--- a/crates/rookferry_experiment/src/bench.rs
+++ b/crates/rookferry_experiment/src/bench.rs
@@ -1,5 +1,5 @@
-//! A site at today's size: stand-ins and entry instances, each instance with
-//! threads of its own.
+//! A site for the experiments: stand-ins and entry instances in this process. Each
+//! instance has its own runtime, whose thread names identify its CPU time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -37,13 +37,13 @@
 
 pub(crate) const LAYERS: u16 = 12;
 pub(crate) const DOMAINS: usize = 3;
-/// Client accounts: a few large ones among small ones.
+/// Shares of the client accounts in the load: two large accounts, four small ones.
 pub(crate) const ACCOUNT_SHARES: [f64; 6] = [8.0, 4.0, 1.0, 1.0, 1.0, 1.0];
 const STAGES: u16 = 3;
 const CALL: Duration = Duration::from_secs(5);
 const PATIENCE: Duration = Duration::from_mins(1);
 
-/// One kind of accelerator: its step time and its link.
+/// A kind of accelerator: its step time and the one-way delay of its link.
 #[derive(Clone, Copy)]
 pub(crate) struct Kind {
     name: &'static str,
@@ -51,7 +51,7 @@
     link_us: u64,
 }
 
-/// Three kinds, on links that differ a hundredfold.
+/// Three kinds of accelerators; their link delays differ by a factor of 100.
 pub(crate) const KINDS: [Kind; 3] = [
     Kind {
         name: "large",
@@ -70,16 +70,17 @@
     },
 ];
 
-/// One instance with its own threads.
+/// An entry instance with its own runtime.
 pub(crate) struct BenchEntry {
     pub(crate) addrs: EntryAddrs,
+    /// Prefix of the names of its threads.
     pub(crate) threads: String,
     runtime: Option<Runtime>,
     entry: Option<Entry>,
 }
 
 impl BenchEntry {
-    /// Ends it at once, as a kill would: its connections break.
+    /// Stops the instance abruptly, as a kill does; its connections break.
     pub(crate) fn kill(&mut self) {
         self.entry = None;
         if let Some(runtime) = self.runtime.take() {
@@ -100,11 +101,11 @@
     pub(crate) engines: Vec<EngineConfig>,
     pub(crate) entries: Vec<BenchEntry>,
     pub(crate) client: HttpClient,
-    /// Runs stand-ins and load.
+    /// Runs the stand-ins and the load.
     pub(crate) runtime: Runtime,
 }
 
-/// Engines of the three kinds over three stages and three domains.
+/// Engines spread over three stages, three kinds of accelerators and three domains.
 pub(crate) fn engines(count: usize) -> Vec<EngineConfig> {
     let numbers = 0..count;
     numbers
@@ -136,7 +137,7 @@
         .collect()
 }
 
-/// Tokens a second that the engines can generate at most, prefill aside.
+/// Upper bound of the tokens per second that the engines can generate; ignores prefill.
 pub(crate) fn bound(engines: &[EngineConfig]) -> u64 {
     let rated: Vec<RatedEngine> = engines
         .iter()
@@ -152,6 +153,7 @@
     format!("key of account {number}")
 }
 
+/// A configuration with the given policy, one model and one plain service.
 pub(crate) fn config(policy: &Value) -> Value {
     let accounts = (0..ACCOUNT_SHARES.len()).map(|number| {
         let digest = hex::encode(Sha256::digest(account_key(number).as_bytes()));
@@ -170,13 +172,14 @@
 }
 
 impl Bench {
-    /// Starts stand-ins and instances, and waits until each sees the site.
+    /// Starts stand-ins and instances, and waits until each instance knows all engines
+    /// and members.
     pub(crate) fn start(engines: Vec<EngineConfig>, entries: usize) -> Self {
         Self::start_cut(engines, entries, 0)
     }
 
-    /// Likewise, with all but the first `with_platform` instances of each
-    /// domain cut from the platform; 0 cuts none.
+    /// As `start`, but only the first `with_platform` instances of each domain can reach
+    /// the platform; with 0, all can.
     pub(crate) fn start_cut(
         engines: Vec<EngineConfig>,
         entries: usize,
@@ -189,7 +192,7 @@
                 "instance": format!("app-{number}"), "listen": "127.0.0.1:0",
                 "failure_domain": format!("domain-{number}"), "labels": {"app": "flags"}, "call_us": 500,
             });
-            serde_json::from_value(app).expect("an application engine")
+            serde_json::from_value(app).expect("invalid configuration of an application engine")
         };
         let spec = SiteSpec {
             platform: Some(PlatformConfig {
@@ -200,7 +203,9 @@
             apps: (1..=DOMAINS).map(app).collect(),
             ..SiteSpec::default()
         };
-        let site = runtime.block_on(Site::start(spec)).expect("stand-ins");
+        let site = runtime
+            .block_on(Site::start(spec))
+            .expect("failed to start the stand-ins");
         let mut bench = Self {
             site,
             engines,
@@ -228,13 +233,14 @@
             "known_peers": known, "site_secret": "secret of the experiment",
             "platform": if is_cut { nowhere } else { platform },
         });
-        let settings = EntrySettings::from_json(&settings.to_string()).expect("settings");
+        let settings =
+            EntrySettings::from_json(&settings.to_string()).expect("invalid entry settings");
         let threads = format!("entry-{number}-");
         let runtime = runtime(&threads, 2);
         let log = Logger::root(slog::Discard, o!());
         let entry = runtime
             .block_on(Entry::start(settings, log))
-            .expect("an entry instance");
+            .expect("failed to start an entry instance");
         self.entries.push(BenchEntry {
             addrs: entry.addrs(),
             threads,
@@ -243,28 +249,30 @@
         });
     }
 
-    /// Writes a configuration with a policy; returns its version.
+    /// Applies a configuration with the given policy; returns its version.
     pub(crate) fn apply(&self, policy: &Value) -> u64 {
         self.runtime.block_on(self.put(config(policy)))
     }
 
+    /// Writes a configuration to the platform; returns its version.
     pub(crate) async fn put(&self, value: Value) -> u64 {
         let addr = self.site.addrs.platform.expect("a platform");
         let platform = HttpPlatform::new(self.client.clone(), addr);
         let current = platform
             .get(CONFIG_KIND, CONFIG_NAME)
             .await
-            .expect("the platform");
+            .expect("failed to read the configuration");
         let request = PutRequest {
             expected: current.map_or(0, |object| object.version),
             value,
         };
         match platform.put(CONFIG_KIND, CONFIG_NAME, request).await {
             Ok(PutResponse::Written { version }) => version,
-            other => panic!("not applied: {other:?}"),
+            other => panic!("failed to write the configuration: {other:?}"),
         }
     }
 
+    /// Active configuration version of an instance; 0 if it doesn't respond.
     pub(crate) async fn version_at(&self, entry: &BenchEntry) -> u64 {
         let status: Value = self
             .client
@@ -274,7 +282,7 @@
         status["version"].as_u64().unwrap_or(0)
     }
 
-    /// Waits until a version is in force on every instance.
+    /// Waits until a configuration version is active on every instance.
     pub(crate) fn wait_in_force(&self, version: u64) {
         self.runtime.block_on(async {
             for entry in &self.entries {
@@ -289,7 +297,10 @@
         let start = Instant::now();
         for entry in &self.entries {
             while !self.runtime.block_on(self.is_settled(entry)) {
-                assert!(start.elapsed() < PATIENCE, "the site never settled");
+                assert!(
+                    start.elapsed() < PATIENCE,
+                    "instances don't know all engines and members in time"
+                );
                 std::thread::sleep(Duration::from_millis(30));
             }
         }
@@ -309,7 +320,7 @@
         (engines == self.engines.len() || is_cut) && members + 1 == self.entries.len()
     }
 
-    /// A load of model calls over all instances and accounts.
+    /// A load plan over all instances and accounts, with Poisson arrivals.
     pub(crate) fn plan(&self, rate_per_s: f64, seconds: u64, mix: Mix) -> LoadPlan {
         let accounts = ACCOUNT_SHARES.iter().enumerate();
         LoadPlan {
@@ -349,5 +360,5 @@
         .thread_name(name)
         .enable_all()
         .build()
-        .expect("threads")
+        .expect("failed to start a runtime")
 }
--- a/crates/rookferry_experiment/src/claims.rs
+++ b/crates/rookferry_experiment/src/claims.rs
@@ -1,4 +1,6 @@
-//! Keyed calls a second, and the platform's writes that they cost.
+//! Cost of calls with idempotency keys: the platform reads and writes per call, the
+//! outcomes and the latency, at several request rates. The engines are fast and wide, so
+//! that they don't limit the rate.
 
 use std::time::Duration;
 
@@ -20,6 +22,7 @@
     keyed_calls_per_s: f64,
     writes_a_call: f64,
     reads_a_call: f64,
+    /// Platform calls refused because of its rate limits.
     turned_away: u64,
     correct: u64,
     not_run: u64,
@@ -72,6 +75,7 @@
     }
 }
 
+/// Call counters of the platform.
 async fn calls(bench: &Bench) -> Value {
     let addr = bench.site.addrs.platform.expect("a platform");
     bench
--- a/crates/rookferry_experiment/src/control.rs
+++ b/crates/rookferry_experiment/src/control.rs
@@ -1,5 +1,5 @@
-//! What control costs a node: an idle site of nine, and the slopes of the
-//! pure parts by members and engines up to the letter's size.
+//! Cost of the control plane: CPU, heartbeat bytes and platform reads of idle sites, and
+//! the time and memory of its computations by number of engines and of members.
 
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 use crate::process::cpu_of;
 use crate::process::resident_bytes;
 
-/// Instances and engines of the idle sites, for slopes by either.
+/// Instances and engines of the idle sites; each number varies while the other is fixed.
 const SITES: [(usize, usize); 3] = [(9, 38), (9, 114), (27, 38)];
 const ROUNDS: u32 = 200;
 const CALL: Duration = Duration::from_secs(5);
@@ -98,7 +98,8 @@
     }
 }
 
-/// All instances of this process count into one recorder.
+/// Heartbeat bytes sent by all instances, which share one metrics recorder in this
+/// process.
 async fn heartbeat_bytes(bench: &Bench) -> f64 {
     let addr = bench.entries[0].addrs.operators;
     let metrics = bench
@@ -118,6 +119,7 @@
     calls["reads"].as_f64().unwrap_or(0.0)
 }
 
+/// Synthetic engines over three stages, with one recorded step each.
 fn fleet_of(count: usize) -> Vec<Engine> {
     let addr = SocketAddr::from(([127, 0, 0, 1], 1));
     let numbers = 0..count;
@@ -153,7 +155,7 @@
 
 fn engine_slope(count: usize) -> EngineSlope {
     let text = config(&json!({})).to_string();
-    let config = SiteConfig::from_json(&text).expect("a configuration");
+    let config = SiteConfig::from_json(&text).expect("invalid configuration");
     let before = resident_bytes();
     let engines = fleet_of(count);
     let fleet = Fleet::new(&config, engines.clone());
@@ -161,7 +163,9 @@
     let rebuild_us = micros_each(ROUNDS / 10, || {
         black_box(Fleet::new(&config, engines.clone()));
     });
-    let graph = fleet.graph("main", "scribe").expect("a graph");
+    let graph = fleet
+        .graph("main", "scribe")
+        .expect("no graph for the pool and model");
     let chooser = chooser_for(ChooserKind::ExpectedFinish);
     let mut seed = 0;
     let choose_us = micros_each(ROUNDS, || {
@@ -224,6 +228,7 @@
     }
 }
 
+/// Mean duration of a call in microseconds.
 fn micros_each(rounds: u32, mut call: impl FnMut()) -> f64 {
     let start = Instant::now();
     for _ in 0..rounds {
--- a/crates/rookferry_experiment/src/main.rs
+++ b/crates/rookferry_experiment/src/main.rs
@@ -1,9 +1,9 @@
-//! Experiments that the figures on the project's pages come from.
+//! Performance experiments behind the figures in the documentation.
 //!
-//! Each starts stand-ins and entry instances in this process, every instance
-//! with threads of its own, so that its processor time can be told apart.
-//! Ratios within one run are meant to be compared; absolute times depend on
-//! the machine.
+//! Each experiment starts stand-ins and entry instances in this process, sends load and
+//! prints JSON. Every instance has its own named threads, so that its CPU time can be
+//! measured separately. Compare ratios within one run; absolute times depend on the
+//! machine.
 #![forbid(unsafe_code)]
 
 mod bench;
@@ -30,54 +30,54 @@
 
 #[derive(Debug, Subcommand)]
 enum Experiment {
-    /// Throughput as a share of the bound, beside the baselines.
+    /// Measures throughput as a share of the upper bound, for each routing policy.
     Policies {
-        /// How long each policy is loaded.
+        /// Duration of the load for each policy, in seconds.
         #[arg(long, default_value_t = 8)]
         seconds: u64,
-        /// Loads as multiples of the bound.
+        /// Loads, as multiples of the upper bound.
         #[arg(long, default_values_t = [0.9, 1.5])]
         load: Vec<f64>,
-        /// Policies, as the configuration names them.
+        /// Routing policies, by their names in the configuration.
         #[arg(long, default_values_t = policies::ALL.map(str::to_owned))]
         policy: Vec<String>,
-        /// Overcommitment of engines; the default's if absent.
+        /// Overcommitment of engines; if absent, the configuration's default.
         #[arg(long)]
         overcommit: Option<f64>,
     },
-    /// Time from a fault until the tokens a second are back.
+    /// Measures the time from a fault until throughput has recovered.
     Recovery {
-        /// How long each fault's load lasts.
+        /// Duration of the load for each fault, in seconds.
         #[arg(long, default_value_t = 12)]
         seconds: u64,
-        /// Only faults whose name holds this.
+        /// Runs only the faults whose name contains this text.
         #[arg(long)]
         only: Option<String>,
-        /// The floor of step timeouts; the default's if absent.
+        /// Minimum step timeout in milliseconds; if absent, the configuration's default.
         #[arg(long)]
         floor_ms: Option<u64>,
     },
-    /// Time from a configuration's acceptance until it is in force everywhere.
+    /// Measures the time until an accepted configuration is active on every instance.
     Spread {
-        /// Configurations applied.
+        /// Number of configurations to apply.
         #[arg(long, default_value_t = 100)]
         applies: u64,
     },
-    /// Time and processor time that an entry instance adds to a request.
+    /// Measures the latency and CPU time that an entry instance adds to a request.
     Overhead {
-        /// How long each load lasts.
+        /// Duration of each load, in seconds.
         #[arg(long, default_value_t = 6)]
         seconds: u64,
     },
-    /// What control costs a node, and its slopes by members and engines.
+    /// Measures the cost of the control plane, idle and by number of members and engines.
     Control {
-        /// How long the idle site is watched.
+        /// Duration of the measurement of each idle site, in seconds.
         #[arg(long, default_value_t = 10)]
         seconds: u64,
     },
-    /// Claims a second and writes that they cost.
+    /// Measures the store writes and latency of calls with idempotency keys.
     Claims {
-        /// How long keyed calls are sent.
+        /// Duration of the load at each rate, in seconds.
         #[arg(long, default_value_t = 6)]
         seconds: u64,
     },
--- a/crates/rookferry_experiment/src/overhead.rs
+++ b/crates/rookferry_experiment/src/overhead.rs
@@ -1,4 +1,7 @@
-//! What an entry instance adds to a request, in time and processor time.
+//! Latency and CPU time that an entry instance adds to a request.
+//!
+//! Compares steps sent straight to an engine with the time between tokens of streams
+//! through one instance, and measures its throughput per CPU core.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -26,9 +29,9 @@
 
 #[derive(Serialize)]
 struct Figures {
-    /// A step sent to the engine without an entry instance.
+    /// Duration of a step that is sent straight to the engine.
     direct_step_p50_us: f64,
-    /// The gap between tokens through an entry instance, over the stages.
+    /// Time between tokens through an entry instance, divided by the number of stages.
     gap_a_stage_p50_us: f64,
     added_a_step_us: f64,
     lookup_p50_us: f64,
@@ -74,7 +77,8 @@
     serde_json::to_value(figures).unwrap_or_default()
 }
 
-/// Three stages with room for all, so that the engines don't hold it up.
+/// One engine per stage, fast and with batches wide enough for all streams, so that the
+/// engines don't limit throughput.
 fn fast_engines() -> Vec<EngineConfig> {
     let mut engines = engines(3);
     for (engine, stage) in engines.iter_mut().zip(0_u16..) {
@@ -95,7 +99,7 @@
     bench.runtime.block_on(LoadRun::run(plan))
 }
 
-/// Median time of one-position steps straight to an engine.
+/// Median duration in microseconds of one-position steps sent straight to an engine.
 async fn direct(bench: &Bench) -> f64 {
     let transport = HttpEngineTransport::new(bench.client.clone());
     let addr = bench.site.addrs.engines["engine-00"];
--- a/crates/rookferry_experiment/src/policies.rs
+++ b/crates/rookferry_experiment/src/policies.rs
@@ -1,5 +1,5 @@
-//! Throughput as a share of the bound, for the product's policy and the
-//! baselines, in one run.
+//! Throughput as a share of its upper bound, for the default routing policy and the
+//! baseline policies, on the same site.
 
 use rookferry_standin::LoadReportOut;
 use rookferry_standin::LoadRun;
@@ -15,9 +15,9 @@
 
 const ENGINES: usize = 38;
 const ENTRIES: usize = 9;
-/// Mean tokens of an answer.
+/// Mean number of tokens of an answer.
 const ANSWER_TOKENS: f64 = 32.0;
-/// All policies, the product's first.
+/// All routing policies; the default first, then the baselines.
 pub(crate) const ALL: [&str; 4] = [
     "expected_finish",
     "least_outstanding",
@@ -45,7 +45,7 @@
     not_run: u64,
     unknown: u64,
     cut: u64,
-    /// The least share of its requests that an account got answered.
+    /// Lowest share of correct answers among the client accounts.
     least_account_share: f64,
 }
 
--- a/crates/rookferry_experiment/src/process.rs
+++ b/crates/rookferry_experiment/src/process.rs
@@ -1,13 +1,13 @@
-//! Processor time by thread name, and memory, as the system counts them.
+//! CPU time by thread name and resident memory of this process, from `/proc`.
 
 use std::fs;
 use std::time::Duration;
 
-/// Clock ticks a second in the system's counts.
+/// Clock ticks per second (`USER_HZ`) in `/proc`.
 const TICKS_PER_S: u64 = 100;
 const PAGE_BYTES: u64 = 4_096;
 
-/// Processor time of all threads whose name starts with a prefix.
+/// CPU time of all threads whose name starts with `prefix`.
 pub(crate) fn cpu_of(prefix: &str) -> Duration {
     let Ok(tasks) = fs::read_dir("/proc/self/task") else {
         return Duration::ZERO;
@@ -19,7 +19,7 @@
     Duration::from_millis(ticks.sum::<u64>() * 1_000 / TICKS_PER_S)
 }
 
-/// Resident memory of this process.
+/// Resident memory of this process; 0 if `/proc` can't be read.
 pub(crate) fn resident_bytes() -> u64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm
@@ -29,8 +29,9 @@
     pages.unwrap_or(0) * PAGE_BYTES
 }
 
-/// User and system ticks of a `stat` line whose thread name has the prefix.
+/// User and system ticks in a thread's `stat`, if its name starts with `prefix`.
 fn ticks_of(stat: &str, prefix: &str) -> Option<u64> {
+    // Position of `utime` among the fields after the thread name.
     const USER_FIELD: usize = 11;
     let (_, rest) = stat.split_once('(')?;
     let (name, rest) = rest.rsplit_once(')')?;
--- a/crates/rookferry_experiment/src/recovery.rs
+++ b/crates/rookferry_experiment/src/recovery.rs
@@ -1,5 +1,6 @@
-//! Time from a fault until the tokens a second are back at 95 in 100 of what
-//! they were, and the stall that a stream sees.
+//! Time from a fault until the tokens per second are back at 95 % of their mean before
+//! it, and the longest stall within a stream. Each fault has a fresh site and is injected
+//! in the middle of the load.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,16 +21,16 @@
 const ENGINES: usize = 38;
 const ENTRIES: usize = 9;
 const ANSWER_TOKENS: f64 = 32.0;
-/// Load as a share of the bound, so that the rest can take over.
+/// Load as a share of the upper bound; leaves the other engines capacity to take over.
 const LOAD: f64 = 0.5;
-/// Share of the tokens a second that counts as recovered.
+/// Share of the earlier tokens per second that counts as recovered.
 const RECOVERED: f64 = 0.95;
 
 #[derive(Serialize)]
 struct RunFigures {
     fault: String,
     recovery_ms: Option<u64>,
-    /// The longest gap between two tokens of an answer.
+    /// Longest time between two tokens of an answer.
     longest_stall_ms: f64,
     between_tokens_p99_ms: f64,
     correct: u64,
@@ -92,7 +93,7 @@
         let load = tokio::spawn(LoadRun::run(plan));
         tokio::time::sleep(Duration::from_millis(fault_at_ms)).await;
         killed.kill();
-        load.await.expect("the load")
+        load.await.expect("the load task panicked")
     });
     figures(
         "entry killed, the balancer goes on sending to it",
@@ -108,7 +109,7 @@
     };
     let rate_per_s = bound(&bench.engines) as f64 * LOAD / ANSWER_TOKENS;
     let mut plan = bench.plan(rate_per_s, seconds, mix);
-    // Chance in the load would drown the fault's part in the tokens a second.
+    // Random arrivals and lengths would mask the fault's effect on the throughput.
     plan.arrivals = Arrivals::Steady;
     plan.answer_tokens = (32, 32);
     plan
--- a/crates/rookferry_experiment/src/spread.rs
+++ b/crates/rookferry_experiment/src/spread.rs
@@ -1,4 +1,5 @@
-//! Time from a configuration's acceptance until it is in force on all nodes.
+//! Time from when the platform accepts a configuration until it is active on all
+//! instances, and how often an instance reports an older version than before.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,6 +21,7 @@
     applies: u64,
     median_ms: f64,
     worst_ms: f64,
+    /// Reads in which an instance reported an older version than before.
     reversals: u64,
 }
 
@@ -55,6 +57,8 @@
     }
 }
 
+/// Applies a configuration; returns the time until it is active everywhere, and the
+/// number of reversals.
 async fn apply_once(bench: &Bench, number: u64) -> (Duration, u64) {
     let mut value = config(&json!({}));
     value["routes"][0]["name"] = json!(format!("route-{number}"));
--- a/crates/rookferry_standin/src/admin.rs
+++ b/crates/rookferry_standin/src/admin.rs
@@ -1,4 +1,7 @@
-//! Faults on order, the same for every stand-in.
+//! Fault injection shared by all stand-ins.
+//!
+//! `POST /admin/fault` takes a `Fault`. The request handlers check the active faults in
+//! `FaultState` before and after their work.
 
 use std::io;
 use std::sync::Mutex;
@@ -19,29 +22,30 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-/// How long a stand-in that has ended is away.
+/// Time until a stand-in that crashed under `Fault::ends_under` is up again.
 pub(crate) const DOWN: Duration = Duration::from_millis(300);
 
-/// Faults of one stand-in; absent fields stay as they are.
+/// A change to the faults of one stand-in; absent fields keep their value.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Answers nothing until thawed, then goes on with what came meanwhile.
+    /// Suspends all processing until reset; requests received meanwhile are then
+    /// processed.
     pub frozen: Option<bool>,
-    /// Breaks every connection.
+    /// Breaks every connection; a model engine also loses its streams, as in a crash.
     pub dead: Option<bool>,
-    /// Delay of each message, both ways.
+    /// Delay before a call is processed; model engines also delay the response.
     pub delay_ms: Option<u64>,
-    /// Performs this many calls and then loses their answers.
+    /// Number of writes, step requests or service calls that are performed but whose
+    /// connection breaks before the response.
     pub lose_answers: Option<u32>,
-    /// Says that it leaves.
+    /// Model engines only: reports that it is leaving, and refuses new streams.
     pub leaving: Option<bool>,
-    /// Refuses the next calls with 503 and this `Retry-After`.
+    /// `Retry-After` value of the 503 responses that `refusals` counts.
     pub retry_after: Option<String>,
-    /// How many calls it refuses so.
+    /// Number of calls to refuse with 503 and `retry_after`.
     pub refusals: Option<u32>,
-    /// Ends when it begins to run work with this text in it, and is back after
-    /// a while.
+    /// Crashes when it starts work that contains this text, and restarts 300 ms later.
     pub ends_under: Option<String>,
 }
 
@@ -54,12 +58,12 @@
     is_leaving: bool,
     retry_after: Option<String>,
     refusals: u32,
-    /// Calls that came since it last refused one so.
+    /// Calls received since the last refusal with `retry_after`.
     calls_since: Option<u32>,
     ends_under: Option<String>,
 }
 
-/// The faults in force.
+/// Active faults of a stand-in.
 #[derive(Debug, Default)]
 pub struct FaultState {
     faults: Mutex<Faults>,
@@ -67,7 +71,7 @@
 }
 
 impl FaultState {
-    /// Puts faults in force.
+    /// Applies a change and wakes suspended calls.
     pub fn apply(&self, fault: &Fault) {
         {
             let mut faults = self.lock();
@@ -88,19 +92,19 @@
         self.changed.notify_waiters();
     }
 
-    /// Whether connections break.
+    /// Whether every connection is to be broken.
     #[must_use]
     pub fn is_dead(&self) -> bool {
         self.lock().is_dead
     }
 
-    /// Whether it says that it leaves.
+    /// Whether the stand-in reports that it is leaving.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.lock().is_leaving
     }
 
-    /// Whether the stand-in ends under work with some bytes in it.
+    /// Whether this work crashes the stand-in, because it contains the configured text.
     #[must_use]
     pub fn ends_under(&self, work: &[u8]) -> bool {
         let faults = self.lock();
@@ -108,7 +112,7 @@
         text.is_some_and(|text| work.windows(text.len()).any(|part| part == text))
     }
 
-    /// Counts a call; gives the refusal with a backoff, if it gets one.
+    /// Counts a call and returns the 503 response to refuse it with, if any.
     pub(crate) fn refusal_with_backoff(&self) -> Option<Response<Body>> {
         let mut faults = self.lock();
         let retry_after = faults.retry_after.clone()?;
@@ -123,12 +127,12 @@
         Some(response)
     }
 
-    /// Calls that came since it last asked for a backoff, if it has.
+    /// Calls received since the last refusal with `retry_after`; `None` before one.
     pub(crate) fn calls_since_asked(&self) -> Option<u32> {
         self.lock().calls_since
     }
 
-    /// Takes one of the answers to be lost.
+    /// Whether the response of this call is lost; counts down `lose_answers`.
     #[must_use]
     pub fn loses_answer(&self) -> bool {
         let mut faults = self.lock();
@@ -137,7 +141,7 @@
         is_lost
     }
 
-    /// Waits as long as messages are delayed or nothing is answered.
+    /// Waits until the stand-in isn't frozen, then for the configured delay.
     pub async fn pass(&self) {
         loop {
             let changed = self.changed.notified();
@@ -160,7 +164,7 @@
     }
 }
 
-/// A response whose connection breaks.
+/// A response whose body fails at once, which breaks the connection.
 pub(crate) fn broken_connection() -> Response<Body> {
     let broken = stream::iter([Err::<http_body::Frame<Bytes>, _>(
         io::ErrorKind::ConnectionReset.into(),
--- a/crates/rookferry_standin/src/app.rs
+++ b/crates/rookferry_standin/src/app.rs
@@ -1,4 +1,8 @@
-//! Application engines: plain services with a ledger of their calls.
+//! Application engines: HTTP services that echo each request and count the calls per
+//! request id.
+//!
+//! Every path but `/admin` is the service. `/admin/ledger` returns the calls begun by
+//! `rookferry-request-id`; calls without this header count as `direct`.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -37,41 +41,43 @@
 const MAX_BODY_BYTES: usize = 1_000_000;
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One application engine.
+/// Configuration of an application engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AppConfig {
-    /// Its name.
+    /// Instance name.
     pub instance: InstanceId,
-    /// Where it listens.
+    /// Listen address.
     pub listen: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain.
     pub failure_domain: String,
-    /// Its labels.
+    /// Labels that pool selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// Time that a call takes.
+    /// Duration of a call.
     pub call_us: u64,
 }
 
+/// State shared by the request handlers.
 struct App {
     config: AppConfig,
     faults: FaultState,
-    /// Its process ends.
+    /// Signals a simulated crash of the process.
     ended: Notify,
+    /// Calls begun, by request id.
     ledger: Mutex<BTreeMap<String, u32>>,
 }
 
 /// A running application engine.
 #[derive(Debug)]
 pub struct AppServer {
-    /// Its name.
+    /// Instance name.
     pub instance: InstanceId,
-    /// Where it listens.
+    /// Bound address.
     pub addr: SocketAddr,
 }
 
-/// Answer of an application engine.
+/// Response body of an application engine.
 #[derive(Serialize, Deserialize)]
 struct AppAnswer {
     served_by: InstanceId,
@@ -81,11 +87,11 @@
 }
 
 impl AppServer {
-    /// Starts an application engine that runs until the process ends.
+    /// Starts an application engine that serves until the process exits.
     ///
     /// # Errors
     ///
-    /// If its address can't be bound.
+    /// Fails if the listen address can't be bound.
     pub async fn start(config: AppConfig) -> io::Result<Self> {
         let server = Server::bind(config.listen, ConnectionLimits::default()).await?;
         let addr = server.local_addr()?;
@@ -101,8 +107,8 @@
     }
 }
 
-/// Serves until the process ends; each end under work is followed by another
-/// start at the same address after a while.
+/// Serves until the process exits. After each simulated crash it restarts at the same
+/// address, `DOWN` later.
 async fn run(app: Arc<App>, mut server: Server, addr: SocketAddr) {
     loop {
         let router = router(&app, server.connections());
@@ -110,7 +116,9 @@
         tokio::time::sleep(DOWN).await;
         server = match Server::bind(addr, ConnectionLimits::default()).await {
             Ok(server) => server,
-            Err(error) => panic!("the port of an application engine is taken: {error}"),
+            Err(error) => {
+                panic!("can't bind an application engine again after its restart: {error}")
+            }
         };
     }
 }
--- a/crates/rookferry_standin/src/bin/rookferry-load.rs
+++ b/crates/rookferry_standin/src/bin/rookferry-load.rs
@@ -1,4 +1,7 @@
-//! Sends load at entry instances and reports figures.
+//! Sends a planned load to entry instances and reports latencies and outcomes.
+//!
+//! Exits with 0 if requests were sent and none was answered wrong or cut, with 2
+//! otherwise, and with 1 if it can't run.
 
 use std::fs;
 use std::path::PathBuf;
@@ -10,17 +13,17 @@
 use rookferry_standin::LoadPlan;
 use rookferry_standin::LoadRun;
 
-/// Open-loop load with whole answers compared with the reference.
+/// Sends open-loop load and compares each complete answer with the reference.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// The plan, as JSON; see `LoadPlan`.
+    /// Load plan, a JSON file; see `LoadPlan`.
     #[arg(long)]
     plan: PathBuf,
-    /// Where to write the report as JSON.
+    /// File to write the report to, as JSON.
     #[arg(long)]
     report: Option<PathBuf>,
-    /// Prints each request's answer.
+    /// Prints the outcome of each request.
     #[arg(long)]
     show: bool,
 }
@@ -37,7 +40,7 @@
     }
 }
 
-/// Returns whether every answer was the reference's and none was cut.
+/// Returns whether requests were sent and none was answered wrong or cut.
 async fn run(args: Args) -> Result<bool, String> {
     let text = read_text(&args.plan).map_err(|error| error.to_string())?;
     let plan: LoadPlan = read_json(&text).map_err(|faults| faults.to_string())?;
--- a/crates/rookferry_standin/src/bin/rookferry-standin.rs
+++ b/crates/rookferry_standin/src/bin/rookferry-standin.rs
@@ -1,4 +1,5 @@
-//! Runs stand-ins of the outside systems until it is stopped.
+//! Runs stand-ins of the external systems until it is stopped. Prints their addresses as
+//! JSON once all of them listen.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,14 +11,14 @@
 use rookferry_standin::Site;
 use rookferry_standin::SiteSpec;
 
-/// Stand-ins of the platform, model engines and application engines.
+/// Runs stand-ins of the platform, model engines and application engines.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// What to start, as JSON.
+    /// Stand-ins to start, a JSON file; see `SiteSpec`.
     #[arg(long)]
     config: PathBuf,
-    /// Where to write the addresses once everything listens.
+    /// File to write the bound addresses to, as JSON, once all stand-ins listen.
     #[arg(long)]
     addresses: Option<PathBuf>,
 }
--- a/crates/rookferry_standin/src/engine/cache.rs
+++ b/crates/rookferry_standin/src/engine/cache.rs
@@ -1,4 +1,5 @@
-//! The prefix cache and its events, published late and with gaps.
+//! The prefix cache of an engine and the events it publishes: late, and with a gap once
+//! old events are dropped.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
@@ -8,7 +9,7 @@
 use rookferry_wire::CacheEvent;
 use rookferry_wire::CacheEvents;
 
-/// Events kept for those who ask; older ones are a gap.
+/// Number of events that are stored; a reader that asks for older ones sees a gap.
 const KEPT_EVENTS: usize = 256;
 
 #[derive(Debug)]
@@ -17,7 +18,7 @@
     event: CacheEvent,
 }
 
-/// Prefixes of prompts whose KV is still held.
+/// Hashes of the cached prompt prefixes; the oldest is evicted first.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     capacity: usize,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Looks a prefix up and keeps it; returns whether it was held.
+    /// Inserts a prefix; returns whether it was cached already.
     pub(super) fn touch(&mut self, now: Instant, prefix: u64) -> bool {
         if !self.held.insert(prefix) {
             return true;
@@ -57,6 +58,7 @@
         false
     }
 
+    /// Events from sequence number `from` on that are at least `lag` old.
     pub(super) fn events(&self, now: Instant, from: u64) -> CacheEvents {
         let ripe = self
             .events
--- a/crates/rookferry_standin/src/engine/config.rs
+++ b/crates/rookferry_standin/src/engine/config.rs
@@ -1,4 +1,4 @@
-//! What an engine is like.
+//! Configuration of a model engine.
 
 use std::net::SocketAddr;
 
@@ -8,41 +8,41 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One engine.
+/// One model engine. Its steps and link are simulated by delays.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineConfig {
-    /// Its name.
+    /// Engine name.
     pub engine: EngineId,
-    /// Where it listens.
+    /// Listen address; any free port of the loopback interface by default.
     #[serde(default = "any_port")]
     pub listen: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain.
     pub failure_domain: String,
-    /// Its accelerator's kind.
+    /// Kind of accelerator.
     pub accelerator: String,
-    /// Its labels.
+    /// Labels that pool selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The model's number of layers.
+    /// Number of layers of the whole model.
     pub model_layers: u16,
-    /// The layers that it holds.
+    /// Layers that this engine runs.
     pub layers: LayerRange,
-    /// Streams in one step.
+    /// Maximum number of streams in one batch.
     pub batch_slots: u32,
-    /// Time of a step.
+    /// Duration of a batch.
     pub step_us: u64,
-    /// Further time for each position beyond one a stream.
+    /// Additional time for each position beyond the first of each stream.
     pub position_us: u64,
-    /// Delay of its link, one way.
+    /// One-way delay of the network link.
     pub link_us: u64,
-    /// Steps that may wait.
+    /// Maximum number of queued steps; further ones are refused as overloaded.
     pub queue_limit: usize,
-    /// How late its load reports and cache events are.
+    /// Age at which load reports and cache events become visible.
     pub report_lag_ms: u64,
-    /// Whether it compares fences.
+    /// Whether it rejects orders with a fence below the highest one seen.
     pub checks_fences: bool,
 }
 
--- a/crates/rookferry_standin/src/engine/ledger.rs
+++ b/crates/rookferry_standin/src/engine/ledger.rs
@@ -1,4 +1,4 @@
-//! What an engine ran, for checks that trust no one's word.
+//! Record of what an engine ran, for checks that must not depend on the router's reports.
 
 use std::collections::BTreeMap;
 
@@ -9,33 +9,33 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One stream's runs on one engine.
+/// What one engine ran of one stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamRuns {
-    /// How often each position ran through the engine's layers.
+    /// How often each position was run, by position.
     pub runs: Vec<u32>,
-    /// Steps that were refused.
+    /// Number of refused steps.
     pub refused: u32,
-    /// Whether it was cancelled.
+    /// Whether the stream was cancelled.
     pub cancelled: bool,
-    /// Whether the engine died while it held the stream.
+    /// Whether the engine crashed or was killed while it held the stream.
     pub has_died: bool,
-    /// Digest of the prompt, on engines that hold the first layer.
+    /// Digest of the prompt (`prompt_digest`), on engines that run the first layer.
     pub prompt: Option<u64>,
 }
 
-/// An engine's ledger.
+/// Ledger of an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Ledger {
-    /// The engine.
+    /// Engine name.
     pub engine: EngineId,
-    /// Its layers.
+    /// Layers that the engine runs.
     pub layers: LayerRange,
-    /// Runs by stream; it outlives the stream and the engine's restarts.
+    /// Runs by stream; retained after the stream and across restarts of the engine.
     pub streams: BTreeMap<StreamId, StreamRuns>,
-    /// Fences of the orders that it took, in order.
+    /// Fences of the accepted orders, in order of acceptance.
     pub fences: Vec<u64>,
-    /// How often it ended under work that it began.
+    /// Number of crashes while starting work (`Fault::ends_under`).
     pub ends: u32,
 }
 
--- a/crates/rookferry_standin/src/engine/mod.rs
+++ b/crates/rookferry_standin/src/engine/mod.rs
@@ -1,5 +1,6 @@
-//! Model engines: layer ranges, continuous batches, KV and prefix caches,
-//! priorities, attempts, export and import, late reports, fenced orders.
+//! Model engines: each runs a range of layers of the fake model in `layers`, with
+//! continuous batching, priorities, attempts, KV export and import, a prefix cache,
+//! delayed load reports and fenced orders.
 
 mod cache;
 mod config;
--- a/crates/rookferry_standin/src/engine/server.rs
+++ b/crates/rookferry_standin/src/engine/server.rs
@@ -1,4 +1,8 @@
-//! An engine's HTTP API, its batches and its faults.
+//! HTTP server of a model engine, its batch loop and its injected faults.
+//!
+//! Step requests queue their steps; `run_batches` takes them by priority, waits for the
+//! simulated duration and runs them. Calls under `/v1` pass the simulated link in both
+//! directions, calls under `/admin` don't.
 
 use std::collections::VecDeque;
 use std::io;
@@ -54,20 +58,23 @@
 use crate::admin::broken_connection;
 use crate::platform::server::read;
 
-/// Load reports kept, so that an old one can be given out.
+/// Number of stored load reports; `report_lag_ms` can delay reports by up to 3.2 s
+/// (64 reports at intervals of 50 ms).
 const KEPT_REPORTS: usize = 64;
-/// How often the load is noted.
+/// Interval between load reports.
 const REPORT_STEP: Duration = Duration::from_millis(50);
-/// Prefixes that an engine's memory holds.
+/// Capacity of the prefix cache.
 const CACHED_PREFIXES: usize = 64;
-/// Positions of a cached prefix cost nothing.
+/// Positions of a prompt that take no time if its prefix is cached.
 const CACHED_POSITIONS: u32 = 32;
 
+/// A step that waits for a batch, and the channel for its result.
 struct Queued {
     step: Step,
     answer: oneshot::Sender<StepResult>,
 }
 
+/// State of the engine process; most of it is lost in a crash.
 struct Inner {
     info: EngineInfo,
     stage: StageState,
@@ -75,31 +82,34 @@
     queue: VecDeque<Queued>,
     reports: VecDeque<(Instant, LoadReport)>,
     highest_fence: u64,
+    /// Moving average of the step time.
     step_us: u64,
 }
 
+/// State shared by the request handlers and the batch loop.
 struct App {
     config: EngineConfig,
     inner: Mutex<Inner>,
     faults: FaultState,
+    /// Wakes the batch loop when a step is queued.
     arrived: Notify,
 }
 
-/// A running engine.
+/// A running model engine.
 #[derive(Debug)]
 pub struct EngineServer {
-    /// Its name.
+    /// Engine name.
     pub engine: EngineId,
-    /// Where it listens.
+    /// Bound address.
     pub addr: SocketAddr,
 }
 
 impl EngineServer {
-    /// Starts an engine that runs until the process ends.
+    /// Starts an engine that serves until the process exits.
     ///
     /// # Errors
     ///
-    /// If its address can't be bound.
+    /// Fails if the listen address can't be bound.
     pub async fn start(config: EngineConfig) -> io::Result<Self> {
         let server = Server::bind(config.listen, ConnectionLimits::default()).await?;
         let addr = server.local_addr()?;
@@ -186,7 +196,7 @@
     })
 }
 
-/// Puts a refusal with a backoff before a call, where one is ordered.
+/// Wraps a handler so that calls are refused with `Retry-After` while that fault is set.
 fn paced<R>(
     handler: impl Fn(Arc<App>, InboundRequest) -> R + Copy,
 ) -> impl Fn(Arc<App>, InboundRequest) -> BoxFuture<'static, Response<Body>> + Copy
@@ -207,6 +217,7 @@
     app.answer(|inner| inner.info.clone()).await
 }
 
+/// Returns the newest load report that is at least `report_lag_ms` old.
 async fn get_load(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
     let lag = Duration::from_millis(app.config.report_lag_ms);
     app.answer(move |inner| {
@@ -253,7 +264,7 @@
         .collect();
     let mut results = Vec::with_capacity(waiting.len());
     for answer in waiting {
-        // The sender is dropped only when the engine dies.
+        // The sender is dropped only when the engine crashes or is killed.
         let Ok(result) = answer.await else {
             return broken_connection();
         };
@@ -333,6 +344,7 @@
 }
 
 impl Inner {
+    /// Loses the process state, as a crash does, and starts a new incarnation.
     fn die(&mut self) {
         self.stage.wipe();
         self.queue.clear();
@@ -340,6 +352,7 @@
         self.cache = PrefixCache::new(CACHED_PREFIXES, Duration::ZERO);
     }
 
+    /// Carries out an order, unless its fence is outdated.
     fn obey(&mut self, request: OrderRequest, model_layers: u16) -> OrderResponse {
         if self.info.checks_fences && request.fence < self.highest_fence {
             return OrderResponse::Fenced {
@@ -371,7 +384,7 @@
         OrderResponse::Accepted
     }
 
-    /// Keeps the mean of the last few steps, for reports.
+    /// Updates the moving average of the step time, for load reports.
     const fn note_step(&mut self, step_us: u64) {
         const SPAN: u64 = 8;
         self.step_us = if self.step_us == 0 {
@@ -381,7 +394,7 @@
         };
     }
 
-    /// Takes the next batch, highest priority first, in order of arrival.
+    /// Takes the next batch: highest priority first, within a priority by arrival.
     fn take_batch(&mut self, slots: u32) -> Vec<Queued> {
         let mut queue: Vec<Queued> = self.queue.drain(..).collect();
         queue.sort_by_key(|queued| std::cmp::Reverse(queued.step.priority));
@@ -390,7 +403,7 @@
         queue
     }
 
-    /// Positions beyond one a stream, without those of cached prefixes.
+    /// Positions of a batch beyond the first of each stream, without cached ones.
     fn extra_positions(&mut self, batch: &[Queued]) -> u32 {
         let mut extra = 0;
         for queued in batch {
@@ -412,6 +425,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Waits for the link delay, and while a fault delays or suspends messages.
     async fn cross_link(&self) {
         self.faults.pass().await;
         if self.config.link_us > 0 {
@@ -419,6 +433,7 @@
         }
     }
 
+    /// Responds with the result of `call`, with the link delay before and after it.
     async fn answer<T: Serialize>(&self, call: impl FnOnce(&mut Inner) -> T) -> Response<Body> {
         self.cross_link().await;
         if self.faults.is_dead() {
@@ -432,6 +447,7 @@
         json_response(StatusCode::OK, &value)
     }
 
+    /// Whether the tokens of a step contain the text that crashes the engine.
     fn ends_under(&self, step: &Step) -> bool {
         let bytes = step.input.iter();
         let bytes: Vec<u8> = bytes
@@ -440,7 +456,7 @@
         self.faults.ends_under(&bytes)
     }
 
-    /// The process ends, and another start of it is there after a while.
+    /// Simulates a crash; the next incarnation serves after `DOWN`.
     fn end_for_a_while(self: &Arc<Self>) {
         {
             let mut inner = self.lock();
@@ -459,6 +475,7 @@
         });
     }
 
+    /// Queues a step. Refused steps and those with recorded results respond at once.
     fn enqueue(&self, step: Step) -> oneshot::Receiver<StepResult> {
         let (answer, receiver) = oneshot::channel();
         let mut inner = self.lock();
@@ -483,9 +500,9 @@
     }
 }
 
-/// Runs one step after the other. A step ends a step's time after the last
-/// one's end, or after its own start if the engine was idle, so that a timer
-/// that fires late doesn't slow a busy engine down.
+/// Runs one batch at a time. A batch ends its duration after the end of the previous
+/// one, or after its own start if the engine was idle. Counting from the scheduled end
+/// prevents late timers from slowing down a busy engine.
 async fn run_batches(app: Arc<App>) {
     let mut last_end = tokio::time::Instant::now();
     loop {
@@ -512,6 +529,7 @@
     }
 }
 
+/// Stores a load report at each interval.
 async fn note_load(app: Arc<App>) {
     loop {
         tokio::time::sleep(REPORT_STEP).await;
--- a/crates/rookferry_standin/src/engine/stage.rs
+++ b/crates/rookferry_standin/src/engine/stage.rs
@@ -1,4 +1,4 @@
-//! The layers and KV of one engine, without any transport or time.
+//! Layers, KV and attempts of one engine's streams. No I/O, no clock.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -21,19 +21,21 @@
 use crate::layers::prompt_digest;
 use crate::layers::run_layer;
 
+/// KV and recorded outputs of one stream.
 #[derive(Debug, Default)]
 struct StreamState {
     gate: StageGate,
-    /// Per position, one value a layer.
+    /// By position, one value per layer.
     kv: Vec<Vec<u64>>,
 }
 
-/// What an engine holds.
+/// The streams of an engine, its layer range and its ledger.
 #[derive(Debug)]
 pub(super) struct StageState {
     layers: LayerRange,
     is_last: bool,
     streams: HashMap<StreamId, StreamState>,
+    /// Cancelled streams; their later steps, attempts and imports are refused.
     ended: HashSet<StreamId>,
     pub(super) ledger: Ledger,
 }
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Loses everything but the ledger.
+    /// Drops all state but the ledger, as a crash does.
     pub(super) fn wipe(&mut self) {
         self.ledger.died(self.streams.keys().copied());
         self.streams.clear();
@@ -64,8 +66,8 @@
         self.streams.contains_key(&stream)
     }
 
-    /// Positions that the step would run; 0 for one that is answered from
-    /// what was recorded or refused.
+    /// Number of positions that the step would run; 0 if its outputs are recorded already
+    /// or it would be refused.
     pub(super) fn positions_to_run(&self, step: &Step) -> u32 {
         let end = step.position + Position::try_from(step.input.len()).unwrap_or(0);
         match self.verdict(step) {
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Runs what the gate allows of a step.
+    /// Runs the positions of a step that haven't run yet, and returns the outputs of all.
     pub(super) fn run(&mut self, step: &Step) -> StepResult {
         match self.verdict(step) {
             GateVerdict::Refuse(refusal) => {
@@ -93,6 +95,7 @@
         }
     }
 
+    /// Opens an attempt; drops the KV beyond the positions that it keeps.
     pub(super) fn open(&mut self, request: AttemptRequest) -> AttemptResponse {
         if self.ended.contains(&request.stream) {
             return AttemptResponse::Refused { newest: 0 };
@@ -108,6 +111,7 @@
         answer
     }
 
+    /// Cancels a stream, unless a newer attempt is open.
     pub(super) fn cancel(&mut self, request: CancelRequest) {
         let is_stale = self
             .streams
@@ -121,6 +125,7 @@
         self.ledger.cancelled(request.stream);
     }
 
+    /// KV of a stream, for another engine with the same layers.
     pub(super) fn export(&self, stream: StreamId) -> Option<KvPages> {
         let state = self.streams.get(&stream)?;
         Some(KvPages {
@@ -131,6 +136,8 @@
         })
     }
 
+    /// Takes over a stream's KV; refused if the layers differ, the attempt is
+    /// outdated or the stream is cancelled.
     pub(super) fn import(&mut self, pages: KvPages) -> AttemptResponse {
         let newest = self
             .streams
--- a/crates/rookferry_standin/src/layers.rs
+++ b/crates/rookferry_standin/src/layers.rs
@@ -1,27 +1,29 @@
-//! A fake model whose answer shows a layer that was skipped, repeated, run out
-//! of order, or run on another stream's KV.
+//! A deterministic fake model. Its output changes if a layer is skipped, repeated,
+//! run out of order, or run on the KV of another stream.
 //!
-//! A layer's KV is one number a position: it folds the layer's former number,
-//! the activation, the layer's index and the position. The activation that
-//! goes on is that number. A plain loop over all layers gives the reference.
+//! The KV of a layer is one number per position: a hash of the layer's KV at the
+//! previous position, the input activation, the layer index and the position. It is
+//! also the activation that is passed to the next layer. `reference_answer` computes
+//! the expected output with a plain loop over all layers.
 
-/// Number of different tokens.
+/// Number of distinct output tokens; the last layer's activation is reduced modulo it.
 pub const TOKENS: u64 = 50_021;
 
-/// Runs one layer at one position; `before` is its KV at the position before.
+/// Runs one layer at one position; `before` is its KV at the previous position, 0 at
+/// the first. Returns the KV, which is also the output activation.
 #[must_use]
 pub const fn run_layer(before: u64, activation: u64, layer: u16, position: u32) -> u64 {
     let place = ((layer as u64) << 32) | position as u64;
     mix(mix(before ^ place.wrapping_mul(0x9e37_79b9_7f4a_7c15)) ^ activation)
 }
 
-/// The token that the last layer's activation stands for.
+/// Converts the last layer's activation to a token.
 #[must_use]
 pub const fn final_token(activation: u64) -> u64 {
     activation % TOKENS
 }
 
-/// The answer of a model with a number of layers, by a plain loop.
+/// The tokens that a model with `layers` layers generates for a prompt.
 #[must_use]
 pub fn reference_answer(layers: u16, prompt: &[u64], max_tokens: u32) -> Vec<u64> {
     let mut kv = vec![0; usize::from(layers)];
@@ -48,7 +50,7 @@
     answer
 }
 
-/// Names a prompt in ledgers.
+/// Hash of a prompt that identifies it in ledgers.
 #[must_use]
 pub fn prompt_digest(prompt: &[u64]) -> u64 {
     prompt
@@ -56,6 +58,7 @@
         .fold(prompt.len() as u64, |digest, token| mix(digest ^ token))
 }
 
+/// Finalizer of `SplitMix64`.
 const fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/rookferry_standin/src/lib.rs
+++ b/crates/rookferry_standin/src/lib.rs
@@ -1,9 +1,10 @@
-//! Stand-ins of the outside systems, for tests, the demo and measurements.
+//! Test doubles ("stand-ins") of the external systems, and a load generator, for
+//! tests, the demo and measurements.
 //!
-//! They speak the published protocols of the platform, the model engines and
-//! the application engines, fail on order, and keep ledgers of what they ran.
-//! Checks read the ledgers, never the router's own word. None of this is
-//! shipped to users.
+//! The stand-ins implement the published HTTP protocols of the platform, the
+//! model engines and the application engines. `POST /admin/fault` injects faults
+//! into them. Engines record what they ran in ledgers (`GET /admin/ledger`), so
+//! that checks don't depend on what the router reports. Not shipped to users.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/rookferry_standin/src/load/arrivals.rs
+++ b/crates/rookferry_standin/src/load/arrivals.rs
@@ -1,4 +1,4 @@
-//! When requests are due.
+//! Arrival times of requests.
 
 use std::time::Duration;
 
@@ -9,36 +9,36 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The shape of the load over time.
+/// Arrival process of the requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Arrivals {
-    /// Equal gaps.
+    /// Equal intervals.
     Steady,
     /// A Poisson process.
     #[default]
     Poisson,
-    /// A Poisson process that is a factor above its mean for a part of each
-    /// period, and below it for the rest.
+    /// A Poisson process with `factor` times the mean rate for the first part of each
+    /// period, and a lower rate for the rest that keeps the mean.
     Bursts {
-        /// The period.
+        /// Length of a period.
         period_ms: u64,
-        /// The part of the period, between 0 and 1.
+        /// Share of the period with the higher rate, between 0 and 1.
         part: f64,
-        /// The factor.
+        /// Rate of the bursts, as a multiple of the mean.
         factor: f64,
     },
-    /// A time-varying Poisson process whose rate follows a sine over a day.
+    /// A Poisson process whose rate follows a sine with the period of a day.
     Day {
-        /// The length of the day.
+        /// Length of a day.
         period_ms: u64,
-        /// The swing around the mean, between 0 and 1.
+        /// Amplitude as a share of the mean, between 0 and 1.
         swing: f64,
     },
 }
 
 impl Arrivals {
-    /// The times at which requests are due, for a mean rate.
+    /// Times from the start at which requests are due, in order.
     #[must_use]
     pub fn times(self, rng: &mut StdRng, rate_per_s: f64, duration: Duration) -> Vec<Duration> {
         if self == Self::Steady {
@@ -55,7 +55,7 @@
             if at_s >= duration.as_secs_f64() {
                 return times;
             }
-            // Thinning: kept with the share that the rate has of its peak.
+            // Thinning: accepted with probability (current rate / peak rate).
             let is_kept = rng.random::<f64>() < self.factor(at_s) / self.peak();
             if is_kept {
                 times.push(Duration::from_secs_f64(at_s));
@@ -63,6 +63,7 @@
         }
     }
 
+    /// Highest rate as a multiple of the mean.
     fn peak(self) -> f64 {
         match self {
             Self::Steady | Self::Poisson => 1.0,
@@ -71,6 +72,7 @@
         }
     }
 
+    /// Rate at a time as a multiple of the mean.
     fn factor(self, at_s: f64) -> f64 {
         match self {
             Self::Steady | Self::Poisson => 1.0,
@@ -91,6 +93,7 @@
     }
 }
 
+/// Share of the current period that has passed, from 0 to 1.
 fn phase(at_s: f64, period_ms: u64) -> f64 {
     let period = Duration::from_millis(period_ms.max(1));
     (at_s / period.as_secs_f64()).fract()
--- a/crates/rookferry_standin/src/load/caller.rs
+++ b/crates/rookferry_standin/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's view of one request.
+//! Sends one request as a client would, and reads its response or event stream.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,33 +16,33 @@
 use rookferry_wire::StreamEvent;
 use serde::Serialize;
 
-/// How a request ended.
+/// Outcome of a request, as the client sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ending {
-    /// A whole answer.
+    /// A complete answer.
     Answered(Answer),
-    /// The site's own word that there is no answer.
+    /// An error response (problem document or error event) of the entry instance.
     Told(Problem),
-    /// The connection broke, or nothing came in time.
+    /// The connection broke, the response was invalid, or it timed out; gives the cause.
     Cut(String),
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Answer {
-    /// The request's id.
+    /// Request id that the entry instance assigned.
     pub id: String,
-    /// Tokens, for model calls.
+    /// Generated tokens; empty for plain services.
     pub tokens: Vec<u64>,
-    /// Body, for plain services.
+    /// Response body; empty for streamed answers.
     pub body: String,
-    /// When the first token came, from the sending.
+    /// Time from sending to the first token; `None` unless streamed.
     pub first_token: Option<Duration>,
-    /// Gaps between tokens.
+    /// Times between tokens, if streamed.
     pub gaps: Vec<Duration>,
 }
 
-/// A caller with an account's key.
+/// HTTP client with the key of a client account.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: HttpClient,
@@ -50,14 +50,14 @@
     patience: Duration,
 }
 
-/// The stand-ins' tokens of a text: its bytes.
+/// Tokenizes a text as the fake model does: one token per byte.
 #[must_use]
 pub fn tokens_of(text: &str) -> Vec<u64> {
     text.bytes().map(u64::from).collect()
 }
 
 impl Caller {
-    /// A caller that waits for `patience`.
+    /// A caller that waits up to `patience` for a complete answer.
     #[must_use]
     pub const fn new(client: HttpClient, key: String, patience: Duration) -> Self {
         Self {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Sends a model call; `once` is the key of a call that may run once.
+    /// Sends a model call. `once` is its idempotency key if it must run at most once.
     pub async fn complete(
         &self,
         addr: SocketAddr,
@@ -84,7 +84,7 @@
         self.exchange(addr, request, json.into(), body.stream).await
     }
 
-    /// Calls a plain service.
+    /// Calls a plain service. `once` is the idempotency key if it must run at most once.
     pub async fn call(
         &self,
         addr: SocketAddr,
@@ -119,12 +119,12 @@
         is_stream: bool,
     ) -> Ending {
         let Ok(request) = request.body(Full::new(body)) else {
-            return Ending::Cut("the request could not be built".to_owned());
+            return Ending::Cut("invalid request".to_owned());
         };
         let whole = self.read_ending(addr, request, is_stream);
         match tokio::time::timeout(self.patience, whole).await {
             Ok(ending) => ending,
-            Err(_) => Ending::Cut("no whole answer in time".to_owned()),
+            Err(_) => Ending::Cut("timed out before the answer was complete".to_owned()),
         }
     }
 
@@ -169,9 +169,10 @@
         if !head.status.is_success() {
             return match serde_json::from_str(&text) {
                 Ok(problem) => Ending::Told(problem),
-                Err(error) => {
-                    Ending::Cut(format!("{} without a problem body: {error}", head.status))
-                }
+                Err(error) => Ending::Cut(format!(
+                    "status {} without a valid problem document: {error}",
+                    head.status
+                )),
             };
         }
         Ending::Answered(whole_answer(id, text))
@@ -189,7 +190,7 @@
     }
 }
 
-/// Reads server-sent events.
+/// Parses the server-sent events of a streamed answer.
 struct StreamReader {
     buffer: String,
     last_at: Instant,
@@ -236,11 +237,11 @@
             return;
         }
         let Ok(token) = serde_json::from_str::<StreamEvent>(data) else {
-            self.fault = Some(format!("unreadable event {data}"));
+            self.fault = Some(format!("invalid event: {data}"));
             return;
         };
         if token.index as usize != self.answer.tokens.len() || *token.id != *self.answer.id {
-            self.fault = Some(format!("event out of place: {data}"));
+            self.fault = Some(format!("event with an unexpected index or id: {data}"));
         }
         self.on_token(token.token);
     }
@@ -265,7 +266,7 @@
             return Ending::Told(problem);
         }
         if !self.is_done {
-            return Ending::Cut("the stream ended without [DONE]".to_owned());
+            return Ending::Cut("the stream ended before [DONE]".to_owned());
         }
         Ending::Answered(self.answer)
     }
--- a/crates/rookferry_standin/src/load/mod.rs
+++ b/crates/rookferry_standin/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! Open-loop load: arrivals on a timetable of their own, whole answers
-//! compared with the reference, faults on order, and figures.
+//! Open-loop load generator. Sends the requests of a `LoadPlan` at precomputed times,
+//! compares each answer with the reference, injects faults and reports latencies.
 //!
-//! Times count from when a request was due, not from when it was sent, so
-//! that a stall isn't hidden by the load waiting for it.
+//! Latencies count from when a request was due, not from when it was sent. Otherwise a
+//! stall that delays the generator would not show in them (coordinated omission).
 
 mod arrivals;
 mod caller;
--- a/crates/rookferry_standin/src/load/plan.rs
+++ b/crates/rookferry_standin/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! What to send, from whom, and which faults to order meanwhile.
+//! Load plan: targets, request rate and mix, client accounts and faults to inject.
 
 use std::net::SocketAddr;
 
@@ -7,109 +7,110 @@
 
 use super::Arrivals;
 
-/// A load, as JSON.
+/// A load plan; read from JSON by `rookferry-load`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadPlan {
-    /// Entry instances, taken in turn as a balancer would.
+    /// Entry instances; requests go to them round-robin, as from a load balancer.
     pub targets: Vec<SocketAddr>,
-    /// Seed of all that is drawn.
+    /// Seed of all random choices.
     #[serde(default)]
     pub seed: u64,
-    /// How long requests are sent.
+    /// Time during which requests are sent.
     pub duration_ms: u64,
-    /// Mean rate.
+    /// Mean request rate.
     pub rate_per_s: f64,
-    /// Shape of the rate.
+    /// Arrival process.
     #[serde(default)]
     pub arrivals: Arrivals,
-    /// Client accounts.
+    /// Client accounts that send the requests.
     pub accounts: Vec<LoadAccount>,
-    /// Kinds of requests.
+    /// Shares of the kinds of requests.
     pub mix: Mix,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// Its layers, for the reference.
+    /// Number of layers of the model, to compute the reference answer.
     pub layers: u16,
-    /// Least and most tokens of a prompt.
+    /// Minimum and maximum length of a prompt, which is never shorter than its prefix and
+    /// serial number.
     pub prompt_tokens: (usize, usize),
-    /// Least and most tokens of an answer.
+    /// Minimum and maximum `max_tokens`.
     pub answer_tokens: (u32, u32),
-    /// How many prefixes prompts share.
+    /// Number of distinct prompt prefixes.
     #[serde(default = "default_prefixes")]
     pub prefixes: u64,
-    /// The plain service that lookups go to.
+    /// Plain service that `lookup` and `submit` requests go to.
     #[serde(default)]
     pub service: String,
-    /// Requests under way at most; further ones count as not sent.
+    /// Maximum number of concurrent requests; further ones aren't sent but counted.
     #[serde(default = "default_in_flight")]
     pub max_in_flight: usize,
-    /// How long a caller waits for an answer.
+    /// Timeout of each try of a request.
     #[serde(default = "default_patience_ms")]
     pub patience_ms: u64,
-    /// Faults to order.
+    /// Faults to inject.
     #[serde(default)]
     pub faults: Vec<TimedFault>,
 }
 
-/// A client account of the load.
+/// A client account that sends requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadAccount {
-    /// Its name, for the report.
+    /// Name in the report.
     pub name: String,
-    /// Its bearer key.
+    /// Bearer key.
     pub key: String,
-    /// Its share of the requests, relative to the others'.
+    /// Share of the requests, relative to the other accounts.
     pub share: f64,
 }
 
-/// Kinds of requests, relative to each other.
+/// Shares of the kinds of requests, relative to each other.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Mix {
-    /// Model calls answered whole.
+    /// Model calls with a single response.
     pub whole: f64,
-    /// Model calls answered token by token.
+    /// Model calls with a streamed response.
     pub streamed: f64,
-    /// Model calls that may run once.
+    /// Model calls with an idempotency key that must run at most once.
     pub once: f64,
-    /// Calls of a plain service that may be repeated.
+    /// Calls of a plain service that may be retried (`GET`).
     pub lookup: f64,
-    /// Calls of a plain service that may not.
+    /// Calls of a plain service that must run at most once (`POST`).
     pub submit: f64,
 }
 
-/// A kind of request.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallKind {
-    /// Model call answered whole.
+    /// Model call with a single response.
     Whole,
-    /// Model call answered token by token.
+    /// Model call with a streamed response.
     Streamed,
-    /// Model call that may run once.
+    /// Model call with an idempotency key that must run at most once.
     Once,
-    /// Call of a plain service that may be repeated.
+    /// Call of a plain service that may be retried (`GET`).
     Lookup,
-    /// Call of a plain service that may not.
+    /// Call of a plain service that must run at most once (`POST`).
     Submit,
 }
 
-/// A fault to order from a stand-in.
+/// A fault to inject into a stand-in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimedFault {
-    /// When, from the start.
+    /// Time from the start of the load.
     pub at_ms: u64,
-    /// The stand-in.
+    /// Address of the stand-in.
     pub addr: SocketAddr,
-    /// The fault, see `Fault`.
+    /// Body of `POST /admin/fault`; see `Fault`.
     pub fault: serde_json::Value,
 }
 
 impl Mix {
-    /// The kind at a point between 0 and 1.
+    /// Picks a kind by its share, for a random `point` between 0 and 1.
     #[must_use]
     pub fn kind_at(&self, point: f64) -> CallKind {
         let weights = [
--- a/crates/rookferry_standin/src/load/report.rs
+++ b/crates/rookferry_standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a run.
+//! Report of a load run: latency percentiles, outcomes and throughput.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,71 +10,72 @@
 use super::CallKind;
 use super::Ending;
 
-/// Width of the buckets of the timeline.
+/// Width of the timeline's buckets.
 pub(super) const BUCKET: Duration = Duration::from_millis(100);
 
-/// Percentiles of a time.
+/// Percentiles of a latency.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Percentiles {
     /// Number of samples.
     pub count: u64,
     /// Median.
     pub p50_ms: f64,
-    /// 95 in 100.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
-/// One kind of requests.
+/// Outcomes and latencies of one kind of request.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct KindReport {
-    /// Sent.
+    /// Requests sent.
     pub sent: u64,
-    /// Answered whole and as the reference.
+    /// Complete answers that equal the reference.
     pub correct: u64,
-    /// Answered with something else.
+    /// Complete answers that differ from the reference.
     pub wrong: u64,
-    /// Told that it did not run.
+    /// Problems with the outcome "not run".
     pub not_run: u64,
-    /// Told that its outcome is unknown, or that it still runs.
+    /// Problems with the outcome "unknown" or "running".
     pub unknown: u64,
-    /// Cut without a word.
+    /// Broken connections, invalid responses and timeouts.
     pub cut: u64,
-    /// Reasons that were told, and what cut requests.
+    /// Number of problems by reason code, and of cut requests by cause.
     pub reasons: BTreeMap<String, u64>,
-    /// From when it was due to its whole answer.
+    /// Time from when a request was due to its complete answer, with all its tries.
     pub whole: Percentiles,
-    /// From when it was due to its first token.
+    /// Time from when a request was due to its first token.
     pub first_token: Percentiles,
-    /// Between tokens.
+    /// Time between tokens.
     pub gaps: Percentiles,
 }
 
-/// A run.
+/// Report of a load run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadReportOut {
-    /// By kind.
+    /// Outcomes and latencies by kind of request.
     pub kinds: BTreeMap<CallKind, KindReport>,
     /// Correct answers by client account.
     pub correct_by_account: BTreeMap<String, u64>,
     /// Requests sent by client account.
     pub sent_by_account: BTreeMap<String, u64>,
-    /// Not sent, since too many were under way.
+    /// Requests not sent because `max_in_flight` was reached.
     pub not_sent: u64,
-    /// Tokens of correct answers a second, in the last three quarters of the
-    /// time in which requests were sent.
+    /// Tokens per second of correct answers, over the last three quarters of the sending
+    /// time.
     pub tokens_per_s: f64,
-    /// Correct answers a second, while requests were sent.
+    /// Correct answers per second of sending time.
     pub answers_per_s: f64,
-    /// Tokens of correct answers in each tenth of a second.
+    /// Tokens of correct answers in each interval of 100 ms.
     pub timeline: Vec<u64>,
-    /// What went wrong with the load itself.
+    /// Failures of the load generator itself, such as faults that weren't injected.
     pub notes: Vec<String>,
 }
 
+/// Latencies in microseconds.
 #[derive(Debug)]
 struct Times {
     whole: Histogram<u64>,
@@ -82,7 +83,7 @@
     gaps: Histogram<u64>,
 }
 
-/// Collects endings.
+/// Collects the outcomes of a run.
 #[derive(Debug, Default)]
 pub(super) struct Collector {
     report: LoadReportOut,
@@ -91,12 +92,15 @@
     answers: u64,
 }
 
-/// What is known of a request beside its ending.
+/// Timing and classification of a finished request.
 pub(super) struct Measured<'a> {
     pub(super) kind: CallKind,
     pub(super) account: &'a str,
+    /// Time from when it was due to its last try.
     pub(super) late: Duration,
+    /// Duration of its last try.
     pub(super) took: Duration,
+    /// Time from the start of the load.
     pub(super) ended_at: Duration,
     pub(super) is_correct: bool,
 }
@@ -163,7 +167,7 @@
         self.add_to_timeline(measured.ended_at, answer);
     }
 
-    /// A streamed answer's tokens count when each came, others at the end.
+    /// Counts each token at its arrival time; without streaming, at the end.
     fn add_to_timeline(&mut self, ended_at: Duration, answer: &super::Answer) {
         let mut at = ended_at;
         let mut gaps = answer.gaps.iter().rev();
@@ -179,7 +183,7 @@
 
     pub(super) fn finish(mut self, duration: Duration) -> LoadReportOut {
         let within = usize::try_from(duration.as_millis() / BUCKET.as_millis()).unwrap_or(0);
-        // The first quarter, in which the site fills up, doesn't count.
+        // The first quarter is skipped, because the site is still warming up.
         let skipped = within / 4;
         let counted = self.report.timeline.iter().take(within).skip(skipped);
         let seconds = (BUCKET * u32::try_from(within - skipped).unwrap_or(1)).as_secs_f64();
@@ -206,7 +210,7 @@
 }
 
 impl LoadReportOut {
-    /// The run as text.
+    /// Formats the report as text.
     #[must_use]
     pub fn to_text(&self) -> String {
         let mut text = String::new();
@@ -254,8 +258,9 @@
         text
     }
 
-    /// Time from a fault until the tokens a second are back at `share` of
-    /// their mean before it, for a half second at least; `None` if never.
+    /// Time from a fault until the tokens per second are back at `share` of their mean
+    /// before it (without the first third, the warm-up), over half a second; `None` if
+    /// they never are.
     #[must_use]
     pub fn recovery(&self, fault_at: Duration, share: f64) -> Option<Duration> {
         let fault = usize::try_from(fault_at.as_millis() / BUCKET.as_millis()).ok()?;
@@ -271,7 +276,7 @@
     }
 }
 
-/// Microseconds from 1 to 10 minutes, three digits.
+/// Histogram from 1 µs to 10 min with three significant digits.
 fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 600_000_000, 3)
         .unwrap_or_else(|_| unreachable!("the bounds are constant"))
--- a/crates/rookferry_standin/src/load/run.rs
+++ b/crates/rookferry_standin/src/load/run.rs
@@ -1,4 +1,5 @@
-//! Sends the requests of a plan and compares each answer.
+//! Runs a load plan: sends its requests when they are due, injects its faults and
+//! compares each answer with the reference.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,41 +30,42 @@
 use crate::layers::prompt_digest;
 use crate::layers::reference_answer;
 
-/// Tries of a call that may run once, with the same key.
+/// Maximum number of tries of a call that must run at most once.
 const MAX_TRIES: u32 = 20;
-/// Shortest and longest pause before coming back with a key.
+/// Bounds of the pause before a retry with the same key.
 const MIN_PAUSE: Duration = Duration::from_millis(50);
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 const FAULT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Length of the prefixes that prompts share.
 const PREFIX_CHARS: usize = 40;
 
-/// What one request was and how it ended, for checks against ledgers.
+/// A request and its outcome, for checks against ledgers.
 #[derive(Clone, Debug)]
 pub struct RequestLog {
-    /// Its kind.
+    /// Kind of request.
     pub kind: CallKind,
-    /// Digest of its prompt.
+    /// Digest of the prompt (`prompt_digest`).
     pub prompt: u64,
-    /// How its last try ended.
+    /// Outcome of the last try.
     pub ending: Ending,
-    /// Whether the answer is the reference's.
+    /// Whether the answer equals the reference.
     pub is_correct: bool,
-    /// Ids of the tries that were told "not run".
+    /// Request ids of the tries with the outcome "not run".
     pub not_run_ids: Vec<String>,
-    /// Tries.
+    /// Number of tries.
     pub tries: u32,
 }
 
-/// A finished run.
+/// Result of a load run.
 #[derive(Debug)]
 pub struct LoadRun {
-    /// The figures.
+    /// Latencies, outcomes and throughput.
     pub report: LoadReportOut,
-    /// Each request.
+    /// The requests that were sent, in order of completion.
     pub requests: Vec<RequestLog>,
 }
 
+/// A request of the plan with the time at which it is due.
 #[derive(Debug)]
 struct Planned {
     due: Duration,
@@ -73,6 +75,7 @@
     target: usize,
 }
 
+/// State shared by the request tasks.
 struct Shared {
     plan: LoadPlan,
     callers: Vec<Caller>,
@@ -82,7 +85,7 @@
 }
 
 impl LoadRun {
-    /// Runs a plan to its end.
+    /// Runs a plan until all its requests are complete.
     pub async fn run(plan: LoadPlan) -> Self {
         let client = HttpClient::new();
         let patience = Duration::from_millis(plan.patience_ms);
@@ -139,6 +142,7 @@
     planned
 }
 
+/// Picks an account by its share, for a random `point` below the sum of all shares.
 fn account_at(plan: &LoadPlan, point: f64) -> usize {
     let mut left = point;
     for (index, account) in plan.accounts.iter().enumerate() {
@@ -150,7 +154,7 @@
     plan.accounts.len() - 1
 }
 
-/// A prompt that shares a prefix with others and is its own otherwise.
+/// A unique prompt that begins with one of the shared prefixes.
 fn prompt(seed: u64, number: usize, prefix: u64, length: usize) -> String {
     let shared = format!("prefix {prefix:>width$} ", width = PREFIX_CHARS - 8);
     let own = format!("{shared}{seed}-{number} ");
@@ -167,7 +171,7 @@
             .post(fault.addr, "/admin/fault", &fault.fault, FAULT_TIMEOUT)
             .await;
         if let Err(error) = ordered {
-            let note = format!("fault not ordered: {error}");
+            let note = format!("failed to inject a fault: {error}");
             lock(&shared.collector).note(&note);
         }
     }
@@ -222,7 +226,8 @@
     lock(&shared.requests).push(log);
 }
 
-/// Comes back with the same key while there is hope of an answer.
+/// Retries with the same key until the answer or a final outcome. A ticket replaces the
+/// key. Returns the outcome and the time at which the last try was sent.
 async fn try_until_told(
     shared: &Shared,
     request: &Planned,
--- a/crates/rookferry_standin/src/platform/mod.rs
+++ b/crates/rookferry_standin/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The platform: objects with versions, conditional updates and watches, and
-//! a lagging list of instances.
+//! The platform: an object store with versions, conditional writes and watches, and
+//! an instance list that shows changes with a delay.
 
 pub(crate) mod server;
 mod store;
--- a/crates/rookferry_standin/src/platform/server.rs
+++ b/crates/rookferry_standin/src/platform/server.rs
@@ -1,4 +1,7 @@
-//! The platform's HTTP API, with its rates and its faults.
+//! HTTP server of the platform, with rate limits, call latency and injected faults.
+//!
+//! `/v1/objects`, `/v1/watch` and `/v1/instances` are the published API. `/admin`
+//! registers instances, injects faults and returns call counters, free of rate limits.
 
 use std::io;
 use std::net::SocketAddr;
@@ -40,19 +43,19 @@
 const MAX_BODY_BYTES: usize = 1_200_000;
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How the platform behaves.
+/// Configuration of the platform.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformConfig {
-    /// Where it listens.
+    /// Listen address.
     pub listen: SocketAddr,
-    /// Writes a second.
+    /// Writes allowed per second.
     pub writes_per_s: u32,
-    /// Reads a second, a waiting watch being one.
+    /// Reads allowed per second; a watch counts as one read, however long it waits.
     pub reads_per_s: u32,
-    /// Time that each call takes.
+    /// Added latency of each call.
     pub call_ms: u64,
-    /// How late the list of instances is.
+    /// Delay until a change appears in the instance list.
     pub list_lag_ms: u64,
 }
 
@@ -68,7 +71,7 @@
     }
 }
 
-/// Calls taken in a second, as the platform counts them.
+/// Token bucket that holds up to one second's calls.
 #[derive(Debug)]
 struct RateLimit {
     per_s: f64,
@@ -85,6 +88,7 @@
         }
     }
 
+    /// Takes a token; false if the rate is exceeded.
     fn take(&mut self) -> bool {
         let now = Instant::now();
         let earned = now.saturating_duration_since(self.at).as_secs_f64() * self.per_s;
@@ -98,9 +102,11 @@
     }
 }
 
+/// State shared by the request handlers.
 struct App {
     config: PlatformConfig,
     store: Mutex<Store>,
+    /// Wakes watches when an object or a fault changes.
     changed: Notify,
     faults: FaultState,
     writes: Mutex<RateLimit>,
@@ -110,27 +116,28 @@
     turned_away: AtomicU64,
 }
 
-/// Calls that the platform has taken.
+/// Calls received since the start, including the refused ones.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct CallCounts {
     writes: u64,
     reads: u64,
+    /// Calls refused because of the rate limits.
     turned_away: u64,
 }
 
-/// A running platform.
+/// A running platform server.
 #[derive(Debug)]
 pub struct PlatformServer {
-    /// Where it listens.
+    /// Bound address.
     pub addr: SocketAddr,
 }
 
 impl PlatformServer {
-    /// Starts a platform that runs until the process ends.
+    /// Starts a platform that serves until the process exits.
     ///
     /// # Errors
     ///
-    /// If its address can't be bound.
+    /// Fails if the listen address can't be bound.
     pub async fn start(config: PlatformConfig) -> io::Result<Self> {
         let server = Server::bind(config.listen, ConnectionLimits::default()).await?;
         let addr = server.local_addr()?;
@@ -197,6 +204,7 @@
     }
 }
 
+/// Writes an object. The `lose_answers` fault breaks the connection after the write.
 async fn put_object(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
     let request: PutRequest = match read(&mut inbound).await {
         Ok(request) => request,
@@ -224,6 +232,8 @@
     json_response(StatusCode::OK, &answer)
 }
 
+/// Long poll: responds once an object of the kind is newer than `after`, at the latest
+/// after `wait_ms`.
 async fn watch(app: Arc<App>, inbound: InboundRequest) -> Response<Body> {
     if let Err(refused) = app.enter_read().await {
         return refused;
@@ -249,6 +259,7 @@
     }
 }
 
+/// Numeric query parameter; 0 if it is missing or invalid.
 fn number(inbound: &InboundRequest, name: &str) -> u64 {
     let text = inbound.query_param(name).unwrap_or_default();
     text.parse().unwrap_or(0)
@@ -314,6 +325,7 @@
         self.enter(&self.writes).await
     }
 
+    /// Applies delays, faults and the rate limit to a call, then its latency.
     async fn enter(&self, rate: &Mutex<RateLimit>) -> Result<(), Response<Body>> {
         self.faults.pass().await;
         if self.faults.is_dead() {
@@ -324,7 +336,7 @@
             self.turned_away.fetch_add(1, Ordering::Relaxed);
             return Err(text_response(
                 StatusCode::TOO_MANY_REQUESTS,
-                "the platform's rate is used up".to_owned(),
+                "the platform's rate limit is exceeded".to_owned(),
             ));
         }
         tokio::time::sleep(Duration::from_millis(self.config.call_ms)).await;
@@ -332,6 +344,7 @@
     }
 }
 
+/// Reads and deserializes a JSON body; on failure returns the 400 response to send.
 pub(crate) async fn read<T: DeserializeOwned>(
     inbound: &mut InboundRequest,
 ) -> Result<T, Response<Body>> {
--- a/crates/rookferry_standin/src/platform/store.rs
+++ b/crates/rookferry_standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The objects and the list, without any transport.
+//! State of the platform: versioned objects and the delayed instance list. No I/O.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use rookferry_wire::PutResponse;
 use rookferry_wire::WatchResponse;
 
-/// What the platform keeps.
+/// Objects and instances of a platform.
 #[derive(Debug, Default)]
 pub struct Store {
     version: ObjectVersion,
@@ -21,6 +21,7 @@
     instances: BTreeMap<InstanceId, Listed>,
 }
 
+/// An instance's current and previous entry; `None` where it isn't listed.
 #[derive(Debug)]
 struct Listed {
     entry: Option<InstanceEntry>,
@@ -29,14 +30,14 @@
 }
 
 impl Store {
-    /// Reads an object.
+    /// Returns an object; `None` if it doesn't exist or was deleted (its value is null).
     #[must_use]
     pub fn get(&self, kind: &str, name: &str) -> Option<&Object> {
         let object = self.objects.get(&(kind.to_owned(), name.to_owned()))?;
         (!object.value.is_null()).then_some(object)
     }
 
-    /// Writes an object if its version is the expected one.
+    /// Writes an object if its current version is `request.expected` (0: doesn't exist).
     pub fn put(&mut self, kind: &str, name: &str, request: PutRequest) -> PutResponse {
         let current = self.get(kind, name).cloned();
         let current_version = current.as_ref().map_or(0, |object| object.version);
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Objects of a kind that changed after a version.
+    /// Objects of a kind with a version above `after`, oldest first; deleted ones have a
+    /// null value.
     #[must_use]
     pub fn changes(&self, kind: &str, after: ObjectVersion) -> WatchResponse {
         let all = self
@@ -72,7 +74,7 @@
         WatchResponse { objects, version }
     }
 
-    /// How many objects of a kind exist.
+    /// Number of objects of a kind, without deleted ones.
     #[must_use]
     pub fn count(&self, kind: &str) -> usize {
         let all = self.objects.iter();
@@ -80,7 +82,7 @@
             .count()
     }
 
-    /// Sets or removes an instance; the list shows it after its lag.
+    /// Sets or removes an instance; `list` shows the change once its lag has passed.
     pub fn set_instance(&mut self, now: Instant, name: InstanceId, entry: Option<InstanceEntry>) {
         let former = self.instances.remove(&name).and_then(|listed| listed.entry);
         let listed = Listed {
@@ -91,7 +93,7 @@
         self.instances.insert(name, listed);
     }
 
-    /// The list as it was a lag ago.
+    /// The instance list; changes made less than `lag` ago don't show yet.
     #[must_use]
     pub fn list(&self, now: Instant, lag: Duration) -> InstanceList {
         let shown = self.instances.values().filter_map(|listed| {
--- a/crates/rookferry_standin/src/site.rs
+++ b/crates/rookferry_standin/src/site.rs
@@ -1,4 +1,5 @@
-//! A whole site of stand-ins in one process.
+//! Starts a platform, model engines and application engines in one process, and
+//! registers the engines with the platform.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -23,13 +24,13 @@
 
 const REGISTER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What to start.
+/// The stand-ins to start.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct SiteSpec {
-    /// A platform of its own, or none.
+    /// Platform to start, if any.
     pub platform: Option<PlatformConfig>,
-    /// A platform that runs elsewhere, to register with.
+    /// Running platform to register with, if none is started here.
     pub platform_addr: Option<SocketAddr>,
     /// Model engines.
     pub engines: Vec<EngineConfig>,
@@ -37,30 +38,30 @@
     pub apps: Vec<AppConfig>,
 }
 
-/// Where everything listens.
+/// Bound addresses.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SiteAddrs {
-    /// The platform.
+    /// Platform, started here or elsewhere.
     pub platform: Option<SocketAddr>,
-    /// Engines by name.
+    /// Model engines by name.
     pub engines: BTreeMap<String, SocketAddr>,
     /// Application engines by name.
     pub apps: BTreeMap<String, SocketAddr>,
 }
 
-/// A running site.
+/// Running stand-ins.
 #[derive(Debug)]
 pub struct Site {
-    /// Where everything listens.
+    /// Bound addresses.
     pub addrs: SiteAddrs,
 }
 
 impl Site {
-    /// Starts everything and registers it with the platform.
+    /// Starts the stand-ins and registers the engines with the platform, if there is one.
     ///
     /// # Errors
     ///
-    /// If an address can't be bound or the platform doesn't answer.
+    /// Fails if an address can't be bound or the platform doesn't accept a registration.
     pub async fn start(spec: SiteSpec) -> io::Result<Self> {
         let mut addrs = SiteAddrs {
             platform: spec.platform_addr,
