--- a/crates/rookferry_experiment/src/bench.rs
+++ b/crates/rookferry_experiment/src/bench.rs
@@ -224,7 +224,7 @@
 
     fn add_entry(&mut self, number: usize, is_cut: bool) {
         let known: Vec<SocketAddr> = self.entries.iter().map(|entry| entry.addrs.peers).collect();
-        let platform = self.site.addrs.platform.expect("a platform");
+        let platform = self.site.addrs.platform.expect("the site has no platform");
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
         let settings = json!({
             "instance": format!("entry-{number}"),
@@ -256,7 +256,7 @@
 
     /// Writes a configuration to the platform; returns its version.
     pub(crate) async fn put(&self, value: Value) -> u64 {
-        let addr = self.site.addrs.platform.expect("a platform");
+        let addr = self.site.addrs.platform.expect("the site has no platform");
         let platform = HttpPlatform::new(self.client.clone(), addr);
         let current = platform
             .get(CONFIG_KIND, CONFIG_NAME)
--- a/crates/rookferry_experiment/src/claims.rs
+++ b/crates/rookferry_experiment/src/claims.rs
@@ -77,7 +77,7 @@
 
 /// Call counters of the platform.
 async fn calls(bench: &Bench) -> Value {
-    let addr = bench.site.addrs.platform.expect("a platform");
+    let addr = bench.site.addrs.platform.expect("the site has no platform");
     bench
         .client
         .get(addr, "/admin/calls", CALL)
--- a/crates/rookferry_experiment/src/control.rs
+++ b/crates/rookferry_experiment/src/control.rs
@@ -113,7 +113,7 @@
 }
 
 fn platform_reads(bench: &Bench) -> f64 {
-    let addr = bench.site.addrs.platform.expect("a platform");
+    let addr = bench.site.addrs.platform.expect("the site has no platform");
     let calls = bench.client.get::<Value>(addr, "/admin/calls", CALL);
     let calls = bench.runtime.block_on(calls).unwrap_or_default();
     calls["reads"].as_f64().unwrap_or(0.0)
