--- a/crates/rookferry_controller/tests/orders.rs
+++ b/crates/rookferry_controller/tests/orders.rs
@@ -19,8 +19,8 @@
 use rookferry_net::LogLevel;
 use rookferry_net::Platform;
 use rookferry_net::root_logger;
+use rookferry_standin::CallOutcome;
 use rookferry_standin::Caller;
-use rookferry_standin::Ending;
 use rookferry_standin::Ledger;
 use rookferry_standin::PlatformConfig;
 use rookferry_standin::Site;
@@ -191,7 +191,7 @@
             stream: false,
         };
         match caller.complete(addr, &body, None).await {
-            Ending::Answered(_) => answered.fetch_add(1, Ordering::Relaxed),
+            CallOutcome::Answered(_) => answered.fetch_add(1, Ordering::Relaxed),
             other => panic!("cut off: {other:?}"),
         };
     }
@@ -221,7 +221,7 @@
                 None
             )
             .await,
-        Ending::Answered(_)
+        CallOutcome::Answered(_)
     ) {
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
--- a/crates/rookferry_entry/tests/backoff.rs
+++ b/crates/rookferry_entry/tests/backoff.rs
@@ -12,7 +12,7 @@
 use http::StatusCode;
 use http_body_util::BodyExt;
 use http_body_util::Full;
-use rookferry_standin::Ending;
+use rookferry_standin::CallOutcome;
 use serde_json::Value;
 use serde_json::json;
 use support::KEY;
@@ -75,7 +75,7 @@
         let caller = site.caller();
         let body = request(&prompt, 5, false);
         let ending = caller.complete(site.entries[0].callers, &body, None).await;
-        let Ending::Answered(answer) = ending else {
+        let CallOutcome::Answered(answer) = ending else {
             panic!("not answered: {ending:?}");
         };
         assert_whole(&answer, &prompt, 5);
@@ -150,7 +150,7 @@
     let caller = site.caller();
     let body = request("a prompt", 5, false);
     let told = caller.complete(site.entries[0].callers, &body, None).await;
-    let Ending::Told(problem) = told else {
+    let CallOutcome::Problem(problem) = told else {
         panic!("not told: {told:?}");
     };
     let problem = serde_json::to_value(&problem).expect("JSON");
--- a/crates/rookferry_entry/tests/configuration.rs
+++ b/crates/rookferry_entry/tests/configuration.rs
@@ -7,7 +7,7 @@
 use std::process::Command;
 
 use rookferry_net::Platform;
-use rookferry_standin::Ending;
+use rookferry_standin::CallOutcome;
 use rookferry_wire::CONFIG_KIND;
 use rookferry_wire::CONFIG_NAME;
 use rookferry_wire::PutRequest;
@@ -93,7 +93,7 @@
         .caller()
         .complete(site.entries[2].callers, &request("cut off", 4, false), None)
         .await;
-    assert!(matches!(ending, Ending::Answered(_)), "{ending:?}");
+    assert!(matches!(ending, CallOutcome::Answered(_)), "{ending:?}");
 }
 
 /// With the platform out, what was in force stays, and requests go on.
@@ -110,7 +110,7 @@
             .caller()
             .complete(entry.callers, &request("in an outage", 4, false), None)
             .await;
-        assert!(matches!(ending, Ending::Answered(_)), "{ending:?}");
+        assert!(matches!(ending, CallOutcome::Answered(_)), "{ending:?}");
         let status = site.status(entry).await.expect("a status");
         assert_eq!(status["config_version"].as_u64(), Some(version));
     }
@@ -131,7 +131,7 @@
         .caller()
         .complete(entry.callers, &request("too early", 4, false), None)
         .await;
-    let Ending::Told(problem) = ending else {
+    let CallOutcome::Problem(problem) = ending else {
         panic!("not told: {ending:?}");
     };
     assert_eq!(problem.reason, rookferry_wire::ReasonCode::NotReady);
@@ -156,7 +156,7 @@
             None,
         )
         .await;
-    assert!(matches!(ending, Ending::Answered(_)), "{ending:?}");
+    assert!(matches!(ending, CallOutcome::Answered(_)), "{ending:?}");
     assert_ne!(good.as_u64(), Some(next));
 }
 
--- a/crates/rookferry_entry/tests/crashing.rs
+++ b/crates/rookferry_entry/tests/crashing.rs
@@ -10,7 +10,7 @@
 use http::Request;
 use http_body_util::BodyExt;
 use http_body_util::Full;
-use rookferry_standin::Ending;
+use rookferry_standin::CallOutcome;
 use rookferry_wire::Outcome;
 use rookferry_wire::ReasonCode;
 use rstest::rstest;
@@ -41,7 +41,7 @@
         eventually("another call is served", async || {
             let body = request("another prompt", TOKENS, false);
             let ending = site.caller().complete(entry.callers, &body, None).await;
-            matches!(ending, Ending::Answered(answer) if !answer.tokens.is_empty())
+            matches!(ending, CallOutcome::Answered(answer) if !answer.tokens.is_empty())
         })
         .await;
     }
@@ -76,7 +76,7 @@
     }
     let ends = engine_ends(&site).await;
     assert!(ends <= MAX_ENDS, "{ends} engines ended under one call");
-    let Some(Ending::Told(problem)) = last else {
+    let Some(CallOutcome::Problem(problem)) = last else {
         panic!("not told: {last:?}");
     };
     assert_eq!(problem.reason, ReasonCode::Quarantined);
@@ -144,7 +144,7 @@
             }
         };
         let (ending, ()) = tokio::join!(asked, ends);
-        let Ending::Answered(answer) = ending else {
+        let CallOutcome::Answered(answer) = ending else {
             panic!("not answered: {ending:?}");
         };
         assert_whole(&answer, "a bystander", 40);
--- a/crates/rookferry_entry/tests/keyed.rs
+++ b/crates/rookferry_entry/tests/keyed.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use http::Method;
+use rookferry_standin::CallOutcome;
 use rookferry_standin::Caller;
-use rookferry_standin::Ending;
 use rookferry_wire::Outcome;
 use rookferry_wire::Problem;
 use rookferry_wire::ReasonCode;
@@ -26,9 +26,9 @@
     Uuid::now_v7().to_string()
 }
 
-fn told(ending: Ending) -> Problem {
+fn told(ending: CallOutcome) -> Problem {
     match ending {
-        Ending::Told(problem) => problem,
+        CallOutcome::Problem(problem) => problem,
         other => panic!("not told: {other:?}"),
     }
 }
@@ -39,7 +39,7 @@
     entry: &EntryProcess,
     prompt: &str,
     key: &str,
-) -> tokio::task::JoinHandle<Ending> {
+) -> tokio::task::JoinHandle<CallOutcome> {
     let caller = site.caller();
     let addr = entry.callers;
     let body = request(prompt, TOKENS, false);
@@ -48,11 +48,11 @@
 }
 
 /// Comes back with a key until there is an answer or a final word.
-async fn come_back(site: &TestSite, entry: &EntryProcess, prompt: &str, key: &str) -> Ending {
+async fn come_back(site: &TestSite, entry: &EntryProcess, prompt: &str, key: &str) -> CallOutcome {
     loop {
         let ending = send(site, entry, prompt, key).await.expect("an ending");
         match &ending {
-            Ending::Told(problem) if problem.outcome == Outcome::Running => {
+            CallOutcome::Problem(problem) if problem.outcome == Outcome::Running => {
                 tokio::time::sleep(Duration::from_millis(30)).await;
             }
             _ => return ending,
@@ -70,7 +70,7 @@
     let (prompt, key) = ("write the rule", key());
     let mut ids = Vec::new();
     for entry in [&site.entries[0], &site.entries[0], &site.entries[1]] {
-        let Ending::Answered(answer) = come_back(&site, entry, prompt, &key).await else {
+        let CallOutcome::Answered(answer) = come_back(&site, entry, prompt, &key).await else {
             panic!("no answer");
         };
         assert_whole(&answer, prompt, TOKENS);
@@ -96,7 +96,7 @@
         (Outcome::Running, ReasonCode::KeyRunning)
     );
     assert!(again.retry_after_ms.is_some());
-    assert!(matches!(first.await, Ok(Ending::Answered(_))));
+    assert!(matches!(first.await, Ok(CallOutcome::Answered(_))));
     assert_eq!(site.streams_of(prompt).await, 1);
 }
 
@@ -108,7 +108,7 @@
     let site = TestSite::start(2).await;
     let key = key();
     let first = come_back(&site, &site.entries[0], "one body", &key).await;
-    assert!(matches!(first, Ending::Answered(_)));
+    assert!(matches!(first, CallOutcome::Answered(_)));
     let problem = told(come_back(&site, &site.entries[other], "another body", &key).await);
     assert_eq!(
         (problem.outcome, problem.reason),
@@ -137,7 +137,7 @@
         .await;
     assert!(matches!(
         (own, others),
-        (Ending::Answered(_), Ending::Answered(_))
+        (CallOutcome::Answered(_), CallOutcome::Answered(_))
     ));
 }
 
@@ -156,9 +156,9 @@
     })
     .await;
     site.entries[0].kill();
-    assert!(matches!(first.await, Ok(Ending::Cut(_))));
+    assert!(matches!(first.await, Ok(CallOutcome::Cut(_))));
     let ending = come_back(&site, &site.entries[1], prompt, &key).await;
-    let Ending::Answered(answer) = ending else {
+    let CallOutcome::Answered(answer) = ending else {
         panic!("no answer: {ending:?}");
     };
     assert_whole(&answer, prompt, TOKENS);
@@ -180,15 +180,16 @@
         status["members"][0]["state"] == "suspect"
     })
     .await;
-    let Ending::Answered(answer) = come_back(&site, &site.entries[1], prompt, &key).await else {
+    let CallOutcome::Answered(answer) = come_back(&site, &site.entries[1], prompt, &key).await
+    else {
         panic!("no answer");
     };
     assert_whole(&answer, prompt, TOKENS);
     site.entries[0].wake();
     match first.await.expect("an ending") {
-        Ending::Answered(answer) => assert_whole(&answer, prompt, TOKENS),
-        Ending::Told(problem) => assert_ne!(problem.outcome, Outcome::NotRun),
-        Ending::Cut(_) => {}
+        CallOutcome::Answered(answer) => assert_whole(&answer, prompt, TOKENS),
+        CallOutcome::Problem(problem) => assert_ne!(problem.outcome, Outcome::NotRun),
+        CallOutcome::Cut(_) => {}
     }
     assert_eq!(site.streams_of(prompt).await, 1);
     assert_no_repeats(&site.ledgers().await);
@@ -221,7 +222,8 @@
     let first = send(&site, &site.entries[0], prompt, &key);
     eventually("it runs", async || runs(&site, prompt).await).await;
     first.abort();
-    let Ending::Answered(answer) = come_back(&site, &site.entries[0], prompt, &key).await else {
+    let CallOutcome::Answered(answer) = come_back(&site, &site.entries[0], prompt, &key).await
+    else {
         panic!("no answer");
     };
     assert_whole(&answer, prompt, TOKENS);
@@ -254,7 +256,7 @@
     let ticket = problem.ticket.expect("a ticket");
     for _ in 0..2 {
         let ending = come_back(&site, &site.entries[via], prompt, &ticket).await;
-        let Ending::Answered(answer) = ending else {
+        let CallOutcome::Answered(answer) = ending else {
             panic!("no answer: {ending:?}");
         };
         assert_whole(&answer, prompt, TOKENS);
@@ -294,7 +296,7 @@
     site.platform_fault(fault).await;
     for entry in &site.entries {
         let ending = come_back(&site, entry, prompt, &key).await;
-        let Ending::Answered(answer) = ending else {
+        let CallOutcome::Answered(answer) = ending else {
             panic!("no answer: {ending:?}");
         };
         assert_whole(&answer, prompt, TOKENS);
@@ -316,11 +318,11 @@
             .collect();
         for racer in racers {
             match racer.await.expect("an ending") {
-                Ending::Answered(answer) => assert_whole(&answer, &prompt, TOKENS),
-                Ending::Told(problem) => {
+                CallOutcome::Answered(answer) => assert_whole(&answer, &prompt, TOKENS),
+                CallOutcome::Problem(problem) => {
                     assert_eq!(problem.outcome, Outcome::Running, "{problem:?}");
                 }
-                Ending::Cut(message) => panic!("cut: {message}"),
+                CallOutcome::Cut(message) => panic!("cut: {message}"),
             }
         }
         assert_eq!(site.streams_of(&prompt).await, 1);
@@ -337,7 +339,7 @@
     eventually("it runs", async || runs(&site, prompt).await).await;
     site.engine_fault("s1-1", json!({"dead": true})).await;
     let ending = first.await.expect("an ending");
-    assert!(matches!(&ending, Ending::Answered(_)), "{ending:?}");
+    assert!(matches!(&ending, CallOutcome::Answered(_)), "{ending:?}");
     assert_eq!(site.streams_of(prompt).await, 1);
 }
 
@@ -395,6 +397,6 @@
                 None,
             )
             .await;
-        assert!(matches!(ending, Ending::Answered(_)), "{ending:?}");
+        assert!(matches!(ending, CallOutcome::Answered(_)), "{ending:?}");
     }
 }
--- a/crates/rookferry_entry/tests/leaving.rs
+++ b/crates/rookferry_entry/tests/leaving.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use rookferry_standin::Ending;
+use rookferry_standin::CallOutcome;
 use rookferry_wire::InstanceKind;
 use rstest::rstest;
 use serde_json::json;
@@ -103,7 +103,7 @@
                 None,
             )
             .await;
-        assert!(matches!(ending, Ending::Answered(_)), "{ending:?}");
+        assert!(matches!(ending, CallOutcome::Answered(_)), "{ending:?}");
     }
     assert_eq!(
         streams(&site, "s1-1").await,
@@ -112,7 +112,7 @@
     );
     for task in running {
         let (ending, prompt) = task.await.expect("an ending");
-        let Ending::Answered(answer) = ending else {
+        let CallOutcome::Answered(answer) = ending else {
             panic!("cut: {ending:?}");
         };
         assert_whole(&answer, &prompt, 60);
@@ -149,7 +149,7 @@
     }
     for task in running {
         let (ending, prompt) = task.await.expect("an ending");
-        let Ending::Answered(answer) = ending else {
+        let CallOutcome::Answered(answer) = ending else {
             panic!("cut: {ending:?}");
         };
         assert_whole(&answer, &prompt, 80);
@@ -200,7 +200,7 @@
                 None,
             )
             .await;
-        assert!(matches!(ending, Ending::Answered(_)), "{ending:?}");
+        assert!(matches!(ending, CallOutcome::Answered(_)), "{ending:?}");
         let ledger: rookferry_standin::Ledger = site
             .client
             .get(server.addr, "/admin/ledger", Duration::from_secs(5))
--- a/crates/rookferry_entry/tests/path.rs
+++ b/crates/rookferry_entry/tests/path.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use http::Method;
+use rookferry_standin::CallOutcome;
 use rookferry_standin::Caller;
-use rookferry_standin::Ending;
 use rookferry_wire::Outcome;
 use rookferry_wire::ReasonCode;
 use rstest::rstest;
@@ -35,7 +35,7 @@
                 None,
             )
             .await;
-        let Ending::Answered(answer) = ending else {
+        let CallOutcome::Answered(answer) = ending else {
             panic!("no answer: {ending:?}");
         };
         assert_whole(&answer, &prompt, 8);
@@ -62,7 +62,7 @@
             let prompt = format!("caller {number}");
             let body = request(&prompt, 6, number % 3 == 0);
             let ending = caller.complete(addr, &body, None).await;
-            let Ending::Answered(answer) = ending else {
+            let CallOutcome::Answered(answer) = ending else {
                 panic!("no answer: {ending:?}");
             };
             assert_whole(&answer, &prompt, 6);
@@ -87,7 +87,7 @@
             None,
         )
         .await;
-    let Ending::Answered(answer) = ending else {
+    let CallOutcome::Answered(answer) = ending else {
         panic!("no answer: {ending:?}");
     };
     assert!(
@@ -223,7 +223,7 @@
             None,
         )
         .await;
-    assert!(matches!(ending, Ending::Cut(_)), "{ending:?}");
+    assert!(matches!(ending, CallOutcome::Cut(_)), "{ending:?}");
     eventually("the engines are freed", async || {
         let ledgers = site.ledgers().await;
         let mut streams = ledgers.iter().flat_map(|ledger| ledger.streams.values());
@@ -249,7 +249,7 @@
         .caller()
         .complete(site.entries[0].callers, &request("x", 4, false), None)
         .await;
-    let Ending::Told(problem) = ending else {
+    let CallOutcome::Problem(problem) = ending else {
         panic!("not told: {ending:?}");
     };
     assert_eq!(
--- a/crates/rookferry_entry/tests/soak.rs
+++ b/crates/rookferry_entry/tests/soak.rs
@@ -11,7 +11,7 @@
 
 use rookferry_standin::Arrivals;
 use rookferry_standin::CallKind;
-use rookferry_standin::Ending;
+use rookferry_standin::CallOutcome;
 use rookferry_standin::LoadAccount;
 use rookferry_standin::LoadPlan;
 use rookferry_standin::LoadRun;
@@ -122,7 +122,7 @@
     }
     let calls = site.app_calls().await;
     for request in &run.requests {
-        if let Ending::Answered(_) = &request.ending {
+        if let CallOutcome::Answered(_) = &request.outcome {
             assert!(request.is_correct, "wrong: {request:?}");
         }
         let ran = streams.get(&request.prompt).map_or(0, Vec::len);
@@ -143,7 +143,7 @@
     assert!(calls.values().all(|count| *count <= 3), "{calls:?}");
     let lost = run.requests.iter().filter(|request| {
         let is_once = request.kind == CallKind::Once;
-        is_once && matches!(&request.ending, Ending::Told(problem) if problem.outcome == Outcome::Running)
+        is_once && matches!(&request.outcome, CallOutcome::Problem(problem) if problem.outcome == Outcome::Running)
     });
     assert_eq!(lost.count(), 0, "a key that runs for ever");
 }
--- a/crates/rookferry_entry/tests/support/mod.rs
+++ b/crates/rookferry_entry/tests/support/mod.rs
@@ -16,7 +16,7 @@
 use rookferry_net::HttpClient;
 use rookferry_net::HttpPlatform;
 use rookferry_net::Platform;
-use rookferry_standin::Answer;
+use rookferry_standin::CallResponse;
 use rookferry_standin::Caller;
 use rookferry_standin::EngineConfig;
 use rookferry_standin::Ledger;
@@ -24,7 +24,7 @@
 use rookferry_standin::Site;
 use rookferry_standin::SiteSpec;
 use rookferry_standin::reference_answer;
-use rookferry_standin::tokens_of;
+use rookferry_standin::tokenize;
 use rookferry_wire::CONFIG_KIND;
 use rookferry_wire::CONFIG_NAME;
 use rookferry_wire::CompletionRequest;
@@ -393,7 +393,7 @@
 
     /// How many streams ran a prompt.
     pub async fn streams_of(&self, prompt: &str) -> usize {
-        let digest = rookferry_standin::prompt_digest(&tokens_of(prompt));
+        let digest = rookferry_standin::prompt_digest(&tokenize(prompt));
         let ledgers = self.ledgers().await;
         let streams = ledgers.iter().flat_map(|ledger| &ledger.streams);
         let mut streams: Vec<_> = streams
@@ -452,10 +452,10 @@
 
 /// The tokens of a prompt's answer by a plain loop.
 pub fn expected(prompt: &str, max_tokens: u32) -> Vec<u64> {
-    reference_answer(LAYERS, &tokens_of(prompt), max_tokens)
+    reference_answer(LAYERS, &tokenize(prompt), max_tokens)
 }
 
-pub fn assert_whole(answer: &Answer, prompt: &str, max_tokens: u32) {
+pub fn assert_whole(answer: &CallResponse, prompt: &str, max_tokens: u32) {
     assert_eq!(answer.tokens, expected(prompt, max_tokens));
 }
 
--- a/crates/rookferry_experiment/src/policies.rs
+++ b/crates/rookferry_experiment/src/policies.rs
@@ -1,8 +1,8 @@
 //! Throughput as a share of its upper bound, for the default routing policy and the
 //! baseline policies, on the same site.
 
-use rookferry_standin::LoadReportOut;
 use rookferry_standin::LoadRun;
+use rookferry_standin::LoadRunReport;
 use rookferry_standin::Mix;
 use serde::Serialize;
 use serde_json::Value;
@@ -89,7 +89,7 @@
     figures(policy, load, bound, &report)
 }
 
-fn figures(policy: &str, load: f64, bound: u64, report: &LoadReportOut) -> RunFigures {
+fn figures(policy: &str, load: f64, bound: u64, report: &LoadRunReport) -> RunFigures {
     let sum =
         |pick: fn(&rookferry_standin::KindReport) -> u64| report.kinds.values().map(pick).sum();
     let streamed = report
--- a/crates/rookferry_experiment/src/recovery.rs
+++ b/crates/rookferry_experiment/src/recovery.rs
@@ -131,7 +131,7 @@
         .unwrap_or_default();
     let recovery = run
         .report
-        .recovery(Duration::from_millis(fault_at_ms), RECOVERED);
+        .recovery_time(Duration::from_millis(fault_at_ms), RECOVERED);
     let figures = RunFigures {
         fault: name.to_owned(),
         recovery_ms: recovery.map(|time| u64::try_from(time.as_millis()).unwrap_or(u64::MAX)),
--- a/crates/rookferry_standin/src/admin.rs
+++ b/crates/rookferry_standin/src/admin.rs
@@ -106,7 +106,7 @@
 
     /// Whether this work crashes the stand-in, because it contains the configured text.
     #[must_use]
-    pub fn ends_under(&self, work: &[u8]) -> bool {
+    pub fn crashes_on(&self, work: &[u8]) -> bool {
         let faults = self.lock();
         let text = faults.ends_under.as_deref().map(str::as_bytes);
         text.is_some_and(|text| work.windows(text.len()).any(|part| part == text))
@@ -134,7 +134,7 @@
 
     /// Whether the response of this call is lost; counts down `lose_answers`.
     #[must_use]
-    pub fn loses_answer(&self) -> bool {
+    pub fn drops_response(&self) -> bool {
         let mut faults = self.lock();
         let is_lost = faults.lose_answers > 0;
         faults.lose_answers = faults.lose_answers.saturating_sub(1);
@@ -142,7 +142,7 @@
     }
 
     /// Waits until the stand-in isn't frozen, then for the configured delay.
-    pub async fn pass(&self) {
+    pub async fn delay_message(&self) {
         loop {
             let changed = self.changed.notified();
             let (is_frozen, delay) = {
--- a/crates/rookferry_standin/src/app.rs
+++ b/crates/rookferry_standin/src/app.rs
@@ -155,7 +155,7 @@
     if let Some(refusal) = app.faults.refusal_with_backoff() {
         return refusal;
     }
-    app.faults.pass().await;
+    app.faults.delay_message().await;
     if app.faults.is_dead() {
         return broken_connection();
     }
@@ -167,12 +167,12 @@
         let mut ledger = app.ledger.lock().unwrap_or_else(PoisonError::into_inner);
         *ledger.entry(call).or_default() += 1;
     }
-    if app.faults.ends_under(&body) {
+    if app.faults.crashes_on(&body) {
         app.ended.notify_one();
         return broken_connection();
     }
     tokio::time::sleep(Duration::from_micros(app.config.call_us)).await;
-    if app.faults.is_dead() || app.faults.loses_answer() {
+    if app.faults.is_dead() || app.faults.drops_response() {
         return broken_connection();
     }
     let answer = AppAnswer {
--- a/crates/rookferry_standin/src/bin/rookferry-load.rs
+++ b/crates/rookferry_standin/src/bin/rookferry-load.rs
@@ -50,7 +50,7 @@
     let done = LoadRun::run(plan).await;
     if args.show {
         for request in &done.requests {
-            println!("{:?} {}", request.kind, show(&request.ending));
+            println!("{:?} {}", request.kind, show(&request.outcome));
         }
     }
     print!("{}", done.report.to_text());
@@ -66,14 +66,14 @@
     Ok(is_sound && !done.requests.is_empty())
 }
 
-fn show(ending: &rookferry_standin::Ending) -> String {
-    match ending {
-        rookferry_standin::Ending::Answered(answer) => {
+fn show(outcome: &rookferry_standin::CallOutcome) -> String {
+    match outcome {
+        rookferry_standin::CallOutcome::Answered(answer) => {
             format!("{} {:?} {}", answer.id, answer.tokens, answer.body)
         }
-        rookferry_standin::Ending::Told(problem) => {
+        rookferry_standin::CallOutcome::Problem(problem) => {
             format!("{} {}", problem.request_id, problem.detail)
         }
-        rookferry_standin::Ending::Cut(message) => format!("cut: {message}"),
+        rookferry_standin::CallOutcome::Cut(message) => format!("cut: {message}"),
     }
 }
--- a/crates/rookferry_standin/src/engine/server.rs
+++ b/crates/rookferry_standin/src/engine/server.rs
@@ -253,7 +253,7 @@
     if app.faults.is_dead() {
         return broken_connection();
     }
-    if batch.steps.iter().any(|step| app.ends_under(step)) {
+    if batch.steps.iter().any(|step| app.crashes_on(step)) {
         app.end_for_a_while();
         return broken_connection();
     }
@@ -271,7 +271,7 @@
         results.push(result);
     }
     app.cross_link().await;
-    if app.faults.is_dead() || app.faults.loses_answer() {
+    if app.faults.is_dead() || app.faults.drops_response() {
         return broken_connection();
     }
     json_response(StatusCode::OK, &StepBatchResponse { results })
@@ -298,7 +298,7 @@
         Ok(request) => request,
         Err(refused) => return refused,
     };
-    app.faults.pass().await;
+    app.faults.delay_message().await;
     let pages = app.lock().stage.export(request.stream);
     match pages {
         Some(pages) if !app.faults.is_dead() => json_response(StatusCode::OK, &pages),
@@ -427,7 +427,7 @@
 
     /// Waits for the link delay, and while a fault delays or suspends messages.
     async fn cross_link(&self) {
-        self.faults.pass().await;
+        self.faults.delay_message().await;
         if self.config.link_us > 0 {
             tokio::time::sleep(Duration::from_micros(self.config.link_us)).await;
         }
@@ -448,12 +448,12 @@
     }
 
     /// Whether the tokens of a step contain the text that crashes the engine.
-    fn ends_under(&self, step: &Step) -> bool {
+    fn crashes_on(&self, step: &Step) -> bool {
         let bytes = step.input.iter();
         let bytes: Vec<u8> = bytes
             .map(|token| u8::try_from(*token).unwrap_or(0))
             .collect();
-        self.faults.ends_under(&bytes)
+        self.faults.crashes_on(&bytes)
     }
 
     /// Simulates a crash; the next incarnation serves after `DOWN`.
@@ -516,7 +516,7 @@
         let step_us = app.config.step_us + u64::from(extra) * app.config.position_us;
         last_end += Duration::from_micros(step_us);
         tokio::time::sleep_until(last_end).await;
-        app.faults.pass().await;
+        app.faults.delay_message().await;
         if app.faults.is_dead() {
             continue;
         }
--- a/crates/rookferry_standin/src/layers.rs
+++ b/crates/rookferry_standin/src/layers.rs
@@ -7,7 +7,7 @@
 //! the expected output with a plain loop over all layers.
 
 /// Number of distinct output tokens; the last layer's activation is reduced modulo it.
-pub const TOKENS: u64 = 50_021;
+pub const VOCABULARY_SIZE: u64 = 50_021;
 
 /// Runs one layer at one position; `before` is its KV at the previous position, 0 at
 /// the first. Returns the KV, which is also the output activation.
@@ -20,7 +20,7 @@
 /// Converts the last layer's activation to a token.
 #[must_use]
 pub const fn final_token(activation: u64) -> u64 {
-    activation % TOKENS
+    activation % VOCABULARY_SIZE
 }
 
 /// The tokens that a model with `layers` layers generates for a prompt.
--- a/crates/rookferry_standin/src/load/caller.rs
+++ b/crates/rookferry_standin/src/load/caller.rs
@@ -18,18 +18,18 @@
 
 /// Outcome of a request, as the client sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ending {
+pub enum CallOutcome {
     /// A complete answer.
-    Answered(Answer),
+    Answered(CallResponse),
     /// An error response (problem document or error event) of the entry instance.
-    Told(Problem),
+    Problem(Problem),
     /// The connection broke, the response was invalid, or it timed out; gives the cause.
     Cut(String),
 }
 
 /// A complete answer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Answer {
+pub struct CallResponse {
     /// Request id that the entry instance assigned.
     pub id: String,
     /// Generated tokens; empty for plain services.
@@ -52,7 +52,7 @@
 
 /// Tokenizes a text as the fake model does: one token per byte.
 #[must_use]
-pub fn tokens_of(text: &str) -> Vec<u64> {
+pub fn tokenize(text: &str) -> Vec<u64> {
     text.bytes().map(u64::from).collect()
 }
 
@@ -73,7 +73,7 @@
         addr: SocketAddr,
         body: &CompletionRequest,
         once: Option<&str>,
-    ) -> Ending {
+    ) -> CallOutcome {
         let json = serde_json::to_vec(body).unwrap_or_default();
         let mut request = self.request(Method::POST, addr, "/v1/completions");
         if let Some(key) = once {
@@ -92,7 +92,7 @@
         path: &str,
         body: &str,
         once: Option<&str>,
-    ) -> Ending {
+    ) -> CallOutcome {
         let mut request = self.request(method, addr, path);
         if let Some(key) = once {
             request = request
@@ -117,14 +117,14 @@
         request: http::request::Builder,
         body: Bytes,
         is_stream: bool,
-    ) -> Ending {
+    ) -> CallOutcome {
         let Ok(request) = request.body(Full::new(body)) else {
-            return Ending::Cut("invalid request".to_owned());
+            return CallOutcome::Cut("invalid request".to_owned());
         };
         let whole = self.read_ending(addr, request, is_stream);
         match tokio::time::timeout(self.patience, whole).await {
-            Ok(ending) => ending,
-            Err(_) => Ending::Cut("timed out before the answer was complete".to_owned()),
+            Ok(outcome) => outcome,
+            Err(_) => CallOutcome::Cut("timed out before the answer was complete".to_owned()),
         }
     }
 
@@ -133,11 +133,11 @@
         addr: SocketAddr,
         request: Request<Full<Bytes>>,
         is_stream: bool,
-    ) -> Ending {
+    ) -> CallOutcome {
         let sent_at = Instant::now();
         let response = match self.client.send(addr, request, self.patience).await {
             Ok(response) => response,
-            Err(error) => return Ending::Cut(error.to_string()),
+            Err(error) => return CallOutcome::Cut(error.to_string()),
         };
         let (head, mut body) = response.into_parts();
         let id = head.headers.get("rookferry-request-id");
@@ -151,7 +151,7 @@
         while let Some(frame) = body.frame().await {
             let frame = match frame {
                 Ok(frame) => frame,
-                Err(error) => return Ending::Cut(error.to_string()),
+                Err(error) => return CallOutcome::Cut(error.to_string()),
             };
             let Ok(data) = frame.into_data() else {
                 continue;
@@ -168,25 +168,25 @@
         let text = String::from_utf8_lossy(&bytes).into_owned();
         if !head.status.is_success() {
             return match serde_json::from_str(&text) {
-                Ok(problem) => Ending::Told(problem),
-                Err(error) => Ending::Cut(format!(
+                Ok(problem) => CallOutcome::Problem(problem),
+                Err(error) => CallOutcome::Cut(format!(
                     "status {} without a valid problem document: {error}",
                     head.status
                 )),
             };
         }
-        Ending::Answered(whole_answer(id, text))
+        CallOutcome::Answered(whole_answer(id, text))
     }
 }
 
-fn whole_answer(id: String, text: String) -> Answer {
+fn whole_answer(id: String, text: String) -> CallResponse {
     let tokens = serde_json::from_str::<CompletionResponse>(&text)
         .map_or_else(|_| Vec::new(), |body| body.tokens);
-    Answer {
+    CallResponse {
         id,
         tokens,
         body: text,
-        ..Answer::default()
+        ..CallResponse::default()
     }
 }
 
@@ -194,7 +194,7 @@
 struct StreamReader {
     buffer: String,
     last_at: Instant,
-    answer: Answer,
+    answer: CallResponse,
     is_done: bool,
     problem: Option<Problem>,
     fault: Option<String>,
@@ -205,9 +205,9 @@
         Self {
             buffer: String::new(),
             last_at: sent_at,
-            answer: Answer {
+            answer: CallResponse {
                 id,
-                ..Answer::default()
+                ..CallResponse::default()
             },
             is_done: false,
             problem: None,
@@ -258,16 +258,16 @@
         self.answer.tokens.push(token);
     }
 
-    fn finish(self) -> Ending {
+    fn finish(self) -> CallOutcome {
         if let Some(fault) = self.fault {
-            return Ending::Cut(fault);
+            return CallOutcome::Cut(fault);
         }
         if let Some(problem) = self.problem {
-            return Ending::Told(problem);
+            return CallOutcome::Problem(problem);
         }
         if !self.is_done {
-            return Ending::Cut("the stream ended before [DONE]".to_owned());
+            return CallOutcome::Cut("the stream ended before [DONE]".to_owned());
         }
-        Ending::Answered(self.answer)
+        CallOutcome::Answered(self.answer)
     }
 }
--- a/crates/rookferry_standin/src/load/report.rs
+++ b/crates/rookferry_standin/src/load/report.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use super::CallKind;
-use super::Ending;
+use super::CallOutcome;
 
 /// Width of the timeline's buckets.
 pub(super) const BUCKET: Duration = Duration::from_millis(100);
@@ -55,7 +55,7 @@
 
 /// Report of a load run.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct LoadReportOut {
+pub struct LoadRunReport {
     /// Outcomes and latencies by kind of request.
     pub kinds: BTreeMap<CallKind, KindReport>,
     /// Correct answers by client account.
@@ -86,7 +86,7 @@
 /// Collects the outcomes of a run.
 #[derive(Debug, Default)]
 pub(super) struct Collector {
-    report: LoadReportOut,
+    report: LoadRunReport,
     times: BTreeMap<CallKind, Times>,
     tokens: u64,
     answers: u64,
@@ -114,7 +114,7 @@
         self.report.notes.push(note.to_owned());
     }
 
-    pub(super) fn add(&mut self, measured: &Measured<'_>, ending: &Ending) {
+    pub(super) fn add(&mut self, measured: &Measured<'_>, outcome: &CallOutcome) {
         let sent = self
             .report
             .sent_by_account
@@ -122,10 +122,10 @@
         *sent.or_default() += 1;
         let kind = self.report.kinds.entry(measured.kind).or_default();
         kind.sent += 1;
-        match ending {
-            Ending::Answered(_) if measured.is_correct => kind.correct += 1,
-            Ending::Answered(_) => kind.wrong += 1,
-            Ending::Told(problem) => {
+        match outcome {
+            CallOutcome::Answered(_) if measured.is_correct => kind.correct += 1,
+            CallOutcome::Answered(_) => kind.wrong += 1,
+            CallOutcome::Problem(problem) => {
                 let reason = format!("{:?}", problem.reason);
                 *kind.reasons.entry(reason).or_default() += 1;
                 if problem.outcome == rookferry_wire::Outcome::NotRun {
@@ -134,18 +134,18 @@
                     kind.unknown += 1;
                 }
             }
-            Ending::Cut(message) => {
+            CallOutcome::Cut(message) => {
                 kind.cut += 1;
                 *kind.reasons.entry(format!("cut: {message}")).or_default() += 1;
             }
         }
         if measured.is_correct {
-            self.add_times(measured, ending);
+            self.add_times(measured, outcome);
         }
     }
 
-    fn add_times(&mut self, measured: &Measured<'_>, ending: &Ending) {
-        let Ending::Answered(answer) = ending else {
+    fn add_times(&mut self, measured: &Measured<'_>, outcome: &CallOutcome) {
+        let CallOutcome::Answered(answer) = outcome else {
             return;
         };
         let correct = self
@@ -168,7 +168,7 @@
     }
 
     /// Counts each token at its arrival time; without streaming, at the end.
-    fn add_to_timeline(&mut self, ended_at: Duration, answer: &super::Answer) {
+    fn add_to_timeline(&mut self, ended_at: Duration, answer: &super::CallResponse) {
         let mut at = ended_at;
         let mut gaps = answer.gaps.iter().rev();
         for _ in &answer.tokens {
@@ -181,7 +181,7 @@
         }
     }
 
-    pub(super) fn finish(mut self, duration: Duration) -> LoadReportOut {
+    pub(super) fn finish(mut self, duration: Duration) -> LoadRunReport {
         let within = usize::try_from(duration.as_millis() / BUCKET.as_millis()).unwrap_or(0);
         // The first quarter is skipped, because the site is still warming up.
         let skipped = within / 4;
@@ -209,7 +209,7 @@
     }
 }
 
-impl LoadReportOut {
+impl LoadRunReport {
     /// Formats the report as text.
     #[must_use]
     pub fn to_text(&self) -> String {
@@ -262,7 +262,7 @@
     /// before it (without the first third, the warm-up), over half a second; `None` if
     /// they never are.
     #[must_use]
-    pub fn recovery(&self, fault_at: Duration, share: f64) -> Option<Duration> {
+    pub fn recovery_time(&self, fault_at: Duration, share: f64) -> Option<Duration> {
         let fault = usize::try_from(fault_at.as_millis() / BUCKET.as_millis()).ok()?;
         let before = self.timeline.get(..fault)?;
         let warm = before.get(before.len() / 3..)?;
--- a/crates/rookferry_standin/src/load/run.rs
+++ b/crates/rookferry_standin/src/load/run.rs
@@ -20,13 +20,13 @@
 use uuid::Uuid;
 
 use super::CallKind;
+use super::CallOutcome;
 use super::Caller;
-use super::Ending;
 use super::LoadPlan;
-use super::LoadReportOut;
+use super::LoadRunReport;
 use super::report::Collector;
 use super::report::Measured;
-use super::tokens_of;
+use super::tokenize;
 use crate::layers::prompt_digest;
 use crate::layers::reference_answer;
 
@@ -47,7 +47,7 @@
     /// Digest of the prompt (`prompt_digest`).
     pub prompt: u64,
     /// Outcome of the last try.
-    pub ending: Ending,
+    pub outcome: CallOutcome,
     /// Whether the answer equals the reference.
     pub is_correct: bool,
     /// Request ids of the tries with the outcome "not run".
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub struct LoadRun {
     /// Latencies, outcomes and throughput.
-    pub report: LoadReportOut,
+    pub report: LoadRunReport,
     /// The requests that were sent, in order of completion.
     pub requests: Vec<RequestLog>,
 }
@@ -196,13 +196,13 @@
     let sent_at = Instant::now();
     let mut log = RequestLog {
         kind: request.kind,
-        prompt: prompt_digest(&tokens_of(&request.body.prompt)),
-        ending: Ending::Cut("not sent".to_owned()),
+        prompt: prompt_digest(&tokenize(&request.body.prompt)),
+        outcome: CallOutcome::Cut("not sent".to_owned()),
         is_correct: false,
         not_run_ids: Vec::new(),
         tries: 0,
     };
-    let (ending, sent_last_at) = match request.kind {
+    let (outcome, sent_last_at) = match request.kind {
         CallKind::Once => try_until_told(&shared, &request, &mut log, sent_at).await,
         _ => (
             shared.try_once(&request, request.target, None).await,
@@ -210,8 +210,8 @@
         ),
     };
     log.tries = log.tries.max(1);
-    note_not_run(&ending, &mut log);
-    log.is_correct = is_correct(&shared.plan, &request, &ending);
+    note_not_run(&outcome, &mut log);
+    log.is_correct = is_correct(&shared.plan, &request, &outcome);
     let ended_at = Instant::now();
     let measured = Measured {
         kind: request.kind,
@@ -221,8 +221,8 @@
         ended_at: ended_at.saturating_duration_since(shared.start),
         is_correct: log.is_correct,
     };
-    lock(&shared.collector).add(&measured, &ending);
-    log.ending = ending;
+    lock(&shared.collector).add(&measured, &outcome);
+    log.outcome = outcome;
     lock(&shared.requests).push(log);
 }
 
@@ -233,25 +233,25 @@
     request: &Planned,
     log: &mut RequestLog,
     sent_at: Instant,
-) -> (Ending, Instant) {
+) -> (CallOutcome, Instant) {
     let mut key = Uuid::now_v7().to_string();
     let mut sent_at = sent_at;
     loop {
         log.tries += 1;
         let target = request.target + log.tries as usize - 1;
-        let ending = shared.try_once(request, target, Some(&key)).await;
-        let pause = match &ending {
-            Ending::Cut(_) => MIN_PAUSE,
-            Ending::Told(problem) if is_worth_a_return(problem.outcome, problem.reason) => {
+        let outcome = shared.try_once(request, target, Some(&key)).await;
+        let pause = match &outcome {
+            CallOutcome::Cut(_) => MIN_PAUSE,
+            CallOutcome::Problem(problem) if is_worth_a_return(problem.outcome, problem.reason) => {
                 Duration::from_millis(problem.retry_after_ms.unwrap_or(100))
             }
-            _ => return (ending, sent_at),
+            _ => return (outcome, sent_at),
         };
         if log.tries >= MAX_TRIES {
-            return (ending, sent_at);
+            return (outcome, sent_at);
         }
-        note_not_run(&ending, log);
-        if let Ending::Told(problem) = &ending
+        note_not_run(&outcome, log);
+        if let CallOutcome::Problem(problem) = &outcome
             && let Some(ticket) = &problem.ticket
         {
             key.clone_from(ticket);
@@ -269,29 +269,29 @@
     }
 }
 
-fn note_not_run(ending: &Ending, log: &mut RequestLog) {
-    if let Ending::Told(problem) = ending
+fn note_not_run(outcome: &CallOutcome, log: &mut RequestLog) {
+    if let CallOutcome::Problem(problem) = outcome
         && problem.outcome == Outcome::NotRun
     {
         log.not_run_ids.push(problem.request_id.to_string());
     }
 }
 
-fn is_correct(plan: &LoadPlan, request: &Planned, ending: &Ending) -> bool {
-    let Ending::Answered(answer) = ending else {
+fn is_correct(plan: &LoadPlan, request: &Planned, outcome: &CallOutcome) -> bool {
+    let CallOutcome::Answered(answer) = outcome else {
         return false;
     };
     match request.kind {
         CallKind::Lookup | CallKind::Submit => answer.body.contains(&request.body.prompt),
         CallKind::Whole | CallKind::Streamed | CallKind::Once => {
-            let prompt = tokens_of(&request.body.prompt);
+            let prompt = tokenize(&request.body.prompt);
             answer.tokens == reference_answer(plan.layers, &prompt, request.body.max_tokens)
         }
     }
 }
 
 impl Shared {
-    async fn try_once(&self, request: &Planned, target: usize, key: Option<&str>) -> Ending {
+    async fn try_once(&self, request: &Planned, target: usize, key: Option<&str>) -> CallOutcome {
         let caller = &self.callers[request.account];
         let addr: SocketAddr = self.plan.targets[target % self.plan.targets.len()];
         let path = format!("/apps/{}/{}", self.plan.service, request.target);
--- a/crates/rookferry_standin/src/platform/server.rs
+++ b/crates/rookferry_standin/src/platform/server.rs
@@ -226,7 +226,7 @@
     if matches!(answer, PutResponse::Written { .. }) {
         app.changed.notify_waiters();
     }
-    if app.faults.loses_answer() {
+    if app.faults.drops_response() {
         return broken_connection();
     }
     json_response(StatusCode::OK, &answer)
@@ -327,7 +327,7 @@
 
     /// Applies delays, faults and the rate limit to a call, then its latency.
     async fn enter(&self, rate: &Mutex<RateLimit>) -> Result<(), Response<Body>> {
-        self.faults.pass().await;
+        self.faults.delay_message().await;
         if self.faults.is_dead() {
             return Err(broken_connection());
         }
