--- a/crates/rookferry_standin/src/admin.rs
+++ b/crates/rookferry_standin/src/admin.rs
@@ -23,7 +23,7 @@
 use tokio::sync::Notify;
 
 /// Time until a stand-in that crashed under `Fault::ends_under` is up again.
-pub(crate) const DOWN: Duration = Duration::from_millis(300);
+pub(crate) const RESTART_DELAY: Duration = Duration::from_millis(300);
 
 /// A change to the faults of one stand-in; absent fields keep their value.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -60,7 +60,7 @@
     refusals: u32,
     /// Calls received since the last refusal with `retry_after`.
     calls_since: Option<u32>,
-    ends_under: Option<String>,
+    crash_text: Option<String>,
 }
 
 /// Active faults of a stand-in.
@@ -86,7 +86,7 @@
                 faults.calls_since = None;
             }
             if fault.ends_under.is_some() {
-                faults.ends_under.clone_from(&fault.ends_under);
+                faults.crash_text.clone_from(&fault.ends_under);
             }
         }
         self.changed.notify_waiters();
@@ -108,7 +108,7 @@
     #[must_use]
     pub fn crashes_on(&self, work: &[u8]) -> bool {
         let faults = self.lock();
-        let text = faults.ends_under.as_deref().map(str::as_bytes);
+        let text = faults.crash_text.as_deref().map(str::as_bytes);
         text.is_some_and(|text| work.windows(text.len()).any(|part| part == text))
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Calls received since the last refusal with `retry_after`; `None` before one.
-    pub(crate) fn calls_since_asked(&self) -> Option<u32> {
+    pub(crate) fn calls_since_refusal(&self) -> Option<u32> {
         self.lock().calls_since
     }
 
--- a/crates/rookferry_standin/src/app.rs
+++ b/crates/rookferry_standin/src/app.rs
@@ -34,9 +34,9 @@
 
 use crate::Fault;
 use crate::FaultState;
-use crate::admin::DOWN;
+use crate::admin::RESTART_DELAY;
 use crate::admin::broken_connection;
-use crate::platform::server::read;
+use crate::platform::server::read_json;
 
 const MAX_BODY_BYTES: usize = 1_000_000;
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
@@ -63,7 +63,7 @@
     config: AppConfig,
     faults: FaultState,
     /// Signals a simulated crash of the process.
-    ended: Notify,
+    crashed: Notify,
     /// Calls begun, by request id.
     ledger: Mutex<BTreeMap<String, u32>>,
 }
@@ -79,7 +79,7 @@
 
 /// Response body of an application engine.
 #[derive(Serialize, Deserialize)]
-struct AppAnswer {
+struct AppResponse {
     served_by: InstanceId,
     method: String,
     path: String,
@@ -100,7 +100,7 @@
             config,
             faults: FaultState::default(),
             ledger: Mutex::default(),
-            ended: Notify::new(),
+            crashed: Notify::new(),
         });
         tokio::spawn(run(app, server, addr));
         Ok(Self { instance, addr })
@@ -108,12 +108,12 @@
 }
 
 /// Serves until the process exits. After each simulated crash it restarts at the same
-/// address, `DOWN` later.
+/// address, `RESTART_DELAY` later.
 async fn run(app: Arc<App>, mut server: Server, addr: SocketAddr) {
     loop {
         let router = router(&app, server.connections());
-        server.serve(router, app.ended.notified()).await;
-        tokio::time::sleep(DOWN).await;
+        server.serve(router, app.crashed.notified()).await;
+        tokio::time::sleep(RESTART_DELAY).await;
         server = match Server::bind(addr, ConnectionLimits::default()).await {
             Ok(server) => server,
             Err(error) => {
@@ -140,7 +140,7 @@
             .to_new_handler(endpoint(app, connections, ledger));
         route
             .get("/admin/calls-since-asked")
-            .to_new_handler(endpoint(app, connections, calls_since_asked));
+            .to_new_handler(endpoint(app, connections, calls_since_refusal));
         route
             .request(methods, "/*")
             .to_new_handler(endpoint(app, connections, serve));
@@ -159,33 +159,33 @@
     if app.faults.is_dead() {
         return broken_connection();
     }
-    let call = inbound
+    let request_id = inbound
         .header("rookferry-request-id")
         .unwrap_or("direct")
         .to_owned();
     {
         let mut ledger = app.ledger.lock().unwrap_or_else(PoisonError::into_inner);
-        *ledger.entry(call).or_default() += 1;
+        *ledger.entry(request_id).or_default() += 1;
     }
     if app.faults.crashes_on(&body) {
-        app.ended.notify_one();
+        app.crashed.notify_one();
         return broken_connection();
     }
     tokio::time::sleep(Duration::from_micros(app.config.call_us)).await;
     if app.faults.is_dead() || app.faults.drops_response() {
         return broken_connection();
     }
-    let answer = AppAnswer {
+    let response = AppResponse {
         served_by: app.config.instance.clone(),
         method: inbound.method.to_string(),
         path: inbound.uri.path().to_owned(),
         body: String::from_utf8_lossy(&body).into_owned(),
     };
-    json_response(StatusCode::OK, &answer)
+    json_response(StatusCode::OK, &response)
 }
 
 async fn fault(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let fault: Fault = match read(&mut inbound).await {
+    let fault: Fault = match read_json(&mut inbound).await {
         Ok(fault) => fault,
         Err(refused) => return refused,
     };
@@ -193,8 +193,8 @@
     json_response(StatusCode::OK, &())
 }
 
-async fn calls_since_asked(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
-    json_response(StatusCode::OK, &app.faults.calls_since_asked())
+async fn calls_since_refusal(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
+    json_response(StatusCode::OK, &app.faults.calls_since_refusal())
 }
 
 async fn ledger(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
--- a/crates/rookferry_standin/src/bin/rookferry-load.rs
+++ b/crates/rookferry_standin/src/bin/rookferry-load.rs
@@ -43,27 +43,28 @@
 /// Returns whether requests were sent and none was answered wrong or cut.
 async fn run(args: Args) -> Result<bool, String> {
     let text = read_text(&args.plan).map_err(|error| error.to_string())?;
-    let plan: LoadPlan = read_json(&text).map_err(|faults| faults.to_string())?;
+    let plan: LoadPlan = read_json(&text).map_err(|errors| errors.to_string())?;
     if plan.targets.is_empty() || plan.accounts.is_empty() {
         return Err("the plan needs at least one target and one account".to_owned());
     }
-    let done = LoadRun::run(plan).await;
+    let load_run = LoadRun::run(plan).await;
     if args.show {
-        for request in &done.requests {
+        for request in &load_run.requests {
             println!("{:?} {}", request.kind, show(&request.outcome));
         }
     }
-    print!("{}", done.report.to_text());
+    print!("{}", load_run.report.to_text());
     if let Some(path) = args.report {
-        let json = serde_json::to_string_pretty(&done.report).map_err(|error| error.to_string())?;
+        let json =
+            serde_json::to_string_pretty(&load_run.report).map_err(|error| error.to_string())?;
         fs::write(path, json).map_err(|error| error.to_string())?;
     }
-    let is_sound = done
+    let all_correct = load_run
         .report
         .kinds
         .values()
         .all(|kind| kind.wrong == 0 && kind.cut == 0);
-    Ok(is_sound && !done.requests.is_empty())
+    Ok(all_correct && !load_run.requests.is_empty())
 }
 
 fn show(outcome: &rookferry_standin::CallOutcome) -> String {
--- a/crates/rookferry_standin/src/bin/rookferry-standin.rs
+++ b/crates/rookferry_standin/src/bin/rookferry-standin.rs
@@ -36,7 +36,7 @@
 
 async fn run(args: Args) -> Result<(), String> {
     let text = read_text(&args.config).map_err(|error| error.to_string())?;
-    let spec: SiteSpec = read_json(&text).map_err(|faults| faults.to_string())?;
+    let spec: SiteSpec = read_json(&text).map_err(|errors| errors.to_string())?;
     let site = Site::start(spec).await.map_err(|error| error.to_string())?;
     let addresses = serde_json::to_string(&site.addrs).map_err(|error| error.to_string())?;
     if let Some(path) = args.addresses {
--- a/crates/rookferry_standin/src/engine/cache.rs
+++ b/crates/rookferry_standin/src/engine/cache.rs
@@ -10,10 +10,10 @@
 use rookferry_wire::CacheEvents;
 
 /// Number of events that are stored; a reader that asks for older ones sees a gap.
-const KEPT_EVENTS: usize = 256;
+const MAX_EVENTS: usize = 256;
 
 #[derive(Debug)]
-struct Published {
+struct PublishedEvent {
     at: Instant,
     event: CacheEvent,
 }
@@ -23,9 +23,9 @@
 pub(super) struct PrefixCache {
     capacity: usize,
     lag: Duration,
-    held: HashSet<u64>,
-    order: VecDeque<u64>,
-    events: VecDeque<Published>,
+    cached: HashSet<u64>,
+    insertion_order: VecDeque<u64>,
+    events: VecDeque<PublishedEvent>,
     next_seq: u64,
 }
 
@@ -34,25 +34,25 @@
         Self {
             capacity: capacity.max(1),
             lag,
-            held: HashSet::new(),
-            order: VecDeque::new(),
+            cached: HashSet::new(),
+            insertion_order: VecDeque::new(),
             events: VecDeque::new(),
             next_seq: 1,
         }
     }
 
     /// Inserts a prefix; returns whether it was cached already.
-    pub(super) fn touch(&mut self, now: Instant, prefix: u64) -> bool {
-        if !self.held.insert(prefix) {
+    pub(super) fn insert_if_absent(&mut self, now: Instant, prefix: u64) -> bool {
+        if !self.cached.insert(prefix) {
             return true;
         }
-        self.order.push_back(prefix);
+        self.insertion_order.push_back(prefix);
         self.publish(now, prefix, true);
-        if self.order.len() <= self.capacity {
+        if self.insertion_order.len() <= self.capacity {
             return false;
         }
-        if let Some(oldest) = self.order.pop_front() {
-            self.held.remove(&oldest);
+        if let Some(oldest) = self.insertion_order.pop_front() {
+            self.cached.remove(&oldest);
             self.publish(now, oldest, false);
         }
         false
@@ -60,11 +60,11 @@
 
     /// Events from sequence number `from` on that are at least `lag` old.
     pub(super) fn events(&self, now: Instant, from: u64) -> CacheEvents {
-        let ripe = self
+        let visible = self
             .events
             .iter()
             .filter(|published| now.saturating_duration_since(published.at) >= self.lag);
-        let events: Vec<CacheEvent> = ripe
+        let events: Vec<CacheEvent> = visible
             .map(|published| published.event.clone())
             .filter(|event| event.seq >= from)
             .collect();
@@ -79,8 +79,8 @@
             stored,
         };
         self.next_seq += 1;
-        self.events.push_back(Published { at: now, event });
-        if self.events.len() > KEPT_EVENTS {
+        self.events.push_back(PublishedEvent { at: now, event });
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/rookferry_standin/src/engine/ledger.rs
+++ b/crates/rookferry_standin/src/engine/ledger.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    pub(super) fn ran(&mut self, stream: StreamId, position: Position) {
+    pub(super) fn record_run(&mut self, stream: StreamId, position: Position) {
         let runs = &mut self.streams.entry(stream).or_default().runs;
         let index = position as usize;
         if runs.len() <= index {
@@ -59,21 +59,21 @@
         runs[index] += 1;
     }
 
-    pub(super) fn began(&mut self, stream: StreamId, prompt: u64) {
+    pub(super) fn record_prompt(&mut self, stream: StreamId, prompt: u64) {
         self.streams.entry(stream).or_default().prompt = Some(prompt);
     }
 
-    pub(super) fn died(&mut self, streams: impl Iterator<Item = StreamId>) {
+    pub(super) fn record_state_loss(&mut self, streams: impl Iterator<Item = StreamId>) {
         for stream in streams {
             self.streams.entry(stream).or_default().has_died = true;
         }
     }
 
-    pub(super) fn refused(&mut self, stream: StreamId) {
+    pub(super) fn record_refusal(&mut self, stream: StreamId) {
         self.streams.entry(stream).or_default().refused += 1;
     }
 
-    pub(super) fn cancelled(&mut self, stream: StreamId) {
+    pub(super) fn record_cancellation(&mut self, stream: StreamId) {
         self.streams.entry(stream).or_default().cancelled = true;
     }
 }
--- a/crates/rookferry_standin/src/engine/server.rs
+++ b/crates/rookferry_standin/src/engine/server.rs
@@ -54,24 +54,24 @@
 use super::stage::StageState;
 use crate::Fault;
 use crate::FaultState;
-use crate::admin::DOWN;
+use crate::admin::RESTART_DELAY;
 use crate::admin::broken_connection;
-use crate::platform::server::read;
+use crate::platform::server::read_json;
 
 /// Number of stored load reports; `report_lag_ms` can delay reports by up to 3.2 s
 /// (64 reports at intervals of 50 ms).
-const KEPT_REPORTS: usize = 64;
+const MAX_REPORTS: usize = 64;
 /// Interval between load reports.
-const REPORT_STEP: Duration = Duration::from_millis(50);
+const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 /// Capacity of the prefix cache.
-const CACHED_PREFIXES: usize = 64;
+const PREFIX_CACHE_CAPACITY: usize = 64;
 /// Positions of a prompt that take no time if its prefix is cached.
-const CACHED_POSITIONS: u32 = 32;
+const CACHED_PREFIX_POSITIONS: u32 = 32;
 
 /// A step that waits for a batch, and the channel for its result.
-struct Queued {
+struct QueuedStep {
     step: Step,
-    answer: oneshot::Sender<StepResult>,
+    result_sender: oneshot::Sender<StepResult>,
 }
 
 /// State of the engine process; most of it is lost in a crash.
@@ -79,7 +79,7 @@
     info: EngineInfo,
     stage: StageState,
     cache: PrefixCache,
-    queue: VecDeque<Queued>,
+    queue: VecDeque<QueuedStep>,
     reports: VecDeque<(Instant, LoadReport)>,
     highest_fence: u64,
     /// Moving average of the step time.
@@ -118,7 +118,10 @@
         let inner = Inner {
             info: info(&config),
             stage: StageState::new(config.layers, config.model_layers, ledger),
-            cache: PrefixCache::new(CACHED_PREFIXES, Duration::from_millis(config.report_lag_ms)),
+            cache: PrefixCache::new(
+                PREFIX_CACHE_CAPACITY,
+                Duration::from_millis(config.report_lag_ms),
+            ),
             queue: VecDeque::new(),
             reports: VecDeque::new(),
             highest_fence: 0,
@@ -133,7 +136,7 @@
         let router = router(&app, server.connections());
         tokio::spawn(server.serve(router, std::future::pending()));
         tokio::spawn(run_batches(app.clone()));
-        tokio::spawn(note_load(app));
+        tokio::spawn(record_load(app));
         Ok(Self { engine, addr })
     }
 }
@@ -157,39 +160,43 @@
     build_simple_router(|route| {
         route
             .get("/v1/info")
-            .to_new_handler(endpoint(app, connections, paced(get_info)));
+            .to_new_handler(endpoint(app, connections, with_backoff(get_info)));
         route
             .get("/v1/load")
-            .to_new_handler(endpoint(app, connections, paced(get_load)));
+            .to_new_handler(endpoint(app, connections, with_backoff(get_load)));
         route.get("/v1/cache-events").to_new_handler(endpoint(
             app,
             connections,
-            paced(cache_events),
+            with_backoff(cache_events),
         ));
         route
             .post("/v1/steps")
-            .to_new_handler(endpoint(app, connections, paced(steps)));
+            .to_new_handler(endpoint(app, connections, with_backoff(steps)));
         route
             .post("/v1/attempts")
-            .to_new_handler(endpoint(app, connections, paced(open)));
+            .to_new_handler(endpoint(app, connections, with_backoff(open)));
         route
             .post("/v1/cancel")
-            .to_new_handler(endpoint(app, connections, paced(cancel)));
-        route
-            .post("/v1/kv/export")
-            .to_new_handler(endpoint(app, connections, paced(export)));
-        route
-            .post("/v1/kv/import")
-            .to_new_handler(endpoint(app, connections, paced(import)));
+            .to_new_handler(endpoint(app, connections, with_backoff(cancel)));
+        route.post("/v1/kv/export").to_new_handler(endpoint(
+            app,
+            connections,
+            with_backoff(export),
+        ));
+        route.post("/v1/kv/import").to_new_handler(endpoint(
+            app,
+            connections,
+            with_backoff(import),
+        ));
         route
             .post("/v1/orders")
-            .to_new_handler(endpoint(app, connections, paced(order)));
+            .to_new_handler(endpoint(app, connections, with_backoff(order)));
         route
             .get("/admin/ledger")
             .to_new_handler(endpoint(app, connections, ledger));
         route
             .get("/admin/calls-since-asked")
-            .to_new_handler(endpoint(app, connections, calls_since_asked));
+            .to_new_handler(endpoint(app, connections, calls_since_refusal));
         route
             .post("/admin/fault")
             .to_new_handler(endpoint(app, connections, fault));
@@ -197,7 +204,7 @@
 }
 
 /// Wraps a handler so that calls are refused with `Retry-After` while that fault is set.
-fn paced<R>(
+fn with_backoff<R>(
     handler: impl Fn(Arc<App>, InboundRequest) -> R + Copy,
 ) -> impl Fn(Arc<App>, InboundRequest) -> BoxFuture<'static, Response<Body>> + Copy
 where
@@ -209,22 +216,22 @@
     }
 }
 
-async fn calls_since_asked(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
-    json_response(StatusCode::OK, &app.faults.calls_since_asked())
+async fn calls_since_refusal(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
+    json_response(StatusCode::OK, &app.faults.calls_since_refusal())
 }
 
 async fn get_info(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
-    app.answer(|inner| inner.info.clone()).await
+    app.respond(|inner| inner.info.clone()).await
 }
 
 /// Returns the newest load report that is at least `report_lag_ms` old.
 async fn get_load(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
     let lag = Duration::from_millis(app.config.report_lag_ms);
-    app.answer(move |inner| {
+    app.respond(move |inner| {
         let now = Instant::now();
-        let old_enough = inner.reports.iter().rev();
-        let mut old_enough = old_enough.filter(|(at, _)| now.saturating_duration_since(*at) >= lag);
-        let Some((at, report)) = old_enough.next() else {
+        let visible = inner.reports.iter().rev();
+        let mut visible = visible.filter(|(at, _)| now.saturating_duration_since(*at) >= lag);
+        let Some((at, report)) = visible.next() else {
             return LoadReport::default();
         };
         LoadReport {
@@ -240,37 +247,37 @@
         .query_param("from")
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
-    app.answer(move |inner| inner.cache.events(Instant::now(), from))
+    app.respond(move |inner| inner.cache.events(Instant::now(), from))
         .await
 }
 
 async fn steps(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let batch: StepBatch = match read(&mut inbound).await {
+    let batch: StepBatch = match read_json(&mut inbound).await {
         Ok(batch) => batch,
         Err(refused) => return refused,
     };
-    app.cross_link().await;
+    app.delay_on_link().await;
     if app.faults.is_dead() {
         return broken_connection();
     }
     if batch.steps.iter().any(|step| app.crashes_on(step)) {
-        app.end_for_a_while();
+        app.crash_and_restart();
         return broken_connection();
     }
-    let waiting: Vec<_> = batch
+    let receivers: Vec<_> = batch
         .steps
         .into_iter()
         .map(|step| app.enqueue(step))
         .collect();
-    let mut results = Vec::with_capacity(waiting.len());
-    for answer in waiting {
+    let mut results = Vec::with_capacity(receivers.len());
+    for receiver in receivers {
         // The sender is dropped only when the engine crashes or is killed.
-        let Ok(result) = answer.await else {
+        let Ok(result) = receiver.await else {
             return broken_connection();
         };
         results.push(result);
     }
-    app.cross_link().await;
+    app.delay_on_link().await;
     if app.faults.is_dead() || app.faults.drops_response() {
         return broken_connection();
     }
@@ -278,23 +285,23 @@
 }
 
 async fn open(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let request: AttemptRequest = match read(&mut inbound).await {
+    let request: AttemptRequest = match read_json(&mut inbound).await {
         Ok(request) => request,
         Err(refused) => return refused,
     };
-    app.answer(move |inner| inner.stage.open(request)).await
+    app.respond(move |inner| inner.stage.open(request)).await
 }
 
 async fn cancel(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let request: CancelRequest = match read(&mut inbound).await {
+    let request: CancelRequest = match read_json(&mut inbound).await {
         Ok(request) => request,
         Err(refused) => return refused,
     };
-    app.answer(move |inner| inner.stage.cancel(request)).await
+    app.respond(move |inner| inner.stage.cancel(request)).await
 }
 
 async fn export(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let request: AttemptRequest = match read(&mut inbound).await {
+    let request: AttemptRequest = match read_json(&mut inbound).await {
         Ok(request) => request,
         Err(refused) => return refused,
     };
@@ -308,20 +315,20 @@
 }
 
 async fn import(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let pages: KvPages = match read(&mut inbound).await {
+    let pages: KvPages = match read_json(&mut inbound).await {
         Ok(pages) => pages,
         Err(refused) => return refused,
     };
-    app.answer(move |inner| inner.stage.import(pages)).await
+    app.respond(move |inner| inner.stage.import(pages)).await
 }
 
 async fn order(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let request: OrderRequest = match read(&mut inbound).await {
+    let request: OrderRequest = match read_json(&mut inbound).await {
         Ok(request) => request,
         Err(refused) => return refused,
     };
     let model_layers = app.config.model_layers;
-    app.answer(move |inner| inner.obey(request, model_layers))
+    app.respond(move |inner| inner.execute_order(request, model_layers))
         .await
 }
 
@@ -331,12 +338,12 @@
 }
 
 async fn fault(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let fault: Fault = match read(&mut inbound).await {
+    let fault: Fault = match read_json(&mut inbound).await {
         Ok(fault) => fault,
         Err(refused) => return refused,
     };
     if fault.dead == Some(true) {
-        app.lock().die();
+        app.lock().lose_state();
     }
     app.faults.apply(&fault);
     app.lock().info.leaving = app.faults.is_leaving();
@@ -345,15 +352,15 @@
 
 impl Inner {
     /// Loses the process state, as a crash does, and starts a new incarnation.
-    fn die(&mut self) {
-        self.stage.wipe();
+    fn lose_state(&mut self) {
+        self.stage.clear_streams();
         self.queue.clear();
         self.info.incarnation += 1;
-        self.cache = PrefixCache::new(CACHED_PREFIXES, Duration::ZERO);
+        self.cache = PrefixCache::new(PREFIX_CACHE_CAPACITY, Duration::ZERO);
     }
 
     /// Carries out an order, unless its fence is outdated.
-    fn obey(&mut self, request: OrderRequest, model_layers: u16) -> OrderResponse {
+    fn execute_order(&mut self, request: OrderRequest, model_layers: u16) -> OrderResponse {
         if self.info.checks_fences && request.fence < self.highest_fence {
             return OrderResponse::Fenced {
                 highest: self.highest_fence,
@@ -385,18 +392,18 @@
     }
 
     /// Updates the moving average of the step time, for load reports.
-    const fn note_step(&mut self, step_us: u64) {
-        const SPAN: u64 = 8;
+    const fn record_step(&mut self, step_us: u64) {
+        const WINDOW: u64 = 8;
         self.step_us = if self.step_us == 0 {
             step_us
         } else {
-            (self.step_us * (SPAN - 1) + step_us) / SPAN
+            (self.step_us * (WINDOW - 1) + step_us) / WINDOW
         };
     }
 
     /// Takes the next batch: highest priority first, within a priority by arrival.
-    fn take_batch(&mut self, slots: u32) -> Vec<Queued> {
-        let mut queue: Vec<Queued> = self.queue.drain(..).collect();
+    fn take_batch(&mut self, slots: u32) -> Vec<QueuedStep> {
+        let mut queue: Vec<QueuedStep> = self.queue.drain(..).collect();
         queue.sort_by_key(|queued| std::cmp::Reverse(queued.step.priority));
         let rest = queue.split_off(queue.len().min(slots as usize));
         self.queue.extend(rest);
@@ -404,15 +411,15 @@
     }
 
     /// Positions of a batch beyond the first of each stream, without cached ones.
-    fn extra_positions(&mut self, batch: &[Queued]) -> u32 {
+    fn extra_positions(&mut self, batch: &[QueuedStep]) -> u32 {
         let mut extra = 0;
         for queued in batch {
             let mut positions = self.stage.positions_to_run(&queued.step);
             let prefix = prefix_hash(&queued.step.input).filter(|_| queued.step.position == 0);
             if let Some(prefix) = prefix
-                && self.cache.touch(Instant::now(), prefix)
+                && self.cache.insert_if_absent(Instant::now(), prefix)
             {
-                positions = positions.saturating_sub(CACHED_POSITIONS);
+                positions = positions.saturating_sub(CACHED_PREFIX_POSITIONS);
             }
             extra += positions.saturating_sub(1);
         }
@@ -426,7 +433,7 @@
     }
 
     /// Waits for the link delay, and while a fault delays or suspends messages.
-    async fn cross_link(&self) {
+    async fn delay_on_link(&self) {
         self.faults.delay_message().await;
         if self.config.link_us > 0 {
             tokio::time::sleep(Duration::from_micros(self.config.link_us)).await;
@@ -434,13 +441,13 @@
     }
 
     /// Responds with the result of `call`, with the link delay before and after it.
-    async fn answer<T: Serialize>(&self, call: impl FnOnce(&mut Inner) -> T) -> Response<Body> {
-        self.cross_link().await;
+    async fn respond<T: Serialize>(&self, call: impl FnOnce(&mut Inner) -> T) -> Response<Body> {
+        self.delay_on_link().await;
         if self.faults.is_dead() {
             return broken_connection();
         }
         let value = call(&mut self.lock());
-        self.cross_link().await;
+        self.delay_on_link().await;
         if self.faults.is_dead() {
             return broken_connection();
         }
@@ -456,12 +463,12 @@
         self.faults.crashes_on(&bytes)
     }
 
-    /// Simulates a crash; the next incarnation serves after `DOWN`.
-    fn end_for_a_while(self: &Arc<Self>) {
+    /// Simulates a crash; the next incarnation serves after `RESTART_DELAY`.
+    fn crash_and_restart(self: &Arc<Self>) {
         {
             let mut inner = self.lock();
             inner.stage.ledger.ends += 1;
-            inner.die();
+            inner.lose_state();
         }
         let is_dead = |is_dead| Fault {
             dead: Some(is_dead),
@@ -470,16 +477,16 @@
         self.faults.apply(&is_dead(true));
         let app = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(DOWN).await;
+            tokio::time::sleep(RESTART_DELAY).await;
             app.faults.apply(&is_dead(false));
         });
     }
 
     /// Queues a step. Refused steps and those with recorded results respond at once.
     fn enqueue(&self, step: Step) -> oneshot::Receiver<StepResult> {
-        let (answer, receiver) = oneshot::channel();
+        let (result_sender, receiver) = oneshot::channel();
         let mut inner = self.lock();
-        let is_new = step.position == 0 && !inner.stage.holds(step.stream);
+        let is_new = step.position == 0 && !inner.stage.has_stream(step.stream);
         let refusal = if self.faults.is_leaving() && is_new {
             Some(Refusal::Leaving)
         } else if inner.queue.len() >= self.config.queue_limit {
@@ -488,12 +495,15 @@
             None
         };
         if let Some(refusal) = refusal {
-            inner.stage.ledger.refused(step.stream);
-            let _ = answer.send(StepResult::Refused { refusal });
+            inner.stage.ledger.record_refusal(step.stream);
+            let _ = result_sender.send(StepResult::Refused { refusal });
         } else if inner.stage.positions_to_run(&step) == 0 {
-            let _ = answer.send(inner.stage.run(&step));
+            let _ = result_sender.send(inner.stage.run(&step));
         } else {
-            inner.queue.push_back(Queued { step, answer });
+            inner.queue.push_back(QueuedStep {
+                step,
+                result_sender,
+            });
             self.arrived.notify_one();
         }
         receiver
@@ -521,27 +531,27 @@
             continue;
         }
         let mut inner = app.lock();
-        inner.note_step(step_us);
+        inner.record_step(step_us);
         for queued in batch {
             let result = inner.stage.run(&queued.step);
-            let _ = queued.answer.send(result);
+            let _ = queued.result_sender.send(result);
         }
     }
 }
 
 /// Stores a load report at each interval.
-async fn note_load(app: Arc<App>) {
+async fn record_load(app: Arc<App>) {
     loop {
-        tokio::time::sleep(REPORT_STEP).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
         let mut inner = app.lock();
         let report = LoadReport {
             age_ms: 0,
             queued_steps: u32::try_from(inner.queue.len()).unwrap_or(u32::MAX),
-            streams: u32::try_from(inner.stage.streams()).unwrap_or(u32::MAX),
+            streams: u32::try_from(inner.stage.stream_count()).unwrap_or(u32::MAX),
             step_us: inner.step_us,
         };
         inner.reports.push_back((Instant::now(), report));
-        if inner.reports.len() > KEPT_REPORTS {
+        if inner.reports.len() > MAX_REPORTS {
             inner.reports.pop_front();
         }
     }
--- a/crates/rookferry_standin/src/engine/stage.rs
+++ b/crates/rookferry_standin/src/engine/stage.rs
@@ -33,10 +33,10 @@
 #[derive(Debug)]
 pub(super) struct StageState {
     layers: LayerRange,
-    is_last: bool,
+    is_last_stage: bool,
     streams: HashMap<StreamId, StreamState>,
     /// Cancelled streams; their later steps, attempts and imports are refused.
-    ended: HashSet<StreamId>,
+    cancelled_streams: HashSet<StreamId>,
     pub(super) ledger: Ledger,
 }
 
@@ -44,25 +44,25 @@
     pub(super) fn new(layers: LayerRange, model_layers: u16, ledger: Ledger) -> Self {
         Self {
             layers,
-            is_last: layers.end == model_layers,
+            is_last_stage: layers.end == model_layers,
             streams: HashMap::new(),
-            ended: HashSet::new(),
+            cancelled_streams: HashSet::new(),
             ledger,
         }
     }
 
     /// Drops all state but the ledger, as a crash does.
-    pub(super) fn wipe(&mut self) {
-        self.ledger.died(self.streams.keys().copied());
+    pub(super) fn clear_streams(&mut self) {
+        self.ledger.record_state_loss(self.streams.keys().copied());
         self.streams.clear();
-        self.ended.clear();
+        self.cancelled_streams.clear();
     }
 
-    pub(super) fn streams(&self) -> usize {
+    pub(super) fn stream_count(&self) -> usize {
         self.streams.len()
     }
 
-    pub(super) fn holds(&self, stream: StreamId) -> bool {
+    pub(super) fn has_stream(&self, stream: StreamId) -> bool {
         self.streams.contains_key(&stream)
     }
 
@@ -80,7 +80,7 @@
     pub(super) fn run(&mut self, step: &Step) -> StepResult {
         match self.verdict(step) {
             GateVerdict::Refuse(refusal) => {
-                self.ledger.refused(step.stream);
+                self.ledger.record_refusal(step.stream);
                 return StepResult::Refused { refusal };
             }
             GateVerdict::Recorded => {}
@@ -97,18 +97,18 @@
 
     /// Opens an attempt; drops the KV beyond the positions that it keeps.
     pub(super) fn open(&mut self, request: AttemptRequest) -> AttemptResponse {
-        if self.ended.contains(&request.stream) {
+        if self.cancelled_streams.contains(&request.stream) {
             return AttemptResponse::Refused { newest: 0 };
         }
         if request.must_exist && !self.streams.contains_key(&request.stream) {
             return AttemptResponse::Refused { newest: 0 };
         }
         let state = self.streams.entry(request.stream).or_default();
-        let answer = state.gate.open(request.attempt, request.keep);
-        if let AttemptResponse::Opened { kept } = answer {
+        let response = state.gate.open(request.attempt, request.keep);
+        if let AttemptResponse::Opened { kept } = response {
             state.kv.truncate(kept as usize);
         }
-        answer
+        response
     }
 
     /// Cancels a stream, unless a newer attempt is open.
@@ -121,8 +121,8 @@
             return;
         }
         self.streams.remove(&request.stream);
-        self.ended.insert(request.stream);
-        self.ledger.cancelled(request.stream);
+        self.cancelled_streams.insert(request.stream);
+        self.ledger.record_cancellation(request.stream);
     }
 
     /// KV of a stream, for another engine with the same layers.
@@ -145,7 +145,7 @@
             .map_or(0, |state| state.gate.attempt());
         if pages.layers != self.layers
             || newest > pages.attempt
-            || self.ended.contains(&pages.stream)
+            || self.cancelled_streams.contains(&pages.stream)
         {
             return AttemptResponse::Refused { newest };
         }
@@ -161,47 +161,48 @@
     }
 
     fn verdict(&self, step: &Step) -> GateVerdict {
-        if self.ended.contains(&step.stream) {
+        if self.cancelled_streams.contains(&step.stream) {
             return GateVerdict::Refuse(Refusal::Cancelled);
         }
-        let fresh = StageGate::new();
+        let new_gate = StageGate::new();
         let gate = self
             .streams
             .get(&step.stream)
-            .map_or(&fresh, |state| &state.gate);
+            .map_or(&new_gate, |state| &state.gate);
         gate.check(step)
     }
 
     fn run_from(&mut self, step: &Step, from: Position) {
         let layers = self.layers;
-        let is_last = self.is_last;
+        let is_last_stage = self.is_last_stage;
         let state = self.streams.entry(step.stream).or_default();
         if from == 0 && layers.start == 0 {
-            self.ledger.began(step.stream, prompt_digest(&step.input));
+            self.ledger
+                .record_prompt(step.stream, prompt_digest(&step.input));
         }
         let skip = (from - step.position) as usize;
-        let zeros = vec![0; usize::from(layers.len())];
+        let no_kv = vec![0; usize::from(layers.len())];
         for (position, input) in (from..).zip(&step.input[skip..]) {
-            let before = state.kv.last().unwrap_or(&zeros);
+            let previous_values = state.kv.last().unwrap_or(&no_kv);
             let mut activation = *input;
-            let mut values = Vec::with_capacity(before.len());
-            for (layer, former) in (layers.start..layers.end).zip(before) {
-                activation = run_layer(*former, activation, layer, position);
+            let mut values = Vec::with_capacity(previous_values.len());
+            for (layer, previous) in (layers.start..layers.end).zip(previous_values) {
+                activation = run_layer(*previous, activation, layer, position);
                 values.push(activation);
             }
             state.kv.push(values);
-            let output = if is_last {
+            let output = if is_last_stage {
                 final_token(activation)
             } else {
                 activation
             };
             state.gate.record(&[output]);
-            self.ledger.ran(step.stream, position);
+            self.ledger.record_run(step.stream, position);
         }
     }
 
     const fn output(&self, value: u64) -> u64 {
-        if self.is_last {
+        if self.is_last_stage {
             final_token(value)
         } else {
             value
--- a/crates/rookferry_standin/src/layers.rs
+++ b/crates/rookferry_standin/src/layers.rs
@@ -9,12 +9,12 @@
 /// Number of distinct output tokens; the last layer's activation is reduced modulo it.
 pub const VOCABULARY_SIZE: u64 = 50_021;
 
-/// Runs one layer at one position; `before` is its KV at the previous position, 0 at
+/// Runs one layer at one position; `previous` is its KV at the previous position, 0 at
 /// the first. Returns the KV, which is also the output activation.
 #[must_use]
-pub const fn run_layer(before: u64, activation: u64, layer: u16, position: u32) -> u64 {
-    let place = ((layer as u64) << 32) | position as u64;
-    mix(mix(before ^ place.wrapping_mul(0x9e37_79b9_7f4a_7c15)) ^ activation)
+pub const fn run_layer(previous: u64, activation: u64, layer: u16, position: u32) -> u64 {
+    let layer_position = ((layer as u64) << 32) | position as u64;
+    mix(mix(previous ^ layer_position.wrapping_mul(0x9e37_79b9_7f4a_7c15)) ^ activation)
 }
 
 /// Converts the last layer's activation to a token.
--- a/crates/rookferry_standin/src/load/arrivals.rs
+++ b/crates/rookferry_standin/src/load/arrivals.rs
@@ -44,7 +44,7 @@
         if self == Self::Steady {
             return steady(rate_per_s, duration);
         }
-        let peak_per_s = rate_per_s * self.peak();
+        let peak_per_s = rate_per_s * self.peak_factor();
         let Ok(gaps) = Exp::new(peak_per_s) else {
             return Vec::new();
         };
@@ -56,15 +56,15 @@
                 return times;
             }
             // Thinning: accepted with probability (current rate / peak rate).
-            let is_kept = rng.random::<f64>() < self.factor(at_s) / self.peak();
-            if is_kept {
+            let is_accepted = rng.random::<f64>() < self.factor(at_s) / self.peak_factor();
+            if is_accepted {
                 times.push(Duration::from_secs_f64(at_s));
             }
         }
     }
 
     /// Highest rate as a multiple of the mean.
-    fn peak(self) -> f64 {
+    fn peak_factor(self) -> f64 {
         match self {
             Self::Steady | Self::Poisson => 1.0,
             Self::Bursts { factor, .. } => factor.max(1.0),
@@ -82,8 +82,8 @@
                 factor,
             } => {
                 let phase = phase(at_s, period_ms);
-                let quiet = ((1.0 - factor * part) / (1.0 - part)).max(0.0);
-                if phase < part { factor } else { quiet }
+                let base_factor = ((1.0 - factor * part) / (1.0 - part)).max(0.0);
+                if phase < part { factor } else { base_factor }
             }
             Self::Day { period_ms, swing } => {
                 let phase = phase(at_s, period_ms);
--- a/crates/rookferry_standin/src/load/caller.rs
+++ b/crates/rookferry_standin/src/load/caller.rs
@@ -47,7 +47,7 @@
 pub struct Caller {
     client: HttpClient,
     key: String,
-    patience: Duration,
+    timeout: Duration,
 }
 
 /// Tokenizes a text as the fake model does: one token per byte.
@@ -57,26 +57,26 @@
 }
 
 impl Caller {
-    /// A caller that waits up to `patience` for a complete answer.
+    /// A caller that waits up to `timeout` for a complete answer.
     #[must_use]
-    pub const fn new(client: HttpClient, key: String, patience: Duration) -> Self {
+    pub const fn new(client: HttpClient, key: String, timeout: Duration) -> Self {
         Self {
             client,
             key,
-            patience,
+            timeout,
         }
     }
 
-    /// Sends a model call. `once` is its idempotency key if it must run at most once.
+    /// Sends a model call; with an `idempotency_key`, as one that must run at most once.
     pub async fn complete(
         &self,
         addr: SocketAddr,
         body: &CompletionRequest,
-        once: Option<&str>,
+        idempotency_key: Option<&str>,
     ) -> CallOutcome {
         let json = serde_json::to_vec(body).unwrap_or_default();
         let mut request = self.request(Method::POST, addr, "/v1/completions");
-        if let Some(key) = once {
+        if let Some(key) = idempotency_key {
             request = request
                 .header("idempotency-key", key)
                 .header("rookferry-repeatable", "false");
@@ -84,17 +84,17 @@
         self.exchange(addr, request, json.into(), body.stream).await
     }
 
-    /// Calls a plain service. `once` is the idempotency key if it must run at most once.
+    /// Calls a plain service; with an `idempotency_key`, the call must run at most once.
     pub async fn call(
         &self,
         addr: SocketAddr,
         method: Method,
         path: &str,
         body: &str,
-        once: Option<&str>,
+        idempotency_key: Option<&str>,
     ) -> CallOutcome {
         let mut request = self.request(method, addr, path);
-        if let Some(key) = once {
+        if let Some(key) = idempotency_key {
             request = request
                 .header("idempotency-key", key)
                 .header("rookferry-repeatable", "false");
@@ -121,21 +121,21 @@
         let Ok(request) = request.body(Full::new(body)) else {
             return CallOutcome::Cut("invalid request".to_owned());
         };
-        let whole = self.read_ending(addr, request, is_stream);
-        match tokio::time::timeout(self.patience, whole).await {
+        let exchange_result = self.read_outcome(addr, request, is_stream);
+        match tokio::time::timeout(self.timeout, exchange_result).await {
             Ok(outcome) => outcome,
             Err(_) => CallOutcome::Cut("timed out before the answer was complete".to_owned()),
         }
     }
 
-    async fn read_ending(
+    async fn read_outcome(
         &self,
         addr: SocketAddr,
         request: Request<Full<Bytes>>,
         is_stream: bool,
     ) -> CallOutcome {
         let sent_at = Instant::now();
-        let response = match self.client.send(addr, request, self.patience).await {
+        let response = match self.client.send(addr, request, self.timeout).await {
             Ok(response) => response,
             Err(error) => return CallOutcome::Cut(error.to_string()),
         };
@@ -175,11 +175,11 @@
                 )),
             };
         }
-        CallOutcome::Answered(whole_answer(id, text))
+        CallOutcome::Answered(parse_response(id, text))
     }
 }
 
-fn whole_answer(id: String, text: String) -> CallResponse {
+fn parse_response(id: String, text: String) -> CallResponse {
     let tokens = serde_json::from_str::<CompletionResponse>(&text)
         .map_or_else(|_| Vec::new(), |body| body.tokens);
     CallResponse {
@@ -193,7 +193,7 @@
 /// Parses the server-sent events of a streamed answer.
 struct StreamReader {
     buffer: String,
-    last_at: Instant,
+    last_token_at: Instant,
     answer: CallResponse,
     is_done: bool,
     problem: Option<Problem>,
@@ -204,7 +204,7 @@
     fn new(sent_at: Instant, id: String) -> Self {
         Self {
             buffer: String::new(),
-            last_at: sent_at,
+            last_token_at: sent_at,
             answer: CallResponse {
                 id,
                 ..CallResponse::default()
@@ -248,13 +248,13 @@
 
     fn on_token(&mut self, token: u64) {
         let now = Instant::now();
-        let gap = now.saturating_duration_since(self.last_at);
+        let gap = now.saturating_duration_since(self.last_token_at);
         if self.answer.first_token.is_none() {
             self.answer.first_token = Some(gap);
         } else {
             self.answer.gaps.push(gap);
         }
-        self.last_at = now;
+        self.last_token_at = now;
         self.answer.tokens.push(token);
     }
 
--- a/crates/rookferry_standin/src/load/plan.rs
+++ b/crates/rookferry_standin/src/load/plan.rs
@@ -43,7 +43,7 @@
     #[serde(default)]
     pub service: String,
     /// Maximum number of concurrent requests; further ones aren't sent but counted.
-    #[serde(default = "default_in_flight")]
+    #[serde(default = "default_max_in_flight")]
     pub max_in_flight: usize,
     /// Timeout of each try of a request.
     #[serde(default = "default_patience_ms")]
@@ -121,10 +121,10 @@
             (CallKind::Submit, self.submit),
         ];
         let total: f64 = weights.iter().map(|(_, weight)| weight).sum();
-        let mut left = point * total;
+        let mut remaining = point * total;
         for (kind, weight) in weights {
-            left -= weight;
-            if left < 0.0 {
+            remaining -= weight;
+            if remaining < 0.0 {
                 return kind;
             }
         }
@@ -136,7 +136,7 @@
     16
 }
 
-const fn default_in_flight() -> usize {
+const fn default_max_in_flight() -> usize {
     4_096
 }
 
--- a/crates/rookferry_standin/src/load/report.rs
+++ b/crates/rookferry_standin/src/load/report.rs
@@ -11,7 +11,7 @@
 use super::CallOutcome;
 
 /// Width of the timeline's buckets.
-pub(super) const BUCKET: Duration = Duration::from_millis(100);
+pub(super) const BUCKET_WIDTH: Duration = Duration::from_millis(100);
 
 /// Percentiles of a latency.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -77,7 +77,7 @@
 
 /// Latencies in microseconds.
 #[derive(Debug)]
-struct Times {
+struct LatencyHistograms {
     whole: Histogram<u64>,
     first_token: Histogram<u64>,
     gaps: Histogram<u64>,
@@ -87,43 +87,40 @@
 #[derive(Debug, Default)]
 pub(super) struct Collector {
     report: LoadRunReport,
-    times: BTreeMap<CallKind, Times>,
+    times: BTreeMap<CallKind, LatencyHistograms>,
     tokens: u64,
     answers: u64,
 }
 
 /// Timing and classification of a finished request.
-pub(super) struct Measured<'a> {
+pub(super) struct RequestTiming<'a> {
     pub(super) kind: CallKind,
     pub(super) account: &'a str,
     /// Time from when it was due to its last try.
-    pub(super) late: Duration,
+    pub(super) send_delay: Duration,
     /// Duration of its last try.
-    pub(super) took: Duration,
+    pub(super) last_try_duration: Duration,
     /// Time from the start of the load.
     pub(super) ended_at: Duration,
     pub(super) is_correct: bool,
 }
 
 impl Collector {
-    pub(super) fn not_sent(&mut self) {
+    pub(super) fn record_not_sent(&mut self) {
         self.report.not_sent += 1;
     }
 
-    pub(super) fn note(&mut self, note: &str) {
+    pub(super) fn record_note(&mut self, note: &str) {
         self.report.notes.push(note.to_owned());
     }
 
-    pub(super) fn add(&mut self, measured: &Measured<'_>, outcome: &CallOutcome) {
-        let sent = self
-            .report
-            .sent_by_account
-            .entry(measured.account.to_owned());
+    pub(super) fn record_request(&mut self, timing: &RequestTiming<'_>, outcome: &CallOutcome) {
+        let sent = self.report.sent_by_account.entry(timing.account.to_owned());
         *sent.or_default() += 1;
-        let kind = self.report.kinds.entry(measured.kind).or_default();
+        let kind = self.report.kinds.entry(timing.kind).or_default();
         kind.sent += 1;
         match outcome {
-            CallOutcome::Answered(_) if measured.is_correct => kind.correct += 1,
+            CallOutcome::Answered(_) if timing.is_correct => kind.correct += 1,
             CallOutcome::Answered(_) => kind.wrong += 1,
             CallOutcome::Problem(problem) => {
                 let reason = format!("{:?}", problem.reason);
@@ -139,24 +136,30 @@
                 *kind.reasons.entry(format!("cut: {message}")).or_default() += 1;
             }
         }
-        if measured.is_correct {
-            self.add_times(measured, outcome);
+        if timing.is_correct {
+            self.record_correct(timing, outcome);
         }
     }
 
-    fn add_times(&mut self, measured: &Measured<'_>, outcome: &CallOutcome) {
+    fn record_correct(&mut self, timing: &RequestTiming<'_>, outcome: &CallOutcome) {
         let CallOutcome::Answered(answer) = outcome else {
             return;
         };
         let correct = self
             .report
             .correct_by_account
-            .entry(measured.account.to_owned());
+            .entry(timing.account.to_owned());
         *correct.or_default() += 1;
-        let times = self.times.entry(measured.kind).or_insert_with(Times::new);
-        record(&mut times.whole, measured.late + measured.took);
+        let times = self
+            .times
+            .entry(timing.kind)
+            .or_insert_with(LatencyHistograms::new);
+        record(
+            &mut times.whole,
+            timing.send_delay + timing.last_try_duration,
+        );
         if let Some(first_token) = answer.first_token {
-            record(&mut times.first_token, measured.late + first_token);
+            record(&mut times.first_token, timing.send_delay + first_token);
         }
         for gap in &answer.gaps {
             record(&mut times.gaps, *gap);
@@ -164,7 +167,7 @@
         let tokens = answer.tokens.len() as u64;
         self.tokens += tokens;
         self.answers += 1;
-        self.add_to_timeline(measured.ended_at, answer);
+        self.add_to_timeline(timing.ended_at, answer);
     }
 
     /// Counts each token at its arrival time; without streaming, at the end.
@@ -172,7 +175,7 @@
         let mut at = ended_at;
         let mut gaps = answer.gaps.iter().rev();
         for _ in &answer.tokens {
-            let bucket = usize::try_from(at.as_millis() / BUCKET.as_millis()).unwrap_or(0);
+            let bucket = usize::try_from(at.as_millis() / BUCKET_WIDTH.as_millis()).unwrap_or(0);
             if self.report.timeline.len() <= bucket {
                 self.report.timeline.resize(bucket + 1, 0);
             }
@@ -182,12 +185,20 @@
     }
 
     pub(super) fn finish(mut self, duration: Duration) -> LoadRunReport {
-        let within = usize::try_from(duration.as_millis() / BUCKET.as_millis()).unwrap_or(0);
+        let sending_buckets =
+            usize::try_from(duration.as_millis() / BUCKET_WIDTH.as_millis()).unwrap_or(0);
         // The first quarter is skipped, because the site is still warming up.
-        let skipped = within / 4;
-        let counted = self.report.timeline.iter().take(within).skip(skipped);
-        let seconds = (BUCKET * u32::try_from(within - skipped).unwrap_or(1)).as_secs_f64();
-        self.report.tokens_per_s = counted.sum::<u64>() as f64 / seconds.max(BUCKET.as_secs_f64());
+        let skipped = sending_buckets / 4;
+        let counted = self
+            .report
+            .timeline
+            .iter()
+            .take(sending_buckets)
+            .skip(skipped);
+        let seconds =
+            (BUCKET_WIDTH * u32::try_from(sending_buckets - skipped).unwrap_or(1)).as_secs_f64();
+        self.report.tokens_per_s =
+            counted.sum::<u64>() as f64 / seconds.max(BUCKET_WIDTH.as_secs_f64());
         self.report.answers_per_s = self.answers as f64 / duration.as_secs_f64();
         for (kind, times) in &self.times {
             let report = self.report.kinds.entry(*kind).or_default();
@@ -199,7 +210,7 @@
     }
 }
 
-impl Times {
+impl LatencyHistograms {
     fn new() -> Self {
         Self {
             whole: histogram(),
@@ -263,16 +274,18 @@
     /// they never are.
     #[must_use]
     pub fn recovery_time(&self, fault_at: Duration, share: f64) -> Option<Duration> {
-        let fault = usize::try_from(fault_at.as_millis() / BUCKET.as_millis()).ok()?;
+        let fault = usize::try_from(fault_at.as_millis() / BUCKET_WIDTH.as_millis()).ok()?;
         let before = self.timeline.get(..fault)?;
         let warm = before.get(before.len() / 3..)?;
         let mean = warm.iter().sum::<u64>() as f64 / warm.len().max(1) as f64;
         let after = self.timeline.get(fault..)?;
-        let held = after.windows(5).position(|window| {
+        let recovered_at = after.windows(5).position(|window| {
             let sum: u64 = window.iter().sum();
             sum as f64 >= 5.0 * mean * share
         })?;
-        u32::try_from(held).ok().map(|buckets| BUCKET * buckets)
+        u32::try_from(recovered_at)
+            .ok()
+            .map(|buckets| BUCKET_WIDTH * buckets)
     }
 }
 
--- a/crates/rookferry_standin/src/load/run.rs
+++ b/crates/rookferry_standin/src/load/run.rs
@@ -25,7 +25,7 @@
 use super::LoadPlan;
 use super::LoadRunReport;
 use super::report::Collector;
-use super::report::Measured;
+use super::report::RequestTiming;
 use super::tokenize;
 use crate::layers::prompt_digest;
 use crate::layers::reference_answer;
@@ -33,8 +33,8 @@
 /// Maximum number of tries of a call that must run at most once.
 const MAX_TRIES: u32 = 20;
 /// Bounds of the pause before a retry with the same key.
-const MIN_PAUSE: Duration = Duration::from_millis(50);
-const MAX_PAUSE: Duration = Duration::from_secs(2);
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(50);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
 const FAULT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Length of the prefixes that prompts share.
 const PREFIX_CHARS: usize = 40;
@@ -67,7 +67,7 @@
 
 /// A request of the plan with the time at which it is due.
 #[derive(Debug)]
-struct Planned {
+struct PlannedRequest {
     due: Duration,
     account: usize,
     kind: CallKind,
@@ -88,10 +88,10 @@
     /// Runs a plan until all its requests are complete.
     pub async fn run(plan: LoadPlan) -> Self {
         let client = HttpClient::new();
-        let patience = Duration::from_millis(plan.patience_ms);
+        let timeout = Duration::from_millis(plan.patience_ms);
         let accounts = plan.accounts.iter();
         let callers = accounts
-            .map(|account| Caller::new(client.clone(), account.key.clone(), patience))
+            .map(|account| Caller::new(client.clone(), account.key.clone(), timeout))
             .collect();
         let planned = plan_requests(&plan);
         let duration = Duration::from_millis(plan.duration_ms);
@@ -102,7 +102,7 @@
             requests: Mutex::default(),
             plan,
         });
-        let faults = tokio::spawn(order_faults(client, shared.clone()));
+        let faults = tokio::spawn(inject_faults(client, shared.clone()));
         send_all(&shared, planned).await;
         faults.abort();
         let collector = std::mem::take(&mut *lock(&shared.collector));
@@ -114,15 +114,15 @@
     }
 }
 
-fn plan_requests(plan: &LoadPlan) -> Vec<Planned> {
+fn plan_requests(plan: &LoadPlan) -> Vec<PlannedRequest> {
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let duration = Duration::from_millis(plan.duration_ms);
     let times = plan.arrivals.times(&mut rng, plan.rate_per_s, duration);
-    let shares: f64 = plan.accounts.iter().map(|account| account.share).sum();
+    let total_share: f64 = plan.accounts.iter().map(|account| account.share).sum();
     let mut planned = Vec::with_capacity(times.len());
     for (number, due) in times.into_iter().enumerate() {
         let kind = plan.mix.kind_at(rng.random());
-        let account = account_at(plan, rng.random::<f64>() * shares);
+        let account = account_at(plan, rng.random::<f64>() * total_share);
         let length = rng.random_range(plan.prompt_tokens.0..=plan.prompt_tokens.1);
         let prefix = rng.random_range(0..plan.prefixes.max(1));
         let body = CompletionRequest {
@@ -131,7 +131,7 @@
             max_tokens: rng.random_range(plan.answer_tokens.0..=plan.answer_tokens.1),
             stream: kind == CallKind::Streamed,
         };
-        planned.push(Planned {
+        planned.push(PlannedRequest {
             due,
             account,
             kind,
@@ -144,10 +144,10 @@
 
 /// Picks an account by its share, for a random `point` below the sum of all shares.
 fn account_at(plan: &LoadPlan, point: f64) -> usize {
-    let mut left = point;
+    let mut remaining = point;
     for (index, account) in plan.accounts.iter().enumerate() {
-        left -= account.share;
-        if left < 0.0 {
+        remaining -= account.share;
+        if remaining < 0.0 {
             return index;
         }
     }
@@ -157,33 +157,33 @@
 /// A unique prompt that begins with one of the shared prefixes.
 fn prompt(seed: u64, number: usize, prefix: u64, length: usize) -> String {
     let shared = format!("prefix {prefix:>width$} ", width = PREFIX_CHARS - 8);
-    let own = format!("{shared}{seed}-{number} ");
-    let filler = ".".repeat(length.saturating_sub(own.len()));
-    own + &filler
+    let unique = format!("{shared}{seed}-{number} ");
+    let filler = ".".repeat(length.saturating_sub(unique.len()));
+    unique + &filler
 }
 
-async fn order_faults(client: HttpClient, shared: Arc<Shared>) {
+async fn inject_faults(client: HttpClient, shared: Arc<Shared>) {
     let mut faults = shared.plan.faults.clone();
     faults.sort_by_key(|fault| fault.at_ms);
     for fault in faults {
         tokio::time::sleep_until(shared.start + Duration::from_millis(fault.at_ms)).await;
-        let ordered: Result<(), _> = client
+        let injected: Result<(), _> = client
             .post(fault.addr, "/admin/fault", &fault.fault, FAULT_TIMEOUT)
             .await;
-        if let Err(error) = ordered {
+        if let Err(error) = injected {
             let note = format!("failed to inject a fault: {error}");
-            lock(&shared.collector).note(&note);
+            lock(&shared.collector).record_note(&note);
         }
     }
 }
 
-async fn send_all(shared: &Arc<Shared>, planned: Vec<Planned>) {
+async fn send_all(shared: &Arc<Shared>, planned: Vec<PlannedRequest>) {
     let mut tasks = JoinSet::new();
     for request in planned {
         tokio::time::sleep_until(shared.start + request.due).await;
         while tasks.try_join_next().is_some() {}
         if tasks.len() >= shared.plan.max_in_flight {
-            lock(&shared.collector).not_sent();
+            lock(&shared.collector).record_not_sent();
             continue;
         }
         tasks.spawn(send_one(shared.clone(), request));
@@ -191,7 +191,7 @@
     while tasks.join_next().await.is_some() {}
 }
 
-async fn send_one(shared: Arc<Shared>, request: Planned) {
+async fn send_one(shared: Arc<Shared>, request: PlannedRequest) {
     let due_at = shared.start + request.due;
     let sent_at = Instant::now();
     let mut log = RequestLog {
@@ -202,35 +202,35 @@
         not_run_ids: Vec::new(),
         tries: 0,
     };
-    let (outcome, sent_last_at) = match request.kind {
-        CallKind::Once => try_until_told(&shared, &request, &mut log, sent_at).await,
+    let (outcome, last_sent_at) = match request.kind {
+        CallKind::Once => retry_until_final(&shared, &request, &mut log, sent_at).await,
         _ => (
             shared.try_once(&request, request.target, None).await,
             sent_at,
         ),
     };
     log.tries = log.tries.max(1);
-    note_not_run(&outcome, &mut log);
+    record_not_run(&outcome, &mut log);
     log.is_correct = is_correct(&shared.plan, &request, &outcome);
     let ended_at = Instant::now();
-    let measured = Measured {
+    let timing = RequestTiming {
         kind: request.kind,
         account: &shared.plan.accounts[request.account].name,
-        late: sent_last_at.saturating_duration_since(due_at),
-        took: ended_at.saturating_duration_since(sent_last_at),
+        send_delay: last_sent_at.saturating_duration_since(due_at),
+        last_try_duration: ended_at.saturating_duration_since(last_sent_at),
         ended_at: ended_at.saturating_duration_since(shared.start),
         is_correct: log.is_correct,
     };
-    lock(&shared.collector).add(&measured, &outcome);
+    lock(&shared.collector).record_request(&timing, &outcome);
     log.outcome = outcome;
     lock(&shared.requests).push(log);
 }
 
 /// Retries with the same key until the answer or a final outcome. A ticket replaces the
 /// key. Returns the outcome and the time at which the last try was sent.
-async fn try_until_told(
+async fn retry_until_final(
     shared: &Shared,
-    request: &Planned,
+    request: &PlannedRequest,
     log: &mut RequestLog,
     sent_at: Instant,
 ) -> (CallOutcome, Instant) {
@@ -241,8 +241,8 @@
         let target = request.target + log.tries as usize - 1;
         let outcome = shared.try_once(request, target, Some(&key)).await;
         let pause = match &outcome {
-            CallOutcome::Cut(_) => MIN_PAUSE,
-            CallOutcome::Problem(problem) if is_worth_a_return(problem.outcome, problem.reason) => {
+            CallOutcome::Cut(_) => MIN_RETRY_PAUSE,
+            CallOutcome::Problem(problem) if is_retryable(problem.outcome, problem.reason) => {
                 Duration::from_millis(problem.retry_after_ms.unwrap_or(100))
             }
             _ => return (outcome, sent_at),
@@ -250,18 +250,18 @@
         if log.tries >= MAX_TRIES {
             return (outcome, sent_at);
         }
-        note_not_run(&outcome, log);
+        record_not_run(&outcome, log);
         if let CallOutcome::Problem(problem) = &outcome
             && let Some(ticket) = &problem.ticket
         {
             key.clone_from(ticket);
         }
-        tokio::time::sleep(pause.clamp(MIN_PAUSE, MAX_PAUSE)).await;
+        tokio::time::sleep(pause.clamp(MIN_RETRY_PAUSE, MAX_RETRY_PAUSE)).await;
         sent_at = Instant::now();
     }
 }
 
-const fn is_worth_a_return(outcome: Outcome, reason: ReasonCode) -> bool {
+const fn is_retryable(outcome: Outcome, reason: ReasonCode) -> bool {
     match outcome {
         Outcome::Running => true,
         Outcome::NotRun => !matches!(reason, ReasonCode::KeyReused | ReasonCode::KeyExpired),
@@ -269,7 +269,7 @@
     }
 }
 
-fn note_not_run(outcome: &CallOutcome, log: &mut RequestLog) {
+fn record_not_run(outcome: &CallOutcome, log: &mut RequestLog) {
     if let CallOutcome::Problem(problem) = outcome
         && problem.outcome == Outcome::NotRun
     {
@@ -277,7 +277,7 @@
     }
 }
 
-fn is_correct(plan: &LoadPlan, request: &Planned, outcome: &CallOutcome) -> bool {
+fn is_correct(plan: &LoadPlan, request: &PlannedRequest, outcome: &CallOutcome) -> bool {
     let CallOutcome::Answered(answer) = outcome else {
         return false;
     };
@@ -291,7 +291,12 @@
 }
 
 impl Shared {
-    async fn try_once(&self, request: &Planned, target: usize, key: Option<&str>) -> CallOutcome {
+    async fn try_once(
+        &self,
+        request: &PlannedRequest,
+        target: usize,
+        key: Option<&str>,
+    ) -> CallOutcome {
         let caller = &self.callers[request.account];
         let addr: SocketAddr = self.plan.targets[target % self.plan.targets.len()];
         let path = format!("/apps/{}/{}", self.plan.service, request.target);
--- a/crates/rookferry_standin/src/platform/server.rs
+++ b/crates/rookferry_standin/src/platform/server.rs
@@ -76,7 +76,7 @@
 struct RateLimit {
     per_s: f64,
     tokens: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
 impl RateLimit {
@@ -84,16 +84,19 @@
         Self {
             per_s: f64::from(per_s),
             tokens: f64::from(per_s),
-            at: Instant::now(),
+            refilled_at: Instant::now(),
         }
     }
 
     /// Takes a token; false if the rate is exceeded.
-    fn take(&mut self) -> bool {
+    fn try_take(&mut self) -> bool {
         let now = Instant::now();
-        let earned = now.saturating_duration_since(self.at).as_secs_f64() * self.per_s;
-        self.at = now;
-        self.tokens = (self.tokens + earned).min(self.per_s);
+        let refilled = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64()
+            * self.per_s;
+        self.refilled_at = now;
+        self.tokens = (self.tokens + refilled).min(self.per_s);
         if self.tokens < 1.0 {
             return false;
         }
@@ -113,7 +116,7 @@
     reads: Mutex<RateLimit>,
     write_calls: AtomicU64,
     read_calls: AtomicU64,
-    turned_away: AtomicU64,
+    refused_calls: AtomicU64,
 }
 
 /// Calls received since the start, including the refused ones.
@@ -149,7 +152,7 @@
             reads: Mutex::new(RateLimit::new(config.reads_per_s)),
             write_calls: AtomicU64::new(0),
             read_calls: AtomicU64::new(0),
-            turned_away: AtomicU64::new(0),
+            refused_calls: AtomicU64::new(0),
             config,
         });
         let router = router(&app, server.connections());
@@ -185,7 +188,7 @@
 }
 
 async fn get_object(app: Arc<App>, inbound: InboundRequest) -> Response<Body> {
-    if let Err(refused) = app.enter_read().await {
+    if let Err(refused) = app.admit_read().await {
         return refused;
     }
     let Some((kind, name)) = inbound
@@ -206,11 +209,11 @@
 
 /// Writes an object. The `lose_answers` fault breaks the connection after the write.
 async fn put_object(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let request: PutRequest = match read(&mut inbound).await {
+    let request: PutRequest = match read_json(&mut inbound).await {
         Ok(request) => request,
         Err(refused) => return refused,
     };
-    if let Err(refused) = app.enter_write().await {
+    if let Err(refused) = app.admit_write().await {
         return refused;
     }
     let Some((kind, name)) = inbound
@@ -222,51 +225,52 @@
             "kind and name are missing".to_owned(),
         );
     };
-    let answer = app.lock().put(kind, name, request);
-    if matches!(answer, PutResponse::Written { .. }) {
+    let response = app.lock().put(kind, name, request);
+    if matches!(response, PutResponse::Written { .. }) {
         app.changed.notify_waiters();
     }
     if app.faults.drops_response() {
         return broken_connection();
     }
-    json_response(StatusCode::OK, &answer)
+    json_response(StatusCode::OK, &response)
 }
 
 /// Long poll: responds once an object of the kind is newer than `after`, at the latest
 /// after `wait_ms`.
 async fn watch(app: Arc<App>, inbound: InboundRequest) -> Response<Body> {
-    if let Err(refused) = app.enter_read().await {
+    if let Err(refused) = app.admit_read().await {
         return refused;
     }
     let kind = inbound
         .strip_path_prefix("/v1/watch/")
         .unwrap_or_default()
         .to_owned();
-    let after = number(&inbound, "after");
-    let deadline = tokio::time::Instant::now() + Duration::from_millis(number(&inbound, "wait_ms"));
+    let after = query_number(&inbound, "after");
+    let deadline =
+        tokio::time::Instant::now() + Duration::from_millis(query_number(&inbound, "wait_ms"));
     loop {
         let changed = app.changed.notified();
-        let answer = app.lock().changes(&kind, after);
+        let response = app.lock().changes(&kind, after);
         if app.faults.is_dead() {
             return broken_connection();
         }
-        if !answer.objects.is_empty() {
-            return json_response(StatusCode::OK, &answer);
+        if !response.objects.is_empty() {
+            return json_response(StatusCode::OK, &response);
         }
         if tokio::time::timeout_at(deadline, changed).await.is_err() {
-            return json_response(StatusCode::OK, &answer);
+            return json_response(StatusCode::OK, &response);
         }
     }
 }
 
 /// Numeric query parameter; 0 if it is missing or invalid.
-fn number(inbound: &InboundRequest, name: &str) -> u64 {
+fn query_number(inbound: &InboundRequest, name: &str) -> u64 {
     let text = inbound.query_param(name).unwrap_or_default();
     text.parse().unwrap_or(0)
 }
 
 async fn instances(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
-    if let Err(refused) = app.enter_read().await {
+    if let Err(refused) = app.admit_read().await {
         return refused;
     }
     let lag = Duration::from_millis(app.config.list_lag_ms);
@@ -282,7 +286,7 @@
     let entry: Option<InstanceEntry> = if inbound.method == Method::DELETE {
         None
     } else {
-        match read(&mut inbound).await {
+        match read_json(&mut inbound).await {
             Ok(entry) => Some(entry),
             Err(refused) => return refused,
         }
@@ -292,7 +296,7 @@
 }
 
 async fn fault(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let fault: Fault = match read(&mut inbound).await {
+    let fault: Fault = match read_json(&mut inbound).await {
         Ok(fault) => fault,
         Err(refused) => return refused,
     };
@@ -305,7 +309,7 @@
     let counts = CallCounts {
         writes: app.write_calls.load(Ordering::Relaxed),
         reads: app.read_calls.load(Ordering::Relaxed),
-        turned_away: app.turned_away.load(Ordering::Relaxed),
+        turned_away: app.refused_calls.load(Ordering::Relaxed),
     };
     json_response(StatusCode::OK, &counts)
 }
@@ -315,25 +319,28 @@
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn enter_read(&self) -> Result<(), Response<Body>> {
+    async fn admit_read(&self) -> Result<(), Response<Body>> {
         self.read_calls.fetch_add(1, Ordering::Relaxed);
-        self.enter(&self.reads).await
+        self.admit(&self.reads).await
     }
 
-    async fn enter_write(&self) -> Result<(), Response<Body>> {
+    async fn admit_write(&self) -> Result<(), Response<Body>> {
         self.write_calls.fetch_add(1, Ordering::Relaxed);
-        self.enter(&self.writes).await
+        self.admit(&self.writes).await
     }
 
     /// Applies delays, faults and the rate limit to a call, then its latency.
-    async fn enter(&self, rate: &Mutex<RateLimit>) -> Result<(), Response<Body>> {
+    async fn admit(&self, rate: &Mutex<RateLimit>) -> Result<(), Response<Body>> {
         self.faults.delay_message().await;
         if self.faults.is_dead() {
             return Err(broken_connection());
         }
-        let is_within = rate.lock().unwrap_or_else(PoisonError::into_inner).take();
-        if !is_within {
-            self.turned_away.fetch_add(1, Ordering::Relaxed);
+        let is_allowed = rate
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .try_take();
+        if !is_allowed {
+            self.refused_calls.fetch_add(1, Ordering::Relaxed);
             return Err(text_response(
                 StatusCode::TOO_MANY_REQUESTS,
                 "the platform's rate limit is exceeded".to_owned(),
@@ -345,7 +352,7 @@
 }
 
 /// Reads and deserializes a JSON body; on failure returns the 400 response to send.
-pub(crate) async fn read<T: DeserializeOwned>(
+pub(crate) async fn read_json<T: DeserializeOwned>(
     inbound: &mut InboundRequest,
 ) -> Result<T, Response<Body>> {
     let body = inbound.read_body(MAX_BODY_BYTES, BODY_TIMEOUT).await;
--- a/crates/rookferry_standin/src/platform/store.rs
+++ b/crates/rookferry_standin/src/platform/store.rs
@@ -18,15 +18,15 @@
 pub struct Store {
     version: ObjectVersion,
     objects: BTreeMap<(String, String), Object>,
-    instances: BTreeMap<InstanceId, Listed>,
+    instances: BTreeMap<InstanceId, ListedInstance>,
 }
 
 /// An instance's current and previous entry; `None` where it isn't listed.
 #[derive(Debug)]
-struct Listed {
+struct ListedInstance {
     entry: Option<InstanceEntry>,
-    former: Option<InstanceEntry>,
-    since: Instant,
+    previous: Option<InstanceEntry>,
+    changed_at: Instant,
 }
 
 impl Store {
@@ -64,7 +64,7 @@
         let all = self
             .objects
             .iter()
-            .filter(|((of_kind, _), _)| of_kind == kind);
+            .filter(|((object_kind, _), _)| object_kind == kind);
         let mut objects: Vec<Object> = all
             .map(|(_, object)| object.clone())
             .filter(|object| object.version > after)
@@ -78,17 +78,17 @@
     #[must_use]
     pub fn count(&self, kind: &str) -> usize {
         let all = self.objects.iter();
-        all.filter(|((of_kind, _), object)| of_kind == kind && !object.value.is_null())
+        all.filter(|((object_kind, _), object)| object_kind == kind && !object.value.is_null())
             .count()
     }
 
     /// Sets or removes an instance; `list` shows the change once its lag has passed.
     pub fn set_instance(&mut self, now: Instant, name: InstanceId, entry: Option<InstanceEntry>) {
-        let former = self.instances.remove(&name).and_then(|listed| listed.entry);
-        let listed = Listed {
+        let previous = self.instances.remove(&name).and_then(|listed| listed.entry);
+        let listed = ListedInstance {
             entry,
-            former,
-            since: now,
+            previous,
+            changed_at: now,
         };
         self.instances.insert(name, listed);
     }
@@ -96,17 +96,17 @@
     /// The instance list; changes made less than `lag` ago don't show yet.
     #[must_use]
     pub fn list(&self, now: Instant, lag: Duration) -> InstanceList {
-        let shown = self.instances.values().filter_map(|listed| {
-            let is_shown = now.saturating_duration_since(listed.since) >= lag;
-            let entry = if is_shown {
+        let visible = self.instances.values().filter_map(|listed| {
+            let is_visible = now.saturating_duration_since(listed.changed_at) >= lag;
+            let entry = if is_visible {
                 &listed.entry
             } else {
-                &listed.former
+                &listed.previous
             };
             entry.clone()
         });
         InstanceList {
-            instances: shown.collect(),
+            instances: visible.collect(),
         }
     }
 }
--- a/crates/rookferry_standin/src/site.rs
+++ b/crates/rookferry_standin/src/site.rs
@@ -75,7 +75,7 @@
             let domain = config.failure_domain.clone();
             let labels = config.labels.clone();
             let server = EngineServer::start(config).await?;
-            let entry = listed(
+            let entry = instance_entry(
                 &server.engine,
                 InstanceKind::ModelEngine,
                 server.addr,
@@ -89,7 +89,7 @@
             let domain = config.failure_domain.clone();
             let labels = config.labels.clone();
             let server = AppServer::start(config).await?;
-            let entry = listed(
+            let entry = instance_entry(
                 &server.instance,
                 InstanceKind::AppEngine,
                 server.addr,
@@ -103,7 +103,7 @@
     }
 }
 
-fn listed(
+fn instance_entry(
     name: &str,
     kind: InstanceKind,
     addr: SocketAddr,
