--- a/crates/rookferry_experiment/src/claims.rs
+++ b/crates/rookferry_experiment/src/claims.rs
@@ -10,12 +10,12 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use crate::bench::Bench;
-use crate::bench::engines;
+use crate::testbed::Testbed;
+use crate::testbed::engines;
 
 const ENTRIES: usize = 9;
 const RATES: [f64; 3] = [20.0, 60.0, 120.0];
-const CALL: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Serialize)]
 struct RunFigures {
@@ -38,24 +38,24 @@
         engine.step_us = 1_000;
         engine.link_us = 0;
     }
-    let bench = Bench::start(engines, ENTRIES);
+    let testbed = Testbed::start(engines, ENTRIES);
     let mut runs = Vec::new();
     for rate_per_s in RATES {
-        runs.push(measure(&bench, rate_per_s, seconds));
+        runs.push(measure(&testbed, rate_per_s, seconds));
     }
     serde_json::to_value(runs).unwrap_or_default()
 }
 
-fn measure(bench: &Bench, rate_per_s: f64, seconds: u64) -> RunFigures {
+fn measure(testbed: &Testbed, rate_per_s: f64, seconds: u64) -> RunFigures {
     let mix = Mix {
         once: 1.0,
         ..Mix::default()
     };
-    let mut plan = bench.plan(rate_per_s, seconds, mix);
+    let mut plan = testbed.plan(rate_per_s, seconds, mix);
     plan.answer_tokens = (1, 2);
-    let before = bench.runtime.block_on(calls(bench));
-    let report = bench.runtime.block_on(LoadRun::run(plan)).report;
-    let after = bench.runtime.block_on(calls(bench));
+    let before = testbed.runtime.block_on(call_counts(testbed));
+    let report = testbed.runtime.block_on(LoadRun::run(plan)).report;
+    let after = testbed.runtime.block_on(call_counts(testbed));
     let since = |name: &str| after[name].as_u64().unwrap_or(0) - before[name].as_u64().unwrap_or(0);
     let once = report
         .kinds
@@ -76,11 +76,15 @@
 }
 
 /// Call counters of the platform.
-async fn calls(bench: &Bench) -> Value {
-    let addr = bench.site.addrs.platform.expect("the site has no platform");
-    bench
+async fn call_counts(testbed: &Testbed) -> Value {
+    let addr = testbed
+        .site
+        .addrs
+        .platform
+        .expect("the site has no platform");
+    testbed
         .client
-        .get(addr, "/admin/calls", CALL)
+        .get(addr, "/admin/calls", CALL_TIMEOUT)
         .await
         .unwrap_or_default()
 }
--- a/crates/rookferry_experiment/src/control.rs
+++ b/crates/rookferry_experiment/src/control.rs
@@ -24,27 +24,27 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::bench::Bench;
-use crate::bench::LAYERS;
-use crate::bench::config;
-use crate::bench::engines;
-use crate::process::cpu_of;
+use crate::process::cpu_time;
 use crate::process::resident_bytes;
+use crate::testbed::LAYERS;
+use crate::testbed::Testbed;
+use crate::testbed::engines;
+use crate::testbed::site_config;
 
 /// Instances and engines of the idle sites; each number varies while the other is fixed.
 const SITES: [(usize, usize); 3] = [(9, 38), (9, 114), (27, 38)];
 const ROUNDS: u32 = 200;
-const CALL: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Serialize)]
 struct Figures {
-    idle_sites: Vec<Idle>,
-    by_engines: Vec<EngineSlope>,
-    by_members: Vec<MemberSlope>,
+    idle_sites: Vec<IdleSite>,
+    by_engines: Vec<EngineCost>,
+    by_members: Vec<MemberCost>,
 }
 
 #[derive(Serialize)]
-struct Idle {
+struct IdleSite {
     instances: usize,
     engines: usize,
     cpu_percent_of_a_core_each: f64,
@@ -53,7 +53,7 @@
 }
 
 #[derive(Serialize)]
-struct EngineSlope {
+struct EngineCost {
     engines: usize,
     rebuild_us: f64,
     choose_us: f64,
@@ -61,7 +61,7 @@
 }
 
 #[derive(Serialize)]
-struct MemberSlope {
+struct MemberCost {
     members: usize,
     heartbeat_taken_us: f64,
     tick_us: f64,
@@ -71,40 +71,40 @@
 
 pub(crate) fn run(seconds: u64) -> Value {
     let figures = Figures {
-        by_engines: [38, 207, 725, 2_900].map(engine_slope).into(),
-        by_members: [9, 26, 93, 370].map(member_slope).into(),
+        by_engines: [38, 207, 725, 2_900].map(measure_engines).into(),
+        by_members: [9, 26, 93, 370].map(measure_members).into(),
         idle_sites: SITES
-            .map(|(entries, engines)| idle(entries, engines, seconds))
+            .map(|(entries, engines)| measure_idle_site(entries, engines, seconds))
             .into(),
     };
     serde_json::to_value(figures).unwrap_or_default()
 }
 
-fn idle(entries: usize, engines_in_all: usize, seconds: u64) -> Idle {
-    let bench = Bench::start(engines(engines_in_all), entries);
-    let heartbeats = || bench.runtime.block_on(heartbeat_bytes(&bench));
-    let (cpu, bytes, reads) = (cpu_of("entry-"), heartbeats(), platform_reads(&bench));
+fn measure_idle_site(entries: usize, engines_in_all: usize, seconds: u64) -> IdleSite {
+    let testbed = Testbed::start(engines(engines_in_all), entries);
+    let heartbeats = || testbed.runtime.block_on(heartbeat_bytes(&testbed));
+    let (cpu, bytes, reads) = (cpu_time("entry-"), heartbeats(), platform_reads(&testbed));
     let start = Instant::now();
     std::thread::sleep(Duration::from_secs(seconds));
     let elapsed_s = start.elapsed().as_secs_f64();
-    let cpu = cpu_of("entry-").saturating_sub(cpu).as_secs_f64();
+    let cpu = cpu_time("entry-").saturating_sub(cpu).as_secs_f64();
     let each = entries as f64 * elapsed_s;
-    Idle {
+    IdleSite {
         instances: entries,
         engines: engines_in_all,
         cpu_percent_of_a_core_each: 100.0 * cpu / each,
         heartbeat_bytes_per_s_each: (heartbeats() - bytes) / each,
-        platform_reads_per_s_in_all: (platform_reads(&bench) - reads) / elapsed_s,
+        platform_reads_per_s_in_all: (platform_reads(&testbed) - reads) / elapsed_s,
     }
 }
 
 /// Heartbeat bytes sent by all instances, which share one metrics recorder in this
 /// process.
-async fn heartbeat_bytes(bench: &Bench) -> f64 {
-    let addr = bench.entries[0].addrs.operators;
-    let metrics = bench
+async fn heartbeat_bytes(testbed: &Testbed) -> f64 {
+    let addr = testbed.entries[0].addrs.operators;
+    let metrics = testbed
         .client
-        .get_text(addr, "/metrics", CALL)
+        .get_text(addr, "/metrics", CALL_TIMEOUT)
         .await
         .unwrap_or_default();
     let mut lines = metrics.lines();
@@ -112,15 +112,21 @@
     line.and_then(|count| count.parse().ok()).unwrap_or(0.0)
 }
 
-fn platform_reads(bench: &Bench) -> f64 {
-    let addr = bench.site.addrs.platform.expect("the site has no platform");
-    let calls = bench.client.get::<Value>(addr, "/admin/calls", CALL);
-    let calls = bench.runtime.block_on(calls).unwrap_or_default();
+fn platform_reads(testbed: &Testbed) -> f64 {
+    let addr = testbed
+        .site
+        .addrs
+        .platform
+        .expect("the site has no platform");
+    let calls = testbed
+        .client
+        .get::<Value>(addr, "/admin/calls", CALL_TIMEOUT);
+    let calls = testbed.runtime.block_on(calls).unwrap_or_default();
     calls["reads"].as_f64().unwrap_or(0.0)
 }
 
 /// Synthetic engines over three stages, with one recorded step each.
-fn fleet_of(count: usize) -> Vec<Engine> {
+fn synthetic_engines(count: usize) -> Vec<Engine> {
     let addr = SocketAddr::from(([127, 0, 0, 1], 1));
     let numbers = 0..count;
     numbers
@@ -153,14 +159,14 @@
         .collect()
 }
 
-fn engine_slope(count: usize) -> EngineSlope {
-    let text = config(&json!({})).to_string();
+fn measure_engines(count: usize) -> EngineCost {
+    let text = site_config(&json!({})).to_string();
     let config = SiteConfig::from_json(&text).expect("invalid configuration");
     let before = resident_bytes();
-    let engines = fleet_of(count);
+    let engines = synthetic_engines(count);
     let fleet = Fleet::new(&config, engines.clone());
     let bytes = resident_bytes().saturating_sub(before);
-    let rebuild_us = micros_each(ROUNDS / 10, || {
+    let rebuild_us = mean_micros(ROUNDS / 10, || {
         black_box(Fleet::new(&config, engines.clone()));
     });
     let graph = fleet
@@ -168,7 +174,7 @@
         .expect("no graph for the pool and model");
     let chooser = chooser_for(ChooserKind::ExpectedFinish);
     let mut seed = 0;
-    let choose_us = micros_each(ROUNDS, || {
+    let choose_us = mean_micros(ROUNDS, || {
         seed += 1;
         let request = ChainRequest {
             layers: graph.all_layers(),
@@ -179,7 +185,7 @@
         };
         black_box(chooser.choose(&config.policy, graph, fleet.engines(), &request));
     });
-    EngineSlope {
+    EngineCost {
         engines: count,
         rebuild_us,
         choose_us,
@@ -187,7 +193,7 @@
     }
 }
 
-fn member_slope(count: usize) -> MemberSlope {
+fn measure_members(count: usize) -> MemberCost {
     let key = DatagramKey::from_secret("secret of the experiment");
     let heartbeat = |number: usize, seq: u64| Heartbeat {
         instance: format!("entry-{number:03}").into(),
@@ -209,17 +215,17 @@
     let bytes = resident_bytes().saturating_sub(before);
     let sealed = key.seal(&heartbeat(1, 2)).unwrap_or_default();
     let mut seq = 2;
-    let heartbeat_taken_us = micros_each(ROUNDS * 10, || {
+    let heartbeat_taken_us = mean_micros(ROUNDS * 10, || {
         seq += 1;
         let datagram = key.seal(&heartbeat(1, seq)).unwrap_or_default();
         if let Ok(heartbeat) = key.open(&datagram) {
             let _ = black_box(table.on_heartbeat(now, heartbeat));
         }
     });
-    let tick_us = micros_each(ROUNDS, || {
+    let tick_us = mean_micros(ROUNDS, || {
         black_box(table.tick(now));
     });
-    MemberSlope {
+    MemberCost {
         members: count,
         heartbeat_taken_us,
         tick_us,
@@ -229,7 +235,7 @@
 }
 
 /// Mean duration of a call in microseconds.
-fn micros_each(rounds: u32, mut call: impl FnMut()) -> f64 {
+fn mean_micros(rounds: u32, mut call: impl FnMut()) -> f64 {
     let start = Instant::now();
     for _ in 0..rounds {
         call();
--- a/crates/rookferry_experiment/src/main.rs
+++ b/crates/rookferry_experiment/src/main.rs
@@ -6,7 +6,6 @@
 //! machine.
 #![forbid(unsafe_code)]
 
-mod bench;
 mod claims;
 mod control;
 mod overhead;
@@ -14,6 +13,7 @@
 mod process;
 mod recovery;
 mod spread;
+mod testbed;
 
 use std::process::ExitCode;
 
@@ -39,7 +39,7 @@
         #[arg(long, default_values_t = [0.9, 1.5])]
         load: Vec<f64>,
         /// Routing policies, by their names in the configuration.
-        #[arg(long, default_values_t = policies::ALL.map(str::to_owned))]
+        #[arg(long, default_values_t = policies::ALL_POLICIES.map(str::to_owned))]
         policy: Vec<String>,
         /// Overcommitment of engines; if absent, the configuration's default.
         #[arg(long)]
--- a/crates/rookferry_experiment/src/overhead.rs
+++ b/crates/rookferry_experiment/src/overhead.rs
@@ -19,13 +19,13 @@
 use serde_json::Value;
 use uuid::Uuid;
 
-use crate::bench::Bench;
-use crate::bench::LAYERS;
-use crate::bench::engines;
-use crate::process::cpu_of;
+use crate::process::cpu_time;
+use crate::testbed::LAYERS;
+use crate::testbed::Testbed;
+use crate::testbed::engines;
 
 const DIRECT_STEPS: u32 = 400;
-const STEP_WAIT: Duration = Duration::from_secs(5);
+const STEP_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Serialize)]
 struct Figures {
@@ -42,23 +42,23 @@
 }
 
 pub(crate) fn run(seconds: u64) -> Value {
-    let bench = Bench::start(fast_engines(), 1);
-    let direct_us = bench.runtime.block_on(direct(&bench));
-    let threads = bench.entries[0].threads.clone();
+    let testbed = Testbed::start(wide_engines(), 1);
+    let direct_us = testbed.runtime.block_on(measure_direct_step(&testbed));
+    let threads = testbed.entries[0].threads.clone();
     let streamed = Mix {
         streamed: 1.0,
         ..Mix::default()
     };
-    let before = cpu_of(&threads);
-    let tokens = load(&bench, 60.0, seconds, streamed);
-    let token_cpu = cpu_of(&threads).saturating_sub(before);
+    let before = cpu_time(&threads);
+    let tokens = run_load(&testbed, 60.0, seconds, streamed);
+    let token_cpu = cpu_time(&threads).saturating_sub(before);
     let lookups = Mix {
         lookup: 1.0,
         ..Mix::default()
     };
-    let before = cpu_of(&threads);
-    let lookup = load(&bench, 1_000.0, seconds, lookups);
-    let lookup_cpu = cpu_of(&threads).saturating_sub(before);
+    let before = cpu_time(&threads);
+    let lookup = run_load(&testbed, 1_000.0, seconds, lookups);
+    let lookup_cpu = cpu_time(&threads).saturating_sub(before);
     let gaps = tokens.report.kinds[&CallKind::Streamed].gaps.clone();
     let stages = 3.0;
     let gap_us = gaps.p50_ms * 1_000.0 / stages;
@@ -79,7 +79,7 @@
 
 /// One engine per stage, fast and with batches wide enough for all streams, so that the
 /// engines don't limit throughput.
-fn fast_engines() -> Vec<EngineConfig> {
+fn wide_engines() -> Vec<EngineConfig> {
     let mut engines = engines(3);
     for (engine, stage) in engines.iter_mut().zip(0_u16..) {
         engine.layers = LayerRange {
@@ -94,15 +94,15 @@
     engines
 }
 
-fn load(bench: &Bench, rate_per_s: f64, seconds: u64, mix: Mix) -> LoadRun {
-    let plan = bench.plan(rate_per_s, seconds, mix);
-    bench.runtime.block_on(LoadRun::run(plan))
+fn run_load(testbed: &Testbed, rate_per_s: f64, seconds: u64, mix: Mix) -> LoadRun {
+    let plan = testbed.plan(rate_per_s, seconds, mix);
+    testbed.runtime.block_on(LoadRun::run(plan))
 }
 
 /// Median duration in microseconds of one-position steps sent straight to an engine.
-async fn direct(bench: &Bench) -> f64 {
-    let transport = HttpEngineTransport::new(bench.client.clone());
-    let addr = bench.site.addrs.engines["engine-00"];
+async fn measure_direct_step(testbed: &Testbed) -> f64 {
+    let transport = HttpEngineTransport::new(testbed.client.clone());
+    let addr = testbed.site.addrs.engines["engine-00"];
     let stream = Uuid::now_v7();
     let mut times = Vec::new();
     for position in 0..DIRECT_STEPS {
@@ -115,7 +115,7 @@
         };
         let sent_at = Instant::now();
         let batch = StepBatch { steps: vec![step] };
-        let _ = transport.steps(addr, batch, STEP_WAIT).await;
+        let _ = transport.steps(addr, batch, STEP_TIMEOUT).await;
         times.push(sent_at.elapsed());
     }
     times.sort();
--- a/crates/rookferry_experiment/src/policies.rs
+++ b/crates/rookferry_experiment/src/policies.rs
@@ -8,17 +8,17 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::bench::ACCOUNT_SHARES;
-use crate::bench::Bench;
-use crate::bench::bound;
-use crate::bench::engines;
+use crate::testbed::ACCOUNT_SHARES;
+use crate::testbed::Testbed;
+use crate::testbed::engines;
+use crate::testbed::token_rate_bound;
 
 const ENGINES: usize = 38;
 const ENTRIES: usize = 9;
 /// Mean number of tokens of an answer.
 const ANSWER_TOKENS: f64 = 32.0;
 /// All routing policies; the default first, then the baselines.
-pub(crate) const ALL: [&str; 4] = [
+pub(crate) const ALL_POLICIES: [&str; 4] = [
     "expected_finish",
     "least_outstanding",
     "round_robin",
@@ -55,17 +55,17 @@
     policies: &[String],
     overcommit: Option<f64>,
 ) -> Value {
-    let bench = Bench::start(engines(ENGINES), ENTRIES);
-    let bound = bound(&bench.engines);
+    let testbed = Testbed::start(engines(ENGINES), ENTRIES);
+    let bound = token_rate_bound(&testbed.engines);
     let mut runs = Vec::new();
     for load in loads {
         for policy in policies {
-            let version = bench.apply(&match overcommit {
+            let version = testbed.apply(&match overcommit {
                 Some(overcommit) => json!({"chooser": policy, "overcommit": overcommit}),
                 None => json!({"chooser": policy}),
             });
-            bench.wait_in_force(version);
-            let figures = load_once(&bench, policy, *load, bound, seconds);
+            testbed.wait_until_active(version);
+            let figures = load_once(&testbed, policy, *load, bound, seconds);
             eprintln!("{}", serde_json::to_string(&figures).unwrap_or_default());
             runs.push(figures);
         }
@@ -77,15 +77,15 @@
     serde_json::to_value(figures).unwrap_or_default()
 }
 
-fn load_once(bench: &Bench, policy: &str, load: f64, bound: u64, seconds: u64) -> RunFigures {
+fn load_once(testbed: &Testbed, policy: &str, load: f64, bound: u64, seconds: u64) -> RunFigures {
     let mix = Mix {
         streamed: 0.9,
         lookup: 0.1,
         ..Mix::default()
     };
     let rate_per_s = bound as f64 * load / ANSWER_TOKENS / mix.streamed;
-    let plan = bench.plan(rate_per_s, seconds, mix);
-    let report = bench.runtime.block_on(LoadRun::run(plan)).report;
+    let plan = testbed.plan(rate_per_s, seconds, mix);
+    let report = testbed.runtime.block_on(LoadRun::run(plan)).report;
     figures(policy, load, bound, &report)
 }
 
--- a/crates/rookferry_experiment/src/process.rs
+++ b/crates/rookferry_experiment/src/process.rs
@@ -8,13 +8,13 @@
 const PAGE_BYTES: u64 = 4_096;
 
 /// CPU time of all threads whose name starts with `prefix`.
-pub(crate) fn cpu_of(prefix: &str) -> Duration {
+pub(crate) fn cpu_time(prefix: &str) -> Duration {
     let Ok(tasks) = fs::read_dir("/proc/self/task") else {
         return Duration::ZERO;
     };
     let ticks = tasks.flatten().filter_map(|task| {
         let stat = fs::read_to_string(task.path().join("stat")).ok()?;
-        ticks_of(&stat, prefix)
+        parse_ticks(&stat, prefix)
     });
     Duration::from_millis(ticks.sum::<u64>() * 1_000 / TICKS_PER_S)
 }
@@ -30,7 +30,7 @@
 }
 
 /// User and system ticks in a thread's `stat`, if its name starts with `prefix`.
-fn ticks_of(stat: &str, prefix: &str) -> Option<u64> {
+fn parse_ticks(stat: &str, prefix: &str) -> Option<u64> {
     // Position of `utime` among the fields after the thread name.
     const USER_FIELD: usize = 11;
     let (_, rest) = stat.split_once('(')?;
--- a/crates/rookferry_experiment/src/recovery.rs
+++ b/crates/rookferry_experiment/src/recovery.rs
@@ -14,17 +14,17 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::bench::Bench;
-use crate::bench::bound;
-use crate::bench::engines;
+use crate::testbed::Testbed;
+use crate::testbed::engines;
+use crate::testbed::token_rate_bound;
 
 const ENGINES: usize = 38;
 const ENTRIES: usize = 9;
 const ANSWER_TOKENS: f64 = 32.0;
 /// Load as a share of the upper bound; leaves the other engines capacity to take over.
-const LOAD: f64 = 0.5;
+const LOAD_OF_BOUND: f64 = 0.5;
 /// Share of the earlier tokens per second that counts as recovered.
-const RECOVERED: f64 = 0.95;
+const RECOVERED_SHARE: f64 = 0.95;
 
 #[derive(Serialize)]
 struct RunFigures {
@@ -58,38 +58,44 @@
         Some(floor_ms) => json!({"step_timeout_floor_ms": floor_ms}),
         None => json!({}),
     };
-    let is_wanted = |name: &str| only.is_none_or(|only| name.contains(only));
-    for (name, target, fault) in faults.iter().filter(|(name, ..)| is_wanted(name)) {
-        runs.push(with_fault(name, target, fault, &policy, seconds));
+    let is_selected = |name: &str| only.is_none_or(|only| name.contains(only));
+    for (name, target, fault) in faults.iter().filter(|(name, ..)| is_selected(name)) {
+        runs.push(measure_fault(name, target, fault, &policy, seconds));
     }
-    if is_wanted("entry") {
-        runs.push(with_entry_killed(seconds));
+    if is_selected("entry") {
+        runs.push(measure_killed_entry(seconds));
     }
     serde_json::to_value(runs).unwrap_or_default()
 }
 
-fn with_fault(name: &str, target: &str, fault: &Value, policy: &Value, seconds: u64) -> RunFigures {
-    let bench = Bench::start(engines(ENGINES), ENTRIES);
-    let version = bench.apply(policy);
-    bench.wait_in_force(version);
-    let addr = target_addr(&bench, target);
+fn measure_fault(
+    name: &str,
+    target: &str,
+    fault: &Value,
+    policy: &Value,
+    seconds: u64,
+) -> RunFigures {
+    let testbed = Testbed::start(engines(ENGINES), ENTRIES);
+    let version = testbed.apply(policy);
+    testbed.wait_until_active(version);
+    let addr = fault_addr(&testbed, target);
     let fault_at_ms = seconds * 500;
-    let mut plan = plan(&bench, seconds);
+    let mut plan = plan(&testbed, seconds);
     plan.faults.extend(addr.map(|addr| TimedFault {
         at_ms: fault_at_ms,
         addr,
         fault: fault.clone(),
     }));
-    let run = bench.runtime.block_on(LoadRun::run(plan));
+    let run = testbed.runtime.block_on(LoadRun::run(plan));
     figures(name, &run, fault_at_ms)
 }
 
-fn with_entry_killed(seconds: u64) -> RunFigures {
-    let mut bench = Bench::start(engines(ENGINES), ENTRIES);
+fn measure_killed_entry(seconds: u64) -> RunFigures {
+    let mut testbed = Testbed::start(engines(ENGINES), ENTRIES);
     let fault_at_ms = seconds * 500;
-    let plan = plan(&bench, seconds);
-    let mut killed = bench.entries.remove(0);
-    let run = bench.runtime.block_on(async {
+    let plan = plan(&testbed, seconds);
+    let mut killed = testbed.entries.remove(0);
+    let run = testbed.runtime.block_on(async {
         let load = tokio::spawn(LoadRun::run(plan));
         tokio::time::sleep(Duration::from_millis(fault_at_ms)).await;
         killed.kill();
@@ -102,24 +108,24 @@
     )
 }
 
-fn plan(bench: &Bench, seconds: u64) -> rookferry_standin::LoadPlan {
+fn plan(testbed: &Testbed, seconds: u64) -> rookferry_standin::LoadPlan {
     let mix = Mix {
         streamed: 1.0,
         ..Mix::default()
     };
-    let rate_per_s = bound(&bench.engines) as f64 * LOAD / ANSWER_TOKENS;
-    let mut plan = bench.plan(rate_per_s, seconds, mix);
+    let rate_per_s = token_rate_bound(&testbed.engines) as f64 * LOAD_OF_BOUND / ANSWER_TOKENS;
+    let mut plan = testbed.plan(rate_per_s, seconds, mix);
     // Random arrivals and lengths would mask the fault's effect on the throughput.
     plan.arrivals = Arrivals::Steady;
     plan.answer_tokens = (32, 32);
     plan
 }
 
-fn target_addr(bench: &Bench, target: &str) -> Option<SocketAddr> {
+fn fault_addr(testbed: &Testbed, target: &str) -> Option<SocketAddr> {
     if target == "platform" {
-        return bench.site.addrs.platform;
+        return testbed.site.addrs.platform;
     }
-    bench.site.addrs.engines.get(target).copied()
+    testbed.site.addrs.engines.get(target).copied()
 }
 
 fn figures(name: &str, run: &LoadRun, fault_at_ms: u64) -> RunFigures {
@@ -131,7 +137,7 @@
         .unwrap_or_default();
     let recovery = run
         .report
-        .recovery_time(Duration::from_millis(fault_at_ms), RECOVERED);
+        .recovery_time(Duration::from_millis(fault_at_ms), RECOVERED_SHARE);
     let figures = RunFigures {
         fault: name.to_owned(),
         recovery_ms: recovery.map(|time| u64::try_from(time.as_millis()).unwrap_or(u64::MAX)),
--- a/crates/rookferry_experiment/src/spread.rs
+++ b/crates/rookferry_experiment/src/spread.rs
@@ -8,12 +8,12 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::bench::Bench;
-use crate::bench::config;
-use crate::bench::engines;
+use crate::testbed::Testbed;
+use crate::testbed::engines;
+use crate::testbed::site_config;
 
 const ENTRIES: usize = 9;
-const LOOK: Duration = Duration::from_millis(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 #[derive(Serialize)]
 struct RunFigures {
@@ -38,13 +38,13 @@
 }
 
 fn measure(site: &'static str, with_platform: usize, applies: u64) -> RunFigures {
-    let bench = Bench::start_cut(engines(3), ENTRIES, with_platform);
+    let testbed = Testbed::start_partitioned(engines(3), ENTRIES, with_platform);
     let mut times: Vec<Duration> = Vec::new();
     let mut reversals = 0;
     for number in 0..applies {
-        let (time, went_back) = bench.runtime.block_on(apply_once(&bench, number));
+        let (time, new_reversals) = testbed.runtime.block_on(apply_once(&testbed, number));
         times.push(time);
-        reversals += went_back;
+        reversals += new_reversals;
     }
     times.sort();
     let ms = |time: Option<&Duration>| time.map_or(0.0, |time| time.as_secs_f64() * 1_000.0);
@@ -59,20 +59,23 @@
 
 /// Applies a configuration; returns the time until it is active everywhere, and the
 /// number of reversals.
-async fn apply_once(bench: &Bench, number: u64) -> (Duration, u64) {
-    let mut value = config(&json!({}));
+async fn apply_once(testbed: &Testbed, number: u64) -> (Duration, u64) {
+    let mut value = site_config(&json!({}));
     value["routes"][0]["name"] = json!(format!("route-{number}"));
-    let version = bench.put(value).await;
+    let version = testbed.write_config(value).await;
     let accepted_at = Instant::now();
     let mut reversals = 0;
-    let mut seen = vec![0; bench.entries.len()];
-    while seen.iter().any(|seen| *seen < version) {
-        for (entry, seen) in bench.entries.iter().zip(&mut seen) {
-            let now = bench.version_at(entry).await;
-            reversals += u64::from(now < *seen);
-            *seen = now;
+    let mut last_versions = vec![0; testbed.entries.len()];
+    while last_versions
+        .iter()
+        .any(|last_version| *last_version < version)
+    {
+        for (entry, last_version) in testbed.entries.iter().zip(&mut last_versions) {
+            let reported_version = testbed.active_version(entry).await;
+            reversals += u64::from(reported_version < *last_version);
+            *last_version = reported_version;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     (accepted_at.elapsed(), reversals)
 }
--- a/crates/rookferry_experiment/src/bench.rs
+++ b/crates/rookferry_experiment/src/testbed.rs
@@ -40,30 +40,30 @@
 /// Shares of the client accounts in the load: two large accounts, four small ones.
 pub(crate) const ACCOUNT_SHARES: [f64; 6] = [8.0, 4.0, 1.0, 1.0, 1.0, 1.0];
 const STAGES: u16 = 3;
-const CALL: Duration = Duration::from_secs(5);
-const PATIENCE: Duration = Duration::from_mins(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+const SETTLE_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// A kind of accelerator: its step time and the one-way delay of its link.
 #[derive(Clone, Copy)]
-pub(crate) struct Kind {
+pub(crate) struct AcceleratorKind {
     name: &'static str,
     step_us: u64,
     link_us: u64,
 }
 
 /// Three kinds of accelerators; their link delays differ by a factor of 100.
-pub(crate) const KINDS: [Kind; 3] = [
-    Kind {
+pub(crate) const ACCELERATOR_KINDS: [AcceleratorKind; 3] = [
+    AcceleratorKind {
         name: "large",
         step_us: 5_000,
         link_us: 50,
     },
-    Kind {
+    AcceleratorKind {
         name: "medium",
         step_us: 10_000,
         link_us: 500,
     },
-    Kind {
+    AcceleratorKind {
         name: "small",
         step_us: 20_000,
         link_us: 5_000,
@@ -71,7 +71,7 @@
 ];
 
 /// An entry instance with its own runtime.
-pub(crate) struct BenchEntry {
+pub(crate) struct TestbedEntry {
     pub(crate) addrs: EntryAddrs,
     /// Prefix of the names of its threads.
     pub(crate) threads: String,
@@ -79,7 +79,7 @@
     entry: Option<Entry>,
 }
 
-impl BenchEntry {
+impl TestbedEntry {
     /// Stops the instance abruptly, as a kill does; its connections break.
     pub(crate) fn kill(&mut self) {
         self.entry = None;
@@ -89,17 +89,17 @@
     }
 }
 
-impl Drop for BenchEntry {
+impl Drop for TestbedEntry {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
 /// A running site.
-pub(crate) struct Bench {
+pub(crate) struct Testbed {
     pub(crate) site: Site,
     pub(crate) engines: Vec<EngineConfig>,
-    pub(crate) entries: Vec<BenchEntry>,
+    pub(crate) entries: Vec<TestbedEntry>,
     pub(crate) client: HttpClient,
     /// Runs the stand-ins and the load.
     pub(crate) runtime: Runtime,
@@ -111,7 +111,7 @@
     numbers
         .map(|number| {
             let stage = u16::try_from(number).unwrap_or(0) % STAGES;
-            let kind = KINDS[(number / usize::from(STAGES)) % KINDS.len()];
+            let kind = ACCELERATOR_KINDS[(number / usize::from(STAGES)) % ACCELERATOR_KINDS.len()];
             let domain = (number / 9) % DOMAINS + 1;
             EngineConfig {
                 engine: format!("engine-{number:02}").into(),
@@ -138,7 +138,7 @@
 }
 
 /// Upper bound of the tokens per second that the engines can generate; ignores prefill.
-pub(crate) fn bound(engines: &[EngineConfig]) -> u64 {
+pub(crate) fn token_rate_bound(engines: &[EngineConfig]) -> u64 {
     let rated: Vec<RatedEngine> = engines
         .iter()
         .map(|engine| RatedEngine {
@@ -154,7 +154,7 @@
 }
 
 /// A configuration with the given policy, one model and one plain service.
-pub(crate) fn config(policy: &Value) -> Value {
+pub(crate) fn site_config(policy: &Value) -> Value {
     let accounts = (0..ACCOUNT_SHARES.len()).map(|number| {
         let digest = hex::encode(Sha256::digest(account_key(number).as_bytes()));
         let account = json!({"key_sha256": digest, "max_concurrent": 4_096});
@@ -171,21 +171,21 @@
     })
 }
 
-impl Bench {
+impl Testbed {
     /// Starts stand-ins and instances, and waits until each instance knows all engines
     /// and members.
     pub(crate) fn start(engines: Vec<EngineConfig>, entries: usize) -> Self {
-        Self::start_cut(engines, entries, 0)
+        Self::start_partitioned(engines, entries, 0)
     }
 
     /// As `start`, but only the first `with_platform` instances of each domain can reach
     /// the platform; with 0, all can.
-    pub(crate) fn start_cut(
+    pub(crate) fn start_partitioned(
         engines: Vec<EngineConfig>,
         entries: usize,
         with_platform: usize,
     ) -> Self {
-        let runtime = runtime("bench", 4);
+        let runtime = build_runtime("bench", 4);
         let client = HttpClient::new();
         let app = |number: usize| {
             let app = json!({
@@ -206,42 +206,43 @@
         let site = runtime
             .block_on(Site::start(spec))
             .expect("failed to start the stand-ins");
-        let mut bench = Self {
+        let mut testbed = Self {
             site,
             engines,
             entries: Vec::new(),
             client,
             runtime,
         };
-        bench.apply(&json!({}));
+        testbed.apply(&json!({}));
         for number in 0..entries {
-            let is_cut = with_platform > 0 && number / DOMAINS >= with_platform;
-            bench.add_entry(number, is_cut);
+            let is_partitioned = with_platform > 0 && number / DOMAINS >= with_platform;
+            testbed.add_entry(number, is_partitioned);
         }
-        bench.wait_until_settled();
-        bench
+        testbed.wait_until_settled();
+        testbed
     }
 
-    fn add_entry(&mut self, number: usize, is_cut: bool) {
-        let known: Vec<SocketAddr> = self.entries.iter().map(|entry| entry.addrs.peers).collect();
+    fn add_entry(&mut self, number: usize, is_partitioned: bool) {
+        let known_peers: Vec<SocketAddr> =
+            self.entries.iter().map(|entry| entry.addrs.peers).collect();
         let platform = self.site.addrs.platform.expect("the site has no platform");
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
+        let unreachable_addr = SocketAddr::from(([127, 0, 0, 1], 9));
         let settings = json!({
             "instance": format!("entry-{number}"),
             "failure_domain": format!("domain-{}", number % DOMAINS + 1),
             "callers": "127.0.0.1:0", "operators": "127.0.0.1:0", "peers": "127.0.0.1:0",
-            "known_peers": known, "site_secret": "secret of the experiment",
-            "platform": if is_cut { nowhere } else { platform },
+            "known_peers": known_peers, "site_secret": "secret of the experiment",
+            "platform": if is_partitioned { unreachable_addr } else { platform },
         });
         let settings =
             EntrySettings::from_json(&settings.to_string()).expect("invalid entry settings");
         let threads = format!("entry-{number}-");
-        let runtime = runtime(&threads, 2);
+        let runtime = build_runtime(&threads, 2);
         let log = Logger::root(slog::Discard, o!());
         let entry = runtime
             .block_on(Entry::start(settings, log))
             .expect("failed to start an entry instance");
-        self.entries.push(BenchEntry {
+        self.entries.push(TestbedEntry {
             addrs: entry.addrs(),
             threads,
             runtime: Some(runtime),
@@ -251,11 +252,12 @@
 
     /// Applies a configuration with the given policy; returns its version.
     pub(crate) fn apply(&self, policy: &Value) -> u64 {
-        self.runtime.block_on(self.put(config(policy)))
+        self.runtime
+            .block_on(self.write_config(site_config(policy)))
     }
 
     /// Writes a configuration to the platform; returns its version.
-    pub(crate) async fn put(&self, value: Value) -> u64 {
+    pub(crate) async fn write_config(&self, value: Value) -> u64 {
         let addr = self.site.addrs.platform.expect("the site has no platform");
         let platform = HttpPlatform::new(self.client.clone(), addr);
         let current = platform
@@ -273,20 +275,20 @@
     }
 
     /// Active configuration version of an instance; 0 if it doesn't respond.
-    pub(crate) async fn version_at(&self, entry: &BenchEntry) -> u64 {
+    pub(crate) async fn active_version(&self, entry: &TestbedEntry) -> u64 {
         let status: Value = self
             .client
-            .get(entry.addrs.operators, "/v1/config", CALL)
+            .get(entry.addrs.operators, "/v1/config", CALL_TIMEOUT)
             .await
             .unwrap_or_default();
         status["version"].as_u64().unwrap_or(0)
     }
 
     /// Waits until a configuration version is active on every instance.
-    pub(crate) fn wait_in_force(&self, version: u64) {
+    pub(crate) fn wait_until_active(&self, version: u64) {
         self.runtime.block_on(async {
             for entry in &self.entries {
-                while self.version_at(entry).await < version {
+                while self.active_version(entry).await < version {
                     tokio::time::sleep(Duration::from_millis(2)).await;
                 }
             }
@@ -298,7 +300,7 @@
         for entry in &self.entries {
             while !self.runtime.block_on(self.is_settled(entry)) {
                 assert!(
-                    start.elapsed() < PATIENCE,
+                    start.elapsed() < SETTLE_TIMEOUT,
                     "instances don't know all engines and members in time"
                 );
                 std::thread::sleep(Duration::from_millis(30));
@@ -306,18 +308,18 @@
         }
     }
 
-    async fn is_settled(&self, entry: &BenchEntry) -> bool {
+    async fn is_settled(&self, entry: &TestbedEntry) -> bool {
         let status: Value = self
             .client
-            .get(entry.addrs.operators, "/v1/status", CALL)
+            .get(entry.addrs.operators, "/v1/status", CALL_TIMEOUT)
             .await
             .unwrap_or_default();
         let engines = status["engines"]
             .as_object()
             .map_or(0, serde_json::Map::len);
         let members = status["members"].as_array().map_or(0, Vec::len);
-        let is_cut = engines == 0 && status["config_version"].as_u64() > Some(0);
-        (engines == self.engines.len() || is_cut) && members + 1 == self.entries.len()
+        let is_partitioned = engines == 0 && status["config_version"].as_u64() > Some(0);
+        (engines == self.engines.len() || is_partitioned) && members + 1 == self.entries.len()
     }
 
     /// A load plan over all instances and accounts, with Poisson arrivals.
@@ -354,7 +356,7 @@
     }
 }
 
-fn runtime(name: &str, threads: usize) -> Runtime {
+fn build_runtime(name: &str, threads: usize) -> Runtime {
     Builder::new_multi_thread()
         .worker_threads(threads)
         .thread_name(name)
