--- a/crates/rookferry_experiment/src/testbed.rs
+++ b/crates/rookferry_experiment/src/testbed.rs
@@ -41,6 +41,7 @@
 pub(crate) const ACCOUNT_SHARES: [f64; 6] = [8.0, 4.0, 1.0, 1.0, 1.0, 1.0];
 const STAGES: u16 = 3;
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long `wait_until_settled` waits for all instances.
 const SETTLE_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// A kind of accelerator: its step time and the one-way delay of its link.
@@ -226,6 +227,7 @@
         let known_peers: Vec<SocketAddr> =
             self.entries.iter().map(|entry| entry.addrs.peers).collect();
         let platform = self.site.addrs.platform.expect("the site has no platform");
+        // Nothing listens on the discard port.
         let unreachable_addr = SocketAddr::from(([127, 0, 0, 1], 9));
         let settings = json!({
             "instance": format!("entry-{number}"),
@@ -308,6 +310,8 @@
         }
     }
 
+    /// Whether an instance knows all members and all engines. One that can't reach the
+    /// platform has a configuration from its peers but no engines.
     async fn is_settled(&self, entry: &TestbedEntry) -> bool {
         let status: Value = self
             .client
--- a/crates/rookferry_standin/src/app.rs
+++ b/crates/rookferry_standin/src/app.rs
@@ -3,6 +3,7 @@
 //!
 //! Every path but `/admin` is the service. `/admin/ledger` returns the calls begun by
 //! `rookferry-request-id`; calls without this header count as `direct`.
+//! `/admin/calls-since-asked` returns the calls since the last refusal with a backoff.
 
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/rookferry_standin/src/engine/server.rs
+++ b/crates/rookferry_standin/src/engine/server.rs
@@ -58,8 +58,8 @@
 use crate::admin::broken_connection;
 use crate::platform::server::read_json;
 
-/// Number of stored load reports; `report_lag_ms` can delay reports by up to 3.2 s
-/// (64 reports at intervals of 50 ms).
+/// Number of stored load reports; `report_lag_ms` can delay reports by about 3.2 s at
+/// most (64 reports at intervals of 50 ms).
 const MAX_REPORTS: usize = 64;
 /// Interval between load reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/rookferry_standin/src/load/caller.rs
+++ b/crates/rookferry_standin/src/load/caller.rs
@@ -121,8 +121,8 @@
         let Ok(request) = request.body(Full::new(body)) else {
             return CallOutcome::Cut("invalid request".to_owned());
         };
-        let exchange_result = self.read_outcome(addr, request, is_stream);
-        match tokio::time::timeout(self.timeout, exchange_result).await {
+        let outcome_future = self.read_outcome(addr, request, is_stream);
+        match tokio::time::timeout(self.timeout, outcome_future).await {
             Ok(outcome) => outcome,
             Err(_) => CallOutcome::Cut("timed out before the answer was complete".to_owned()),
         }
--- a/crates/rookferry_standin/src/load/report.rs
+++ b/crates/rookferry_standin/src/load/report.rs
@@ -28,7 +28,7 @@
     pub max_ms: f64,
 }
 
-/// Outcomes and latencies of one kind of request.
+/// Outcomes of one kind of request, and latencies of its correct answers.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct KindReport {
     /// Requests sent.
@@ -184,10 +184,11 @@
         }
     }
 
+    /// Completes the report; `duration` is the time in which requests were sent.
     pub(super) fn finish(mut self, duration: Duration) -> LoadRunReport {
         let sending_buckets =
             usize::try_from(duration.as_millis() / BUCKET_WIDTH.as_millis()).unwrap_or(0);
-        // The first quarter is skipped, because the site is still warming up.
+        // The first quarter is skipped, because the site is still filling with requests.
         let skipped = sending_buckets / 4;
         let counted = self
             .report
--- a/crates/rookferry_standin/src/load/run.rs
+++ b/crates/rookferry_standin/src/load/run.rs
@@ -35,6 +35,7 @@
 /// Bounds of the pause before a retry with the same key.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(50);
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
+/// Timeout of a call that injects a fault.
 const FAULT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Length of the prefixes that prompts share.
 const PREFIX_CHARS: usize = 40;
@@ -177,6 +178,7 @@
     }
 }
 
+/// Sends each request when it is due, without waiting for earlier ones.
 async fn send_all(shared: &Arc<Shared>, planned: Vec<PlannedRequest>) {
     let mut tasks = JoinSet::new();
     for request in planned {
@@ -261,6 +263,7 @@
     }
 }
 
+/// Whether a retry with the same key or its ticket can still get an answer.
 const fn is_retryable(outcome: Outcome, reason: ReasonCode) -> bool {
     match outcome {
         Outcome::Running => true,
