--- a/crates/rookferry_entry/tests/backoff.rs
+++ b/crates/rookferry_entry/tests/backoff.rs
@@ -13,7 +13,7 @@
 use http::StatusCode;
 use http_body_util::BodyExt;
 use http_body_util::Full;
-use rookferry_standin::Ending;
+use rookferry_standin::CallOutcome;
 use serde_json::Value;
 use serde_json::json;
 use support::KEY;
@@ -77,7 +77,7 @@
         let caller = site.caller();
         let body = request(&prompt, 5, false);
         let ending = caller.complete(site.entries[0].callers, &body, None).await;
-        let Ending::Answered(answer) = ending else {
+        let CallOutcome::Answered(answer) = ending else {
             panic!("not answered: {ending:?}");
         };
         assert_whole(&answer, &prompt, 5);
@@ -152,7 +152,7 @@
     let caller = site.caller();
     let body = request("a prompt", 5, false);
     let refused = caller.complete(site.entries[0].callers, &body, None).await;
-    let Ending::Told(problem) = refused else {
+    let CallOutcome::Problem(problem) = refused else {
         panic!("not refused: {refused:?}");
     };
     let problem = serde_json::to_value(&problem).expect("JSON");
--- a/crates/rookferry_entry/tests/configuration.rs
+++ b/crates/rookferry_entry/tests/configuration.rs
@@ -7,7 +7,7 @@
 use std::process::Command;
 
 use rookferry_net::Platform;
-use rookferry_standin::Ending;
+use rookferry_standin::CallOutcome;
 use rookferry_wire::CONFIG_KIND;
 use rookferry_wire::CONFIG_NAME;
 use rookferry_wire::PutRequest;
@@ -93,7 +93,7 @@
         .caller()
         .complete(site.entries[2].callers, &request("cut off", 4, false), None)
         .await;
-    assert!(matches!(ending, Ending::Answered(_)), "{ending:?}");
+    assert!(matches!(ending, CallOutcome::Answered(_)), "{ending:?}");
 }
 
 /// While the platform is unavailable, the active version stays and requests are
@@ -111,7 +111,7 @@
             .caller()
             .complete(entry.callers, &request("in an outage", 4, false), None)
             .await;
-        assert!(matches!(ending, Ending::Answered(_)), "{ending:?}");
+        assert!(matches!(ending, CallOutcome::Answered(_)), "{ending:?}");
         let status = site.status(entry).await.expect("a status");
         assert_eq!(status["config_version"].as_u64(), Some(version));
     }
@@ -132,7 +132,7 @@
         .caller()
         .complete(entry.callers, &request("too early", 4, false), None)
         .await;
-    let Ending::Told(problem) = ending else {
+    let CallOutcome::Problem(problem) = ending else {
         panic!("not refused: {ending:?}");
     };
     assert_eq!(problem.reason, rookferry_wire::ReasonCode::NotReady);
@@ -158,7 +158,7 @@
             None,
         )
         .await;
-    assert!(matches!(ending, Ending::Answered(_)), "{ending:?}");
+    assert!(matches!(ending, CallOutcome::Answered(_)), "{ending:?}");
     assert_ne!(good.as_u64(), Some(next));
 }
 
--- a/crates/rookferry_entry/tests/crashing.rs
+++ b/crates/rookferry_entry/tests/crashing.rs
@@ -11,7 +11,7 @@
 use http::Request;
 use http_body_util::BodyExt;
 use http_body_util::Full;
-use rookferry_standin::Ending;
+use rookferry_standin::CallOutcome;
 use rookferry_wire::Outcome;
 use rookferry_wire::ReasonCode;
 use rstest::rstest;
@@ -42,7 +42,7 @@
         eventually("another call is served", async || {
             let body = request("another prompt", TOKENS, false);
             let ending = site.caller().complete(entry.callers, &body, None).await;
-            matches!(ending, Ending::Answered(answer) if !answer.tokens.is_empty())
+            matches!(ending, CallOutcome::Answered(answer) if !answer.tokens.is_empty())
         })
         .await;
     }
@@ -75,7 +75,7 @@
     }
     let ends = engine_crashes(&site).await;
     assert!(ends <= MAX_CRASHES, "one call crashed engines {ends} times");
-    let Some(Ending::Told(problem)) = last else {
+    let Some(CallOutcome::Problem(problem)) = last else {
         panic!("not refused: {last:?}");
     };
     assert_eq!(problem.reason, ReasonCode::Quarantined);
@@ -144,7 +144,7 @@
             }
         };
         let (ending, ()) = tokio::join!(asked, ends);
-        let Ending::Answered(answer) = ending else {
+        let CallOutcome::Answered(answer) = ending else {
             panic!("not answered: {ending:?}");
         };
         assert_whole(&answer, "a bystander", 40);
--- a/crates/rookferry_entry/tests/leaving.rs
+++ b/crates/rookferry_entry/tests/leaving.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use rookferry_standin::Ending;
+use rookferry_standin::CallOutcome;
 use rookferry_wire::InstanceKind;
 use rstest::rstest;
 use serde_json::json;
@@ -107,7 +107,7 @@
                 None,
             )
             .await;
-        assert!(matches!(ending, Ending::Answered(_)), "{ending:?}");
+        assert!(matches!(ending, CallOutcome::Answered(_)), "{ending:?}");
     }
     assert_eq!(
         streams(&site, "s1-1").await,
@@ -116,7 +116,7 @@
     );
     for task in running {
         let (ending, prompt) = task.await.expect("an ending");
-        let Ending::Answered(answer) = ending else {
+        let CallOutcome::Answered(answer) = ending else {
             panic!("cut: {ending:?}");
         };
         assert_whole(&answer, &prompt, 60);
@@ -153,7 +153,7 @@
     }
     for task in running {
         let (ending, prompt) = task.await.expect("an ending");
-        let Ending::Answered(answer) = ending else {
+        let CallOutcome::Answered(answer) = ending else {
             panic!("cut: {ending:?}");
         };
         assert_whole(&answer, &prompt, 80);
@@ -204,7 +204,7 @@
                 None,
             )
             .await;
-        assert!(matches!(ending, Ending::Answered(_)), "{ending:?}");
+        assert!(matches!(ending, CallOutcome::Answered(_)), "{ending:?}");
         let ledger: rookferry_standin::Ledger = site
             .client
             .get(server.addr, "/admin/ledger", Duration::from_secs(5))
--- a/crates/rookferry_experiment/src/policies.rs
+++ b/crates/rookferry_experiment/src/policies.rs
@@ -1,24 +1,24 @@
-//! Throughput as a share of the bound, for the product's policy and the
-//! baselines, in one run.
+//! Throughput as a share of its upper bound, for the default routing policy and the
+//! baseline policies, on the same site.
 
-use rookferry_standin::LoadReportOut;
 use rookferry_standin::LoadRun;
+use rookferry_standin::LoadRunReport;
 use rookferry_standin::Mix;
 use serde::Serialize;
 use serde_json::Value;
 use serde_json::json;
 
-use crate::bench::ACCOUNT_SHARES;
-use crate::bench::Bench;
-use crate::bench::bound;
-use crate::bench::engines;
+use crate::testbed::ACCOUNT_SHARES;
+use crate::testbed::Testbed;
+use crate::testbed::engines;
+use crate::testbed::token_rate_bound;
 
 const ENGINES: usize = 38;
 const ENTRIES: usize = 9;
-/// Mean tokens of an answer.
+/// Mean number of tokens of an answer.
 const ANSWER_TOKENS: f64 = 32.0;
-/// All policies, the product's first.
-pub(crate) const ALL: [&str; 4] = [
+/// All routing policies; the default first, then the baselines.
+pub(crate) const ALL_POLICIES: [&str; 4] = [
     "expected_finish",
     "least_outstanding",
     "round_robin",
@@ -45,7 +45,7 @@
     not_run: u64,
     unknown: u64,
     cut: u64,
-    /// The least share of its requests that an account got answered.
+    /// Lowest share of correct answers among the client accounts.
     least_account_share: f64,
 }
 
@@ -55,17 +55,17 @@
     policies: &[String],
     overcommit: Option<f64>,
 ) -> Value {
-    let bench = Bench::start(engines(ENGINES), ENTRIES);
-    let bound = bound(&bench.engines);
+    let testbed = Testbed::start(engines(ENGINES), ENTRIES);
+    let bound = token_rate_bound(&testbed.engines);
     let mut runs = Vec::new();
     for load in loads {
         for policy in policies {
-            let version = bench.apply(&match overcommit {
+            let version = testbed.apply(&match overcommit {
                 Some(overcommit) => json!({"chooser": policy, "overcommit": overcommit}),
                 None => json!({"chooser": policy}),
             });
-            bench.wait_in_force(version);
-            let figures = load_once(&bench, policy, *load, bound, seconds);
+            testbed.wait_until_active(version);
+            let figures = load_once(&testbed, policy, *load, bound, seconds);
             eprintln!("{}", serde_json::to_string(&figures).unwrap_or_default());
             runs.push(figures);
         }
@@ -77,19 +77,19 @@
     serde_json::to_value(figures).unwrap_or_default()
 }
 
-fn load_once(bench: &Bench, policy: &str, load: f64, bound: u64, seconds: u64) -> RunFigures {
+fn load_once(testbed: &Testbed, policy: &str, load: f64, bound: u64, seconds: u64) -> RunFigures {
     let mix = Mix {
         streamed: 0.9,
         lookup: 0.1,
         ..Mix::default()
     };
     let rate_per_s = bound as f64 * load / ANSWER_TOKENS / mix.streamed;
-    let plan = bench.plan(rate_per_s, seconds, mix);
-    let report = bench.runtime.block_on(LoadRun::run(plan)).report;
+    let plan = testbed.plan(rate_per_s, seconds, mix);
+    let report = testbed.runtime.block_on(LoadRun::run(plan)).report;
     figures(policy, load, bound, &report)
 }
 
-fn figures(policy: &str, load: f64, bound: u64, report: &LoadReportOut) -> RunFigures {
+fn figures(policy: &str, load: f64, bound: u64, report: &LoadRunReport) -> RunFigures {
     let sum =
         |pick: fn(&rookferry_standin::KindReport) -> u64| report.kinds.values().map(pick).sum();
     let streamed = report
--- a/crates/rookferry_experiment/src/bench.rs
+++ b/crates/rookferry_experiment/src/testbed.rs
@@ -1,5 +1,5 @@
-//! A site at today's size: stand-ins and entry instances, each instance with
-//! threads of its own.
+//! A site for the experiments: stand-ins and entry instances in this process. Each
+//! instance has its own runtime, whose thread names identify its CPU time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -37,49 +37,51 @@
 
 pub(crate) const LAYERS: u16 = 12;
 pub(crate) const DOMAINS: usize = 3;
-/// Client accounts: a few large ones among small ones.
+/// Shares of the client accounts in the load: two large accounts, four small ones.
 pub(crate) const ACCOUNT_SHARES: [f64; 6] = [8.0, 4.0, 1.0, 1.0, 1.0, 1.0];
 const STAGES: u16 = 3;
-const CALL: Duration = Duration::from_secs(5);
-const PATIENCE: Duration = Duration::from_mins(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long `wait_until_settled` waits for all instances.
+const SETTLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// One kind of accelerator: its step time and its link.
+/// A kind of accelerator: its step time and the one-way delay of its link.
 #[derive(Clone, Copy)]
-pub(crate) struct Kind {
+pub(crate) struct AcceleratorKind {
     name: &'static str,
     step_us: u64,
     link_us: u64,
 }
 
-/// Three kinds, on links that differ a hundredfold.
-pub(crate) const KINDS: [Kind; 3] = [
-    Kind {
+/// Three kinds of accelerators; their link delays differ by a factor of 100.
+pub(crate) const ACCELERATOR_KINDS: [AcceleratorKind; 3] = [
+    AcceleratorKind {
         name: "large",
         step_us: 5_000,
         link_us: 50,
     },
-    Kind {
+    AcceleratorKind {
         name: "medium",
         step_us: 10_000,
         link_us: 500,
     },
-    Kind {
+    AcceleratorKind {
         name: "small",
         step_us: 20_000,
         link_us: 5_000,
     },
 ];
 
-/// One instance with its own threads.
-pub(crate) struct BenchEntry {
+/// An entry instance with its own runtime.
+pub(crate) struct TestbedEntry {
     pub(crate) addrs: EntryAddrs,
+    /// Prefix of the names of its threads.
     pub(crate) threads: String,
     runtime: Option<Runtime>,
     entry: Option<Entry>,
 }
 
-impl BenchEntry {
-    /// Ends it at once, as a kill would: its connections break.
+impl TestbedEntry {
+    /// Stops the instance abruptly, as a kill does; its connections break.
     pub(crate) fn kill(&mut self) {
         self.entry = None;
         if let Some(runtime) = self.runtime.take() {
@@ -88,29 +90,29 @@
     }
 }
 
-impl Drop for BenchEntry {
+impl Drop for TestbedEntry {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
 /// A running site.
-pub(crate) struct Bench {
+pub(crate) struct Testbed {
     pub(crate) site: Site,
     pub(crate) engines: Vec<EngineConfig>,
-    pub(crate) entries: Vec<BenchEntry>,
+    pub(crate) entries: Vec<TestbedEntry>,
     pub(crate) client: HttpClient,
-    /// Runs stand-ins and load.
+    /// Runs the stand-ins and the load.
     pub(crate) runtime: Runtime,
 }
 
-/// Engines of the three kinds over three stages and three domains.
+/// Engines spread over three stages, three kinds of accelerators and three domains.
 pub(crate) fn engines(count: usize) -> Vec<EngineConfig> {
     let numbers = 0..count;
     numbers
         .map(|number| {
             let stage = u16::try_from(number).unwrap_or(0) % STAGES;
-            let kind = KINDS[(number / usize::from(STAGES)) % KINDS.len()];
+            let kind = ACCELERATOR_KINDS[(number / usize::from(STAGES)) % ACCELERATOR_KINDS.len()];
             let domain = (number / 9) % DOMAINS + 1;
             EngineConfig {
                 engine: format!("engine-{number:02}").into(),
@@ -136,8 +138,8 @@
         .collect()
 }
 
-/// Tokens a second that the engines can generate at most, prefill aside.
-pub(crate) fn bound(engines: &[EngineConfig]) -> u64 {
+/// Upper bound of the tokens per second that the engines can generate; ignores prefill.
+pub(crate) fn token_rate_bound(engines: &[EngineConfig]) -> u64 {
     let rated: Vec<RatedEngine> = engines
         .iter()
         .map(|engine| RatedEngine {
@@ -152,7 +154,8 @@
     format!("key of account {number}")
 }
 
-pub(crate) fn config(policy: &Value) -> Value {
+/// A configuration with the given policy, one model and one plain service.
+pub(crate) fn site_config(policy: &Value) -> Value {
     let accounts = (0..ACCOUNT_SHARES.len()).map(|number| {
         let digest = hex::encode(Sha256::digest(account_key(number).as_bytes()));
         let account = json!({"key_sha256": digest, "max_concurrent": 4_096});
@@ -169,27 +172,28 @@
     })
 }
 
-impl Bench {
-    /// Starts stand-ins and instances, and waits until each sees the site.
+impl Testbed {
+    /// Starts stand-ins and instances, and waits until each instance knows all engines
+    /// and members.
     pub(crate) fn start(engines: Vec<EngineConfig>, entries: usize) -> Self {
-        Self::start_cut(engines, entries, 0)
+        Self::start_partitioned(engines, entries, 0)
     }
 
-    /// Likewise, with all but the first `with_platform` instances of each
-    /// domain cut from the platform; 0 cuts none.
-    pub(crate) fn start_cut(
+    /// As `start`, but only the first `with_platform` instances of each domain can reach
+    /// the platform; with 0, all can.
+    pub(crate) fn start_partitioned(
         engines: Vec<EngineConfig>,
         entries: usize,
         with_platform: usize,
     ) -> Self {
-        let runtime = runtime("bench", 4);
+        let runtime = build_runtime("bench", 4);
         let client = HttpClient::new();
         let app = |number: usize| {
             let app = json!({
                 "instance": format!("app-{number}"), "listen": "127.0.0.1:0",
                 "failure_domain": format!("domain-{number}"), "labels": {"app": "flags"}, "call_us": 500,
             });
-            serde_json::from_value(app).expect("an application engine")
+            serde_json::from_value(app).expect("invalid configuration of an application engine")
         };
         let spec = SiteSpec {
             platform: Some(PlatformConfig {
@@ -200,42 +204,47 @@
             apps: (1..=DOMAINS).map(app).collect(),
             ..SiteSpec::default()
         };
-        let site = runtime.block_on(Site::start(spec)).expect("stand-ins");
-        let mut bench = Self {
+        let site = runtime
+            .block_on(Site::start(spec))
+            .expect("failed to start the stand-ins");
+        let mut testbed = Self {
             site,
             engines,
             entries: Vec::new(),
             client,
             runtime,
         };
-        bench.apply(&json!({}));
+        testbed.apply(&json!({}));
         for number in 0..entries {
-            let is_cut = with_platform > 0 && number / DOMAINS >= with_platform;
-            bench.add_entry(number, is_cut);
+            let is_partitioned = with_platform > 0 && number / DOMAINS >= with_platform;
+            testbed.add_entry(number, is_partitioned);
         }
-        bench.wait_until_settled();
-        bench
+        testbed.wait_until_settled();
+        testbed
     }
 
-    fn add_entry(&mut self, number: usize, is_cut: bool) {
-        let known: Vec<SocketAddr> = self.entries.iter().map(|entry| entry.addrs.peers).collect();
-        let platform = self.site.addrs.platform.expect("a platform");
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
+    fn add_entry(&mut self, number: usize, is_partitioned: bool) {
+        let known_peers: Vec<SocketAddr> =
+            self.entries.iter().map(|entry| entry.addrs.peers).collect();
+        let platform = self.site.addrs.platform.expect("the site has no platform");
+        // Nothing listens on the discard port.
+        let unreachable_addr = SocketAddr::from(([127, 0, 0, 1], 9));
         let settings = json!({
             "instance": format!("entry-{number}"),
             "failure_domain": format!("domain-{}", number % DOMAINS + 1),
             "callers": "127.0.0.1:0", "operators": "127.0.0.1:0", "peers": "127.0.0.1:0",
-            "known_peers": known, "site_secret": "secret of the experiment",
-            "platform": if is_cut { nowhere } else { platform },
+            "known_peers": known_peers, "site_secret": "secret of the experiment",
+            "platform": if is_partitioned { unreachable_addr } else { platform },
         });
-        let settings = EntrySettings::from_json(&settings.to_string()).expect("settings");
+        let settings =
+            EntrySettings::from_json(&settings.to_string()).expect("invalid entry settings");
         let threads = format!("entry-{number}-");
-        let runtime = runtime(&threads, 2);
+        let runtime = build_runtime(&threads, 2);
         let log = Logger::root(slog::Discard, o!());
         let entry = runtime
             .block_on(Entry::start(settings, log))
-            .expect("an entry instance");
-        self.entries.push(BenchEntry {
+            .expect("failed to start an entry instance");
+        self.entries.push(TestbedEntry {
             addrs: entry.addrs(),
             threads,
             runtime: Some(runtime),
@@ -243,42 +252,45 @@
         });
     }
 
-    /// Writes a configuration with a policy; returns its version.
+    /// Applies a configuration with the given policy; returns its version.
     pub(crate) fn apply(&self, policy: &Value) -> u64 {
-        self.runtime.block_on(self.put(config(policy)))
+        self.runtime
+            .block_on(self.write_config(site_config(policy)))
     }
 
-    pub(crate) async fn put(&self, value: Value) -> u64 {
-        let addr = self.site.addrs.platform.expect("a platform");
+    /// Writes a configuration to the platform; returns its version.
+    pub(crate) async fn write_config(&self, value: Value) -> u64 {
+        let addr = self.site.addrs.platform.expect("the site has no platform");
         let platform = HttpPlatform::new(self.client.clone(), addr);
         let current = platform
             .get(CONFIG_KIND, CONFIG_NAME)
             .await
-            .expect("the platform");
+            .expect("failed to read the configuration");
         let request = PutRequest {
             expected: current.map_or(0, |object| object.version),
             value,
         };
         match platform.put(CONFIG_KIND, CONFIG_NAME, request).await {
             Ok(PutResponse::Written { version }) => version,
-            other => panic!("not applied: {other:?}"),
+            other => panic!("failed to write the configuration: {other:?}"),
         }
     }
 
-    pub(crate) async fn version_at(&self, entry: &BenchEntry) -> u64 {
+    /// Active configuration version of an instance; 0 if it doesn't respond.
+    pub(crate) async fn active_version(&self, entry: &TestbedEntry) -> u64 {
         let status: Value = self
             .client
-            .get(entry.addrs.operators, "/v1/config", CALL)
+            .get(entry.addrs.operators, "/v1/config", CALL_TIMEOUT)
             .await
             .unwrap_or_default();
         status["version"].as_u64().unwrap_or(0)
     }
 
-    /// Waits until a version is in force on every instance.
-    pub(crate) fn wait_in_force(&self, version: u64) {
+    /// Waits until a configuration version is active on every instance.
+    pub(crate) fn wait_until_active(&self, version: u64) {
         self.runtime.block_on(async {
             for entry in &self.entries {
-                while self.version_at(entry).await < version {
+                while self.active_version(entry).await < version {
                     tokio::time::sleep(Duration::from_millis(2)).await;
                 }
             }
@@ -289,27 +301,32 @@
         let start = Instant::now();
         for entry in &self.entries {
             while !self.runtime.block_on(self.is_settled(entry)) {
-                assert!(start.elapsed() < PATIENCE, "the site never settled");
+                assert!(
+                    start.elapsed() < SETTLE_TIMEOUT,
+                    "instances don't know all engines and members in time"
+                );
                 std::thread::sleep(Duration::from_millis(30));
             }
         }
     }
 
-    async fn is_settled(&self, entry: &BenchEntry) -> bool {
+    /// Whether an instance knows all members and all engines. One that can't reach the
+    /// platform has a configuration from its peers but no engines.
+    async fn is_settled(&self, entry: &TestbedEntry) -> bool {
         let status: Value = self
             .client
-            .get(entry.addrs.operators, "/v1/status", CALL)
+            .get(entry.addrs.operators, "/v1/status", CALL_TIMEOUT)
             .await
             .unwrap_or_default();
         let engines = status["engines"]
             .as_object()
             .map_or(0, serde_json::Map::len);
         let members = status["members"].as_array().map_or(0, Vec::len);
-        let is_cut = engines == 0 && status["config_version"].as_u64() > Some(0);
-        (engines == self.engines.len() || is_cut) && members + 1 == self.entries.len()
+        let is_partitioned = engines == 0 && status["config_version"].as_u64() > Some(0);
+        (engines == self.engines.len() || is_partitioned) && members + 1 == self.entries.len()
     }
 
-    /// A load of model calls over all instances and accounts.
+    /// A load plan over all instances and accounts, with Poisson arrivals.
     pub(crate) fn plan(&self, rate_per_s: f64, seconds: u64, mix: Mix) -> LoadPlan {
         let accounts = ACCOUNT_SHARES.iter().enumerate();
         LoadPlan {
@@ -343,11 +360,11 @@
     }
 }
 
-fn runtime(name: &str, threads: usize) -> Runtime {
+fn build_runtime(name: &str, threads: usize) -> Runtime {
     Builder::new_multi_thread()
         .worker_threads(threads)
         .thread_name(name)
         .enable_all()
         .build()
-        .expect("threads")
+        .expect("failed to start a runtime")
 }
--- a/crates/rookferry_standin/src/app.rs
+++ b/crates/rookferry_standin/src/app.rs
@@ -1,4 +1,9 @@
-//! Application engines: plain services with a ledger of their calls.
+//! Application engines: HTTP services that echo each request and count the calls per
+//! request id.
+//!
+//! Every path but `/admin` is the service. `/admin/ledger` returns the calls begun by
+//! `rookferry-request-id`; calls without this header count as `direct`.
+//! `/admin/calls-since-asked` returns the calls since the last refusal with a backoff.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -30,50 +35,52 @@
 
 use crate::Fault;
 use crate::FaultState;
-use crate::admin::DOWN;
+use crate::admin::RESTART_DELAY;
 use crate::admin::broken_connection;
-use crate::platform::server::read;
+use crate::platform::server::read_json;
 
 const MAX_BODY_BYTES: usize = 1_000_000;
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One application engine.
+/// Configuration of an application engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AppConfig {
-    /// Its name.
+    /// Instance name.
     pub instance: InstanceId,
-    /// Where it listens.
+    /// Listen address.
     pub listen: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain.
     pub failure_domain: String,
-    /// Its labels.
+    /// Labels that pool selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// Time that a call takes.
+    /// Duration of a call.
     pub call_us: u64,
 }
 
+/// State shared by the request handlers.
 struct App {
     config: AppConfig,
     faults: FaultState,
-    /// Its process ends.
-    ended: Notify,
+    /// Signals a simulated crash of the process.
+    crashed: Notify,
+    /// Calls begun, by request id.
     ledger: Mutex<BTreeMap<String, u32>>,
 }
 
 /// A running application engine.
 #[derive(Debug)]
 pub struct AppServer {
-    /// Its name.
+    /// Instance name.
     pub instance: InstanceId,
-    /// Where it listens.
+    /// Bound address.
     pub addr: SocketAddr,
 }
 
-/// Answer of an application engine.
+/// Response body of an application engine.
 #[derive(Serialize, Deserialize)]
-struct AppAnswer {
+struct AppResponse {
     served_by: InstanceId,
     method: String,
     path: String,
@@ -81,11 +88,11 @@
 }
 
 impl AppServer {
-    /// Starts an application engine that runs until the process ends.
+    /// Starts an application engine that serves until the process exits.
     ///
     /// # Errors
     ///
-    /// If its address can't be bound.
+    /// Fails if the listen address can't be bound.
     pub async fn start(config: AppConfig) -> io::Result<Self> {
         let server = Server::bind(config.listen, ConnectionLimits::default()).await?;
         let addr = server.local_addr()?;
@@ -94,23 +101,25 @@
             config,
             faults: FaultState::default(),
             ledger: Mutex::default(),
-            ended: Notify::new(),
+            crashed: Notify::new(),
         });
         tokio::spawn(run(app, server, addr));
         Ok(Self { instance, addr })
     }
 }
 
-/// Serves until the process ends; each end under work is followed by another
-/// start at the same address after a while.
+/// Serves until the process exits. After each simulated crash it restarts at the same
+/// address, `RESTART_DELAY` later.
 async fn run(app: Arc<App>, mut server: Server, addr: SocketAddr) {
     loop {
         let router = router(&app, server.connections());
-        server.serve(router, app.ended.notified()).await;
-        tokio::time::sleep(DOWN).await;
+        server.serve(router, app.crashed.notified()).await;
+        tokio::time::sleep(RESTART_DELAY).await;
         server = match Server::bind(addr, ConnectionLimits::default()).await {
             Ok(server) => server,
-            Err(error) => panic!("the port of an application engine is taken: {error}"),
+            Err(error) => {
+                panic!("can't bind an application engine again after its restart: {error}")
+            }
         };
     }
 }
@@ -132,7 +141,7 @@
             .to_new_handler(endpoint(app, connections, ledger));
         route
             .get("/admin/calls-since-asked")
-            .to_new_handler(endpoint(app, connections, calls_since_asked));
+            .to_new_handler(endpoint(app, connections, calls_since_refusal));
         route
             .request(methods, "/*")
             .to_new_handler(endpoint(app, connections, serve));
@@ -147,37 +156,37 @@
     if let Some(refusal) = app.faults.refusal_with_backoff() {
         return refusal;
     }
-    app.faults.pass().await;
+    app.faults.delay_message().await;
     if app.faults.is_dead() {
         return broken_connection();
     }
-    let call = inbound
+    let request_id = inbound
         .header("rookferry-request-id")
         .unwrap_or("direct")
         .to_owned();
     {
         let mut ledger = app.ledger.lock().unwrap_or_else(PoisonError::into_inner);
-        *ledger.entry(call).or_default() += 1;
+        *ledger.entry(request_id).or_default() += 1;
     }
-    if app.faults.ends_under(&body) {
-        app.ended.notify_one();
+    if app.faults.crashes_on(&body) {
+        app.crashed.notify_one();
         return broken_connection();
     }
     tokio::time::sleep(Duration::from_micros(app.config.call_us)).await;
-    if app.faults.is_dead() || app.faults.loses_answer() {
+    if app.faults.is_dead() || app.faults.drops_response() {
         return broken_connection();
     }
-    let answer = AppAnswer {
+    let response = AppResponse {
         served_by: app.config.instance.clone(),
         method: inbound.method.to_string(),
         path: inbound.uri.path().to_owned(),
         body: String::from_utf8_lossy(&body).into_owned(),
     };
-    json_response(StatusCode::OK, &answer)
+    json_response(StatusCode::OK, &response)
 }
 
 async fn fault(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let fault: Fault = match read(&mut inbound).await {
+    let fault: Fault = match read_json(&mut inbound).await {
         Ok(fault) => fault,
         Err(refused) => return refused,
     };
@@ -185,8 +194,8 @@
     json_response(StatusCode::OK, &())
 }
 
-async fn calls_since_asked(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
-    json_response(StatusCode::OK, &app.faults.calls_since_asked())
+async fn calls_since_refusal(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
+    json_response(StatusCode::OK, &app.faults.calls_since_refusal())
 }
 
 async fn ledger(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
--- a/crates/rookferry_standin/src/bin/rookferry-load.rs
+++ b/crates/rookferry_standin/src/bin/rookferry-load.rs
@@ -1,4 +1,7 @@
-//! Sends load at entry instances and reports figures.
+//! Sends a planned load to entry instances and reports latencies and outcomes.
+//!
+//! Exits with 0 if requests were sent and none was answered wrong or cut, with 2
+//! otherwise, and with 1 if it can't run.
 
 use std::fs;
 use std::path::PathBuf;
@@ -10,17 +13,17 @@
 use rookferry_standin::LoadPlan;
 use rookferry_standin::LoadRun;
 
-/// Open-loop load with whole answers compared with the reference.
+/// Sends open-loop load and compares each complete answer with the reference.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// The plan, as JSON; see `LoadPlan`.
+    /// Load plan, a JSON file; see `LoadPlan`.
     #[arg(long)]
     plan: PathBuf,
-    /// Where to write the report as JSON.
+    /// File to write the report to, as JSON.
     #[arg(long)]
     report: Option<PathBuf>,
-    /// Prints each request's answer.
+    /// Prints the outcome of each request.
     #[arg(long)]
     show: bool,
 }
@@ -37,40 +40,41 @@
     }
 }
 
-/// Returns whether every answer was the reference's and none was cut.
+/// Returns whether requests were sent and none was answered wrong or cut.
 async fn run(args: Args) -> Result<bool, String> {
     let text = read_text(&args.plan).map_err(|error| error.to_string())?;
-    let plan: LoadPlan = read_json(&text).map_err(|faults| faults.to_string())?;
+    let plan: LoadPlan = read_json(&text).map_err(|errors| errors.to_string())?;
     if plan.targets.is_empty() || plan.accounts.is_empty() {
         return Err("the plan needs at least one target and one account".to_owned());
     }
-    let done = LoadRun::run(plan).await;
+    let load_run = LoadRun::run(plan).await;
     if args.show {
-        for request in &done.requests {
-            println!("{:?} {}", request.kind, show(&request.ending));
+        for request in &load_run.requests {
+            println!("{:?} {}", request.kind, show(&request.outcome));
         }
     }
-    print!("{}", done.report.to_text());
+    print!("{}", load_run.report.to_text());
     if let Some(path) = args.report {
-        let json = serde_json::to_string_pretty(&done.report).map_err(|error| error.to_string())?;
+        let json =
+            serde_json::to_string_pretty(&load_run.report).map_err(|error| error.to_string())?;
         fs::write(path, json).map_err(|error| error.to_string())?;
     }
-    let is_sound = done
+    let all_correct = load_run
         .report
         .kinds
         .values()
         .all(|kind| kind.wrong == 0 && kind.cut == 0);
-    Ok(is_sound && !done.requests.is_empty())
+    Ok(all_correct && !load_run.requests.is_empty())
 }
 
-fn show(ending: &rookferry_standin::Ending) -> String {
-    match ending {
-        rookferry_standin::Ending::Answered(answer) => {
+fn show(outcome: &rookferry_standin::CallOutcome) -> String {
+    match outcome {
+        rookferry_standin::CallOutcome::Answered(answer) => {
             format!("{} {:?} {}", answer.id, answer.tokens, answer.body)
         }
-        rookferry_standin::Ending::Told(problem) => {
+        rookferry_standin::CallOutcome::Problem(problem) => {
             format!("{} {}", problem.request_id, problem.detail)
         }
-        rookferry_standin::Ending::Cut(message) => format!("cut: {message}"),
+        rookferry_standin::CallOutcome::Cut(message) => format!("cut: {message}"),
     }
 }
--- a/crates/rookferry_standin/src/engine/cache.rs
+++ b/crates/rookferry_standin/src/engine/cache.rs
@@ -1,4 +1,5 @@
-//! The prefix cache and its events, published late and with gaps.
+//! The prefix cache of an engine and the events it publishes: late, and with a gap once
+//! old events are dropped.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
@@ -8,23 +9,23 @@
 use rookferry_wire::CacheEvent;
 use rookferry_wire::CacheEvents;
 
-/// Events kept for those who ask; older ones are a gap.
-const KEPT_EVENTS: usize = 256;
+/// Number of events that are stored; a reader that asks for older ones sees a gap.
+const MAX_EVENTS: usize = 256;
 
 #[derive(Debug)]
-struct Published {
+struct PublishedEvent {
     at: Instant,
     event: CacheEvent,
 }
 
-/// Prefixes of prompts whose KV is still held.
+/// Hashes of the cached prompt prefixes; the oldest is evicted first.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     capacity: usize,
     lag: Duration,
-    held: HashSet<u64>,
-    order: VecDeque<u64>,
-    events: VecDeque<Published>,
+    cached: HashSet<u64>,
+    insertion_order: VecDeque<u64>,
+    events: VecDeque<PublishedEvent>,
     next_seq: u64,
 }
 
@@ -33,36 +34,37 @@
         Self {
             capacity: capacity.max(1),
             lag,
-            held: HashSet::new(),
-            order: VecDeque::new(),
+            cached: HashSet::new(),
+            insertion_order: VecDeque::new(),
             events: VecDeque::new(),
             next_seq: 1,
         }
     }
 
-    /// Looks a prefix up and keeps it; returns whether it was held.
-    pub(super) fn touch(&mut self, now: Instant, prefix: u64) -> bool {
-        if !self.held.insert(prefix) {
+    /// Inserts a prefix; returns whether it was cached already.
+    pub(super) fn insert_if_absent(&mut self, now: Instant, prefix: u64) -> bool {
+        if !self.cached.insert(prefix) {
             return true;
         }
-        self.order.push_back(prefix);
+        self.insertion_order.push_back(prefix);
         self.publish(now, prefix, true);
-        if self.order.len() <= self.capacity {
+        if self.insertion_order.len() <= self.capacity {
             return false;
         }
-        if let Some(oldest) = self.order.pop_front() {
-            self.held.remove(&oldest);
+        if let Some(oldest) = self.insertion_order.pop_front() {
+            self.cached.remove(&oldest);
             self.publish(now, oldest, false);
         }
         false
     }
 
+    /// Events from sequence number `from` on that are at least `lag` old.
     pub(super) fn events(&self, now: Instant, from: u64) -> CacheEvents {
-        let ripe = self
+        let visible = self
             .events
             .iter()
             .filter(|published| now.saturating_duration_since(published.at) >= self.lag);
-        let events: Vec<CacheEvent> = ripe
+        let events: Vec<CacheEvent> = visible
             .map(|published| published.event.clone())
             .filter(|event| event.seq >= from)
             .collect();
@@ -77,8 +79,8 @@
             stored,
         };
         self.next_seq += 1;
-        self.events.push_back(Published { at: now, event });
-        if self.events.len() > KEPT_EVENTS {
+        self.events.push_back(PublishedEvent { at: now, event });
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/rookferry_standin/src/engine/server.rs
+++ b/crates/rookferry_standin/src/engine/server.rs
@@ -1,4 +1,8 @@
-//! An engine's HTTP API, its batches and its faults.
+//! HTTP server of a model engine, its batch loop and its injected faults.
+//!
+//! Step requests queue their steps; `run_batches` takes them by priority, waits for the
+//! simulated duration and runs them. Calls under `/v1` pass the simulated link in both
+//! directions, calls under `/admin` don't.
 
 use std::collections::VecDeque;
 use std::io;
@@ -50,56 +54,62 @@
 use super::stage::StageState;
 use crate::Fault;
 use crate::FaultState;
-use crate::admin::DOWN;
+use crate::admin::RESTART_DELAY;
 use crate::admin::broken_connection;
-use crate::platform::server::read;
-
-/// Load reports kept, so that an old one can be given out.
-const KEPT_REPORTS: usize = 64;
-/// How often the load is noted.
-const REPORT_STEP: Duration = Duration::from_millis(50);
-/// Prefixes that an engine's memory holds.
-const CACHED_PREFIXES: usize = 64;
-/// Positions of a cached prefix cost nothing.
-const CACHED_POSITIONS: u32 = 32;
-
-struct Queued {
+use crate::platform::server::read_json;
+
+/// Number of stored load reports; `report_lag_ms` can delay reports by about 3.2 s at
+/// most (64 reports at intervals of 50 ms).
+const MAX_REPORTS: usize = 64;
+/// Interval between load reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(50);
+/// Capacity of the prefix cache.
+const PREFIX_CACHE_CAPACITY: usize = 64;
+/// Positions of a prompt that take no time if its prefix is cached.
+const CACHED_PREFIX_POSITIONS: u32 = 32;
+
+/// A step that waits for a batch, and the channel for its result.
+struct QueuedStep {
     step: Step,
-    answer: oneshot::Sender<StepResult>,
+    result_sender: oneshot::Sender<StepResult>,
 }
 
+/// State of the engine process; most of it is lost in a crash.
 struct Inner {
     info: EngineInfo,
     stage: StageState,
     cache: PrefixCache,
-    queue: VecDeque<Queued>,
+    queue: VecDeque<QueuedStep>,
     reports: VecDeque<(Instant, LoadReport)>,
     highest_fence: u64,
+    /// Moving average of the step time.
     step_us: u64,
 }
 
+/// State shared by the request handlers and the batch loop.
 struct App {
     config: EngineConfig,
     inner: Mutex<Inner>,
     faults: FaultState,
+    /// Wakes the batch loop when a step is queued.
     arrived: Notify,
 }
 
-/// A running engine.
+/// A running model engine.
 #[derive(Debug)]
 pub struct EngineServer {
-    /// Its name.
+    /// Engine name.
     pub engine: EngineId,
-    /// Where it listens.
+    /// Bound address.
     pub addr: SocketAddr,
 }
 
 impl EngineServer {
-    /// Starts an engine that runs until the process ends.
+    /// Starts an engine that serves until the process exits.
     ///
     /// # Errors
     ///
-    /// If its address can't be bound.
+    /// Fails if the listen address can't be bound.
     pub async fn start(config: EngineConfig) -> io::Result<Self> {
         let server = Server::bind(config.listen, ConnectionLimits::default()).await?;
         let addr = server.local_addr()?;
@@ -108,7 +118,10 @@
         let inner = Inner {
             info: info(&config),
             stage: StageState::new(config.layers, config.model_layers, ledger),
-            cache: PrefixCache::new(CACHED_PREFIXES, Duration::from_millis(config.report_lag_ms)),
+            cache: PrefixCache::new(
+                PREFIX_CACHE_CAPACITY,
+                Duration::from_millis(config.report_lag_ms),
+            ),
             queue: VecDeque::new(),
             reports: VecDeque::new(),
             highest_fence: 0,
@@ -123,7 +136,7 @@
         let router = router(&app, server.connections());
         tokio::spawn(server.serve(router, std::future::pending()));
         tokio::spawn(run_batches(app.clone()));
-        tokio::spawn(note_load(app));
+        tokio::spawn(record_load(app));
         Ok(Self { engine, addr })
     }
 }
@@ -147,47 +160,51 @@
     build_simple_router(|route| {
         route
             .get("/v1/info")
-            .to_new_handler(endpoint(app, connections, paced(get_info)));
+            .to_new_handler(endpoint(app, connections, with_backoff(get_info)));
         route
             .get("/v1/load")
-            .to_new_handler(endpoint(app, connections, paced(get_load)));
+            .to_new_handler(endpoint(app, connections, with_backoff(get_load)));
         route.get("/v1/cache-events").to_new_handler(endpoint(
             app,
             connections,
-            paced(cache_events),
+            with_backoff(cache_events),
         ));
         route
             .post("/v1/steps")
-            .to_new_handler(endpoint(app, connections, paced(steps)));
+            .to_new_handler(endpoint(app, connections, with_backoff(steps)));
         route
             .post("/v1/attempts")
-            .to_new_handler(endpoint(app, connections, paced(open)));
+            .to_new_handler(endpoint(app, connections, with_backoff(open)));
         route
             .post("/v1/cancel")
-            .to_new_handler(endpoint(app, connections, paced(cancel)));
-        route
-            .post("/v1/kv/export")
-            .to_new_handler(endpoint(app, connections, paced(export)));
-        route
-            .post("/v1/kv/import")
-            .to_new_handler(endpoint(app, connections, paced(import)));
+            .to_new_handler(endpoint(app, connections, with_backoff(cancel)));
+        route.post("/v1/kv/export").to_new_handler(endpoint(
+            app,
+            connections,
+            with_backoff(export),
+        ));
+        route.post("/v1/kv/import").to_new_handler(endpoint(
+            app,
+            connections,
+            with_backoff(import),
+        ));
         route
             .post("/v1/orders")
-            .to_new_handler(endpoint(app, connections, paced(order)));
+            .to_new_handler(endpoint(app, connections, with_backoff(order)));
         route
             .get("/admin/ledger")
             .to_new_handler(endpoint(app, connections, ledger));
         route
             .get("/admin/calls-since-asked")
-            .to_new_handler(endpoint(app, connections, calls_since_asked));
+            .to_new_handler(endpoint(app, connections, calls_since_refusal));
         route
             .post("/admin/fault")
             .to_new_handler(endpoint(app, connections, fault));
     })
 }
 
-/// Puts a refusal with a backoff before a call, where one is ordered.
-fn paced<R>(
+/// Wraps a handler so that calls are refused with `Retry-After` while that fault is set.
+fn with_backoff<R>(
     handler: impl Fn(Arc<App>, InboundRequest) -> R + Copy,
 ) -> impl Fn(Arc<App>, InboundRequest) -> BoxFuture<'static, Response<Body>> + Copy
 where
@@ -199,21 +216,22 @@
     }
 }
 
-async fn calls_since_asked(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
-    json_response(StatusCode::OK, &app.faults.calls_since_asked())
+async fn calls_since_refusal(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
+    json_response(StatusCode::OK, &app.faults.calls_since_refusal())
 }
 
 async fn get_info(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
-    app.answer(|inner| inner.info.clone()).await
+    app.respond(|inner| inner.info.clone()).await
 }
 
+/// Returns the newest load report that is at least `report_lag_ms` old.
 async fn get_load(app: Arc<App>, _inbound: InboundRequest) -> Response<Body> {
     let lag = Duration::from_millis(app.config.report_lag_ms);
-    app.answer(move |inner| {
+    app.respond(move |inner| {
         let now = Instant::now();
-        let old_enough = inner.reports.iter().rev();
-        let mut old_enough = old_enough.filter(|(at, _)| now.saturating_duration_since(*at) >= lag);
-        let Some((at, report)) = old_enough.next() else {
+        let visible = inner.reports.iter().rev();
+        let mut visible = visible.filter(|(at, _)| now.saturating_duration_since(*at) >= lag);
+        let Some((at, report)) = visible.next() else {
             return LoadReport::default();
         };
         LoadReport {
@@ -229,65 +247,65 @@
         .query_param("from")
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
-    app.answer(move |inner| inner.cache.events(Instant::now(), from))
+    app.respond(move |inner| inner.cache.events(Instant::now(), from))
         .await
 }
 
 async fn steps(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let batch: StepBatch = match read(&mut inbound).await {
+    let batch: StepBatch = match read_json(&mut inbound).await {
         Ok(batch) => batch,
         Err(refused) => return refused,
     };
-    app.cross_link().await;
+    app.delay_on_link().await;
     if app.faults.is_dead() {
         return broken_connection();
     }
-    if batch.steps.iter().any(|step| app.ends_under(step)) {
-        app.end_for_a_while();
+    if batch.steps.iter().any(|step| app.crashes_on(step)) {
+        app.crash_and_restart();
         return broken_connection();
     }
-    let waiting: Vec<_> = batch
+    let receivers: Vec<_> = batch
         .steps
         .into_iter()
         .map(|step| app.enqueue(step))
         .collect();
-    let mut results = Vec::with_capacity(waiting.len());
-    for answer in waiting {
-        // The sender is dropped only when the engine dies.
-        let Ok(result) = answer.await else {
+    let mut results = Vec::with_capacity(receivers.len());
+    for receiver in receivers {
+        // The sender is dropped only when the engine crashes or is killed.
+        let Ok(result) = receiver.await else {
             return broken_connection();
         };
         results.push(result);
     }
-    app.cross_link().await;
-    if app.faults.is_dead() || app.faults.loses_answer() {
+    app.delay_on_link().await;
+    if app.faults.is_dead() || app.faults.drops_response() {
         return broken_connection();
     }
     json_response(StatusCode::OK, &StepBatchResponse { results })
 }
 
 async fn open(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let request: AttemptRequest = match read(&mut inbound).await {
+    let request: AttemptRequest = match read_json(&mut inbound).await {
         Ok(request) => request,
         Err(refused) => return refused,
     };
-    app.answer(move |inner| inner.stage.open(request)).await
+    app.respond(move |inner| inner.stage.open(request)).await
 }
 
 async fn cancel(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let request: CancelRequest = match read(&mut inbound).await {
+    let request: CancelRequest = match read_json(&mut inbound).await {
         Ok(request) => request,
         Err(refused) => return refused,
     };
-    app.answer(move |inner| inner.stage.cancel(request)).await
+    app.respond(move |inner| inner.stage.cancel(request)).await
 }
 
 async fn export(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let request: AttemptRequest = match read(&mut inbound).await {
+    let request: AttemptRequest = match read_json(&mut inbound).await {
         Ok(request) => request,
         Err(refused) => return refused,
     };
-    app.faults.pass().await;
+    app.faults.delay_message().await;
     let pages = app.lock().stage.export(request.stream);
     match pages {
         Some(pages) if !app.faults.is_dead() => json_response(StatusCode::OK, &pages),
@@ -297,20 +315,20 @@
 }
 
 async fn import(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let pages: KvPages = match read(&mut inbound).await {
+    let pages: KvPages = match read_json(&mut inbound).await {
         Ok(pages) => pages,
         Err(refused) => return refused,
     };
-    app.answer(move |inner| inner.stage.import(pages)).await
+    app.respond(move |inner| inner.stage.import(pages)).await
 }
 
 async fn order(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let request: OrderRequest = match read(&mut inbound).await {
+    let request: OrderRequest = match read_json(&mut inbound).await {
         Ok(request) => request,
         Err(refused) => return refused,
     };
     let model_layers = app.config.model_layers;
-    app.answer(move |inner| inner.obey(request, model_layers))
+    app.respond(move |inner| inner.execute_order(request, model_layers))
         .await
 }
 
@@ -320,12 +338,12 @@
 }
 
 async fn fault(app: Arc<App>, mut inbound: InboundRequest) -> Response<Body> {
-    let fault: Fault = match read(&mut inbound).await {
+    let fault: Fault = match read_json(&mut inbound).await {
         Ok(fault) => fault,
         Err(refused) => return refused,
     };
     if fault.dead == Some(true) {
-        app.lock().die();
+        app.lock().lose_state();
     }
     app.faults.apply(&fault);
     app.lock().info.leaving = app.faults.is_leaving();
@@ -333,14 +351,16 @@
 }
 
 impl Inner {
-    fn die(&mut self) {
-        self.stage.wipe();
+    /// Loses the process state, as a crash does, and starts a new incarnation.
+    fn lose_state(&mut self) {
+        self.stage.clear_streams();
         self.queue.clear();
         self.info.incarnation += 1;
-        self.cache = PrefixCache::new(CACHED_PREFIXES, Duration::ZERO);
+        self.cache = PrefixCache::new(PREFIX_CACHE_CAPACITY, Duration::ZERO);
     }
 
-    fn obey(&mut self, request: OrderRequest, model_layers: u16) -> OrderResponse {
+    /// Carries out an order, unless its fence is outdated.
+    fn execute_order(&mut self, request: OrderRequest, model_layers: u16) -> OrderResponse {
         if self.info.checks_fences && request.fence < self.highest_fence {
             return OrderResponse::Fenced {
                 highest: self.highest_fence,
@@ -371,35 +391,35 @@
         OrderResponse::Accepted
     }
 
-    /// Keeps the mean of the last few steps, for reports.
-    const fn note_step(&mut self, step_us: u64) {
-        const SPAN: u64 = 8;
+    /// Updates the moving average of the step time, for load reports.
+    const fn record_step(&mut self, step_us: u64) {
+        const WINDOW: u64 = 8;
         self.step_us = if self.step_us == 0 {
             step_us
         } else {
-            (self.step_us * (SPAN - 1) + step_us) / SPAN
+            (self.step_us * (WINDOW - 1) + step_us) / WINDOW
         };
     }
 
-    /// Takes the next batch, highest priority first, in order of arrival.
-    fn take_batch(&mut self, slots: u32) -> Vec<Queued> {
-        let mut queue: Vec<Queued> = self.queue.drain(..).collect();
+    /// Takes the next batch: highest priority first, within a priority by arrival.
+    fn take_batch(&mut self, slots: u32) -> Vec<QueuedStep> {
+        let mut queue: Vec<QueuedStep> = self.queue.drain(..).collect();
         queue.sort_by_key(|queued| std::cmp::Reverse(queued.step.priority));
         let rest = queue.split_off(queue.len().min(slots as usize));
         self.queue.extend(rest);
         queue
     }
 
-    /// Positions beyond one a stream, without those of cached prefixes.
-    fn extra_positions(&mut self, batch: &[Queued]) -> u32 {
+    /// Positions of a batch beyond the first of each stream, without cached ones.
+    fn extra_positions(&mut self, batch: &[QueuedStep]) -> u32 {
         let mut extra = 0;
         for queued in batch {
             let mut positions = self.stage.positions_to_run(&queued.step);
             let prefix = prefix_hash(&queued.step.input).filter(|_| queued.step.position == 0);
             if let Some(prefix) = prefix
-                && self.cache.touch(Instant::now(), prefix)
+                && self.cache.insert_if_absent(Instant::now(), prefix)
             {
-                positions = positions.saturating_sub(CACHED_POSITIONS);
+                positions = positions.saturating_sub(CACHED_PREFIX_POSITIONS);
             }
             extra += positions.saturating_sub(1);
         }
@@ -412,40 +432,43 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn cross_link(&self) {
-        self.faults.pass().await;
+    /// Waits for the link delay, and while a fault delays or suspends messages.
+    async fn delay_on_link(&self) {
+        self.faults.delay_message().await;
         if self.config.link_us > 0 {
             tokio::time::sleep(Duration::from_micros(self.config.link_us)).await;
         }
     }
 
-    async fn answer<T: Serialize>(&self, call: impl FnOnce(&mut Inner) -> T) -> Response<Body> {
-        self.cross_link().await;
+    /// Responds with the result of `call`, with the link delay before and after it.
+    async fn respond<T: Serialize>(&self, call: impl FnOnce(&mut Inner) -> T) -> Response<Body> {
+        self.delay_on_link().await;
         if self.faults.is_dead() {
             return broken_connection();
         }
         let value = call(&mut self.lock());
-        self.cross_link().await;
+        self.delay_on_link().await;
         if self.faults.is_dead() {
             return broken_connection();
         }
         json_response(StatusCode::OK, &value)
     }
 
-    fn ends_under(&self, step: &Step) -> bool {
+    /// Whether the tokens of a step contain the text that crashes the engine.
+    fn crashes_on(&self, step: &Step) -> bool {
         let bytes = step.input.iter();
         let bytes: Vec<u8> = bytes
             .map(|token| u8::try_from(*token).unwrap_or(0))
             .collect();
-        self.faults.ends_under(&bytes)
+        self.faults.crashes_on(&bytes)
     }
 
-    /// The process ends, and another start of it is there after a while.
-    fn end_for_a_while(self: &Arc<Self>) {
+    /// Simulates a crash; the next incarnation serves after `RESTART_DELAY`.
+    fn crash_and_restart(self: &Arc<Self>) {
         {
             let mut inner = self.lock();
             inner.stage.ledger.ends += 1;
-            inner.die();
+            inner.lose_state();
         }
         let is_dead = |is_dead| Fault {
             dead: Some(is_dead),
@@ -454,15 +477,16 @@
         self.faults.apply(&is_dead(true));
         let app = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(DOWN).await;
+            tokio::time::sleep(RESTART_DELAY).await;
             app.faults.apply(&is_dead(false));
         });
     }
 
+    /// Queues a step. Refused steps and those with recorded results respond at once.
     fn enqueue(&self, step: Step) -> oneshot::Receiver<StepResult> {
-        let (answer, receiver) = oneshot::channel();
+        let (result_sender, receiver) = oneshot::channel();
         let mut inner = self.lock();
-        let is_new = step.position == 0 && !inner.stage.holds(step.stream);
+        let is_new = step.position == 0 && !inner.stage.has_stream(step.stream);
         let refusal = if self.faults.is_leaving() && is_new {
             Some(Refusal::Leaving)
         } else if inner.queue.len() >= self.config.queue_limit {
@@ -471,21 +495,24 @@
             None
         };
         if let Some(refusal) = refusal {
-            inner.stage.ledger.refused(step.stream);
-            let _ = answer.send(StepResult::Refused { refusal });
+            inner.stage.ledger.record_refusal(step.stream);
+            let _ = result_sender.send(StepResult::Refused { refusal });
         } else if inner.stage.positions_to_run(&step) == 0 {
-            let _ = answer.send(inner.stage.run(&step));
+            let _ = result_sender.send(inner.stage.run(&step));
         } else {
-            inner.queue.push_back(Queued { step, answer });
+            inner.queue.push_back(QueuedStep {
+                step,
+                result_sender,
+            });
             self.arrived.notify_one();
         }
         receiver
     }
 }
 
-/// Runs one step after the other. A step ends a step's time after the last
-/// one's end, or after its own start if the engine was idle, so that a timer
-/// that fires late doesn't slow a busy engine down.
+/// Runs one batch at a time. A batch ends its duration after the end of the previous
+/// one, or after its own start if the engine was idle. Counting from the scheduled end
+/// prevents late timers from slowing down a busy engine.
 async fn run_batches(app: Arc<App>) {
     let mut last_end = tokio::time::Instant::now();
     loop {
@@ -499,31 +526,32 @@
         let step_us = app.config.step_us + u64::from(extra) * app.config.position_us;
         last_end += Duration::from_micros(step_us);
         tokio::time::sleep_until(last_end).await;
-        app.faults.pass().await;
+        app.faults.delay_message().await;
         if app.faults.is_dead() {
             continue;
         }
         let mut inner = app.lock();
-        inner.note_step(step_us);
+        inner.record_step(step_us);
         for queued in batch {
             let result = inner.stage.run(&queued.step);
-            let _ = queued.answer.send(result);
+            let _ = queued.result_sender.send(result);
         }
     }
 }
 
-async fn note_load(app: Arc<App>) {
+/// Stores a load report at each interval.
+async fn record_load(app: Arc<App>) {
     loop {
-        tokio::time::sleep(REPORT_STEP).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
         let mut inner = app.lock();
         let report = LoadReport {
             age_ms: 0,
             queued_steps: u32::try_from(inner.queue.len()).unwrap_or(u32::MAX),
-            streams: u32::try_from(inner.stage.streams()).unwrap_or(u32::MAX),
+            streams: u32::try_from(inner.stage.stream_count()).unwrap_or(u32::MAX),
             step_us: inner.step_us,
         };
         inner.reports.push_back((Instant::now(), report));
-        if inner.reports.len() > KEPT_REPORTS {
+        if inner.reports.len() > MAX_REPORTS {
             inner.reports.pop_front();
         }
     }
--- a/crates/rookferry_standin/src/engine/stage.rs
+++ b/crates/rookferry_standin/src/engine/stage.rs
@@ -1,4 +1,4 @@
-//! The layers and KV of one engine, without any transport or time.
+//! Layers, KV and attempts of one engine's streams. No I/O, no clock.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -21,20 +21,22 @@
 use crate::layers::prompt_digest;
 use crate::layers::run_layer;
 
+/// KV and recorded outputs of one stream.
 #[derive(Debug, Default)]
 struct StreamState {
     gate: StageGate,
-    /// Per position, one value a layer.
+    /// By position, one value per layer.
     kv: Vec<Vec<u64>>,
 }
 
-/// What an engine holds.
+/// The streams of an engine, its layer range and its ledger.
 #[derive(Debug)]
 pub(super) struct StageState {
     layers: LayerRange,
-    is_last: bool,
+    is_last_stage: bool,
     streams: HashMap<StreamId, StreamState>,
-    ended: HashSet<StreamId>,
+    /// Cancelled streams; their later steps, attempts and imports are refused.
+    cancelled_streams: HashSet<StreamId>,
     pub(super) ledger: Ledger,
 }
 
@@ -42,30 +44,30 @@
     pub(super) fn new(layers: LayerRange, model_layers: u16, ledger: Ledger) -> Self {
         Self {
             layers,
-            is_last: layers.end == model_layers,
+            is_last_stage: layers.end == model_layers,
             streams: HashMap::new(),
-            ended: HashSet::new(),
+            cancelled_streams: HashSet::new(),
             ledger,
         }
     }
 
-    /// Loses everything but the ledger.
-    pub(super) fn wipe(&mut self) {
-        self.ledger.died(self.streams.keys().copied());
+    /// Drops all state but the ledger, as a crash does.
+    pub(super) fn clear_streams(&mut self) {
+        self.ledger.record_state_loss(self.streams.keys().copied());
         self.streams.clear();
-        self.ended.clear();
+        self.cancelled_streams.clear();
     }
 
-    pub(super) fn streams(&self) -> usize {
+    pub(super) fn stream_count(&self) -> usize {
         self.streams.len()
     }
 
-    pub(super) fn holds(&self, stream: StreamId) -> bool {
+    pub(super) fn has_stream(&self, stream: StreamId) -> bool {
         self.streams.contains_key(&stream)
     }
 
-    /// Positions that the step would run; 0 for one that is answered from
-    /// what was recorded or refused.
+    /// Number of positions that the step would run; 0 if its outputs are recorded already
+    /// or it would be refused.
     pub(super) fn positions_to_run(&self, step: &Step) -> u32 {
         let end = step.position + Position::try_from(step.input.len()).unwrap_or(0);
         match self.verdict(step) {
@@ -74,11 +76,11 @@
         }
     }
 
-    /// Runs what the gate allows of a step.
+    /// Runs the positions of a step that haven't run yet, and returns the outputs of all.
     pub(super) fn run(&mut self, step: &Step) -> StepResult {
         match self.verdict(step) {
             GateVerdict::Refuse(refusal) => {
-                self.ledger.refused(step.stream);
+                self.ledger.record_refusal(step.stream);
                 return StepResult::Refused { refusal };
             }
             GateVerdict::Recorded => {}
@@ -93,21 +95,23 @@
         }
     }
 
+    /// Opens an attempt; drops the KV beyond the positions that it keeps.
     pub(super) fn open(&mut self, request: AttemptRequest) -> AttemptResponse {
-        if self.ended.contains(&request.stream) {
+        if self.cancelled_streams.contains(&request.stream) {
             return AttemptResponse::Refused { newest: 0 };
         }
         if request.must_exist && !self.streams.contains_key(&request.stream) {
             return AttemptResponse::Refused { newest: 0 };
         }
         let state = self.streams.entry(request.stream).or_default();
-        let answer = state.gate.open(request.attempt, request.keep);
-        if let AttemptResponse::Opened { kept } = answer {
+        let response = state.gate.open(request.attempt, request.keep);
+        if let AttemptResponse::Opened { kept } = response {
             state.kv.truncate(kept as usize);
         }
-        answer
+        response
     }
 
+    /// Cancels a stream, unless a newer attempt is open.
     pub(super) fn cancel(&mut self, request: CancelRequest) {
         let is_stale = self
             .streams
@@ -117,10 +121,11 @@
             return;
         }
         self.streams.remove(&request.stream);
-        self.ended.insert(request.stream);
-        self.ledger.cancelled(request.stream);
+        self.cancelled_streams.insert(request.stream);
+        self.ledger.record_cancellation(request.stream);
     }
 
+    /// KV of a stream, for another engine with the same layers.
     pub(super) fn export(&self, stream: StreamId) -> Option<KvPages> {
         let state = self.streams.get(&stream)?;
         Some(KvPages {
@@ -131,6 +136,8 @@
         })
     }
 
+    /// Takes over a stream's KV; refused if the layers differ, the attempt is
+    /// outdated or the stream is cancelled.
     pub(super) fn import(&mut self, pages: KvPages) -> AttemptResponse {
         let newest = self
             .streams
@@ -138,7 +145,7 @@
             .map_or(0, |state| state.gate.attempt());
         if pages.layers != self.layers
             || newest > pages.attempt
-            || self.ended.contains(&pages.stream)
+            || self.cancelled_streams.contains(&pages.stream)
         {
             return AttemptResponse::Refused { newest };
         }
@@ -154,47 +161,48 @@
     }
 
     fn verdict(&self, step: &Step) -> GateVerdict {
-        if self.ended.contains(&step.stream) {
+        if self.cancelled_streams.contains(&step.stream) {
             return GateVerdict::Refuse(Refusal::Cancelled);
         }
-        let fresh = StageGate::new();
+        let new_gate = StageGate::new();
         let gate = self
             .streams
             .get(&step.stream)
-            .map_or(&fresh, |state| &state.gate);
+            .map_or(&new_gate, |state| &state.gate);
         gate.check(step)
     }
 
     fn run_from(&mut self, step: &Step, from: Position) {
         let layers = self.layers;
-        let is_last = self.is_last;
+        let is_last_stage = self.is_last_stage;
         let state = self.streams.entry(step.stream).or_default();
         if from == 0 && layers.start == 0 {
-            self.ledger.began(step.stream, prompt_digest(&step.input));
+            self.ledger
+                .record_prompt(step.stream, prompt_digest(&step.input));
         }
         let skip = (from - step.position) as usize;
-        let zeros = vec![0; usize::from(layers.len())];
+        let no_kv = vec![0; usize::from(layers.len())];
         for (position, input) in (from..).zip(&step.input[skip..]) {
-            let before = state.kv.last().unwrap_or(&zeros);
+            let previous_values = state.kv.last().unwrap_or(&no_kv);
             let mut activation = *input;
-            let mut values = Vec::with_capacity(before.len());
-            for (layer, former) in (layers.start..layers.end).zip(before) {
-                activation = run_layer(*former, activation, layer, position);
+            let mut values = Vec::with_capacity(previous_values.len());
+            for (layer, previous) in (layers.start..layers.end).zip(previous_values) {
+                activation = run_layer(*previous, activation, layer, position);
                 values.push(activation);
             }
             state.kv.push(values);
-            let output = if is_last {
+            let output = if is_last_stage {
                 final_token(activation)
             } else {
                 activation
             };
             state.gate.record(&[output]);
-            self.ledger.ran(step.stream, position);
+            self.ledger.record_run(step.stream, position);
         }
     }
 
     const fn output(&self, value: u64) -> u64 {
-        if self.is_last {
+        if self.is_last_stage {
             final_token(value)
         } else {
             value
--- a/crates/rookferry_standin/src/lib.rs
+++ b/crates/rookferry_standin/src/lib.rs
@@ -1,9 +1,10 @@
-//! Stand-ins of the outside systems, for tests, the demo and measurements.
+//! Test doubles ("stand-ins") of the external systems, and a load generator, for
+//! tests, the demo and measurements.
 //!
-//! They speak the published protocols of the platform, the model engines and
-//! the application engines, fail on order, and keep ledgers of what they ran.
-//! Checks read the ledgers, never the router's own word. None of this is
-//! shipped to users.
+//! The stand-ins implement the published HTTP protocols of the platform, the
+//! model engines and the application engines. `POST /admin/fault` injects faults
+//! into them. Engines record what they ran in ledgers (`GET /admin/ledger`), so
+//! that checks don't depend on what the router reports. Not shipped to users.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -23,25 +24,25 @@
 pub use engine::EngineServer;
 pub use engine::Ledger;
 pub use engine::StreamRuns;
-pub use layers::TOKENS;
+pub use layers::VOCABULARY_SIZE;
 pub use layers::final_token;
 pub use layers::prompt_digest;
 pub use layers::reference_answer;
 pub use layers::run_layer;
-pub use load::Answer;
 pub use load::Arrivals;
 pub use load::CallKind;
+pub use load::CallOutcome;
+pub use load::CallResponse;
 pub use load::Caller;
-pub use load::Ending;
 pub use load::KindReport;
 pub use load::LoadAccount;
 pub use load::LoadPlan;
-pub use load::LoadReportOut;
 pub use load::LoadRun;
+pub use load::LoadRunReport;
 pub use load::Mix;
 pub use load::RequestLog;
 pub use load::TimedFault;
-pub use load::tokens_of;
+pub use load::tokenize;
 pub use platform::PlatformConfig;
 pub use platform::PlatformServer;
 pub use platform::Store;
--- a/crates/rookferry_standin/src/load/caller.rs
+++ b/crates/rookferry_standin/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's view of one request.
+//! Sends one request as a client would, and reads its response or event stream.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,67 +16,67 @@
 use rookferry_wire::StreamEvent;
 use serde::Serialize;
 
-/// How a request ended.
+/// Outcome of a request, as the client sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ending {
-    /// A whole answer.
-    Answered(Answer),
-    /// The site's own word that there is no answer.
-    Told(Problem),
-    /// The connection broke, or nothing came in time.
+pub enum CallOutcome {
+    /// A complete answer.
+    Answered(CallResponse),
+    /// An error response (problem document or error event) of the entry instance.
+    Problem(Problem),
+    /// The connection broke, the response was invalid, or it timed out; gives the cause.
     Cut(String),
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Answer {
-    /// The request's id.
+pub struct CallResponse {
+    /// Request id that the entry instance assigned.
     pub id: String,
-    /// Tokens, for model calls.
+    /// Generated tokens; empty for plain services.
     pub tokens: Vec<u64>,
-    /// Body, for plain services.
+    /// Response body; empty for streamed answers.
     pub body: String,
-    /// When the first token came, from the sending.
+    /// Time from sending to the first token; `None` unless streamed.
     pub first_token: Option<Duration>,
-    /// Gaps between tokens.
+    /// Times between tokens, if streamed.
     pub gaps: Vec<Duration>,
 }
 
-/// A caller with an account's key.
+/// HTTP client with the key of a client account.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: HttpClient,
     key: String,
-    patience: Duration,
+    timeout: Duration,
 }
 
-/// The stand-ins' tokens of a text: its bytes.
+/// Tokenizes a text as the fake model does: one token per byte.
 #[must_use]
-pub fn tokens_of(text: &str) -> Vec<u64> {
+pub fn tokenize(text: &str) -> Vec<u64> {
     text.bytes().map(u64::from).collect()
 }
 
 impl Caller {
-    /// A caller that waits for `patience`.
+    /// A caller that waits up to `timeout` for a complete answer.
     #[must_use]
-    pub const fn new(client: HttpClient, key: String, patience: Duration) -> Self {
+    pub const fn new(client: HttpClient, key: String, timeout: Duration) -> Self {
         Self {
             client,
             key,
-            patience,
+            timeout,
         }
     }
 
-    /// Sends a model call; `once` is the key of a call that may run once.
+    /// Sends a model call; with an `idempotency_key`, as one that must run at most once.
     pub async fn complete(
         &self,
         addr: SocketAddr,
         body: &CompletionRequest,
-        once: Option<&str>,
-    ) -> Ending {
+        idempotency_key: Option<&str>,
+    ) -> CallOutcome {
         let json = serde_json::to_vec(body).unwrap_or_default();
         let mut request = self.request(Method::POST, addr, "/v1/completions");
-        if let Some(key) = once {
+        if let Some(key) = idempotency_key {
             request = request
                 .header("idempotency-key", key)
                 .header("rookferry-repeatable", "false");
@@ -84,17 +84,17 @@
         self.exchange(addr, request, json.into(), body.stream).await
     }
 
-    /// Calls a plain service.
+    /// Calls a plain service; with an `idempotency_key`, the call must run at most once.
     pub async fn call(
         &self,
         addr: SocketAddr,
         method: Method,
         path: &str,
         body: &str,
-        once: Option<&str>,
-    ) -> Ending {
+        idempotency_key: Option<&str>,
+    ) -> CallOutcome {
         let mut request = self.request(method, addr, path);
-        if let Some(key) = once {
+        if let Some(key) = idempotency_key {
             request = request
                 .header("idempotency-key", key)
                 .header("rookferry-repeatable", "false");
@@ -117,27 +117,27 @@
         request: http::request::Builder,
         body: Bytes,
         is_stream: bool,
-    ) -> Ending {
+    ) -> CallOutcome {
         let Ok(request) = request.body(Full::new(body)) else {
-            return Ending::Cut("the request could not be built".to_owned());
+            return CallOutcome::Cut("invalid request".to_owned());
         };
-        let whole = self.read_ending(addr, request, is_stream);
-        match tokio::time::timeout(self.patience, whole).await {
-            Ok(ending) => ending,
-            Err(_) => Ending::Cut("no whole answer in time".to_owned()),
+        let outcome_future = self.read_outcome(addr, request, is_stream);
+        match tokio::time::timeout(self.timeout, outcome_future).await {
+            Ok(outcome) => outcome,
+            Err(_) => CallOutcome::Cut("timed out before the answer was complete".to_owned()),
         }
     }
 
-    async fn read_ending(
+    async fn read_outcome(
         &self,
         addr: SocketAddr,
         request: Request<Full<Bytes>>,
         is_stream: bool,
-    ) -> Ending {
+    ) -> CallOutcome {
         let sent_at = Instant::now();
-        let response = match self.client.send(addr, request, self.patience).await {
+        let response = match self.client.send(addr, request, self.timeout).await {
             Ok(response) => response,
-            Err(error) => return Ending::Cut(error.to_string()),
+            Err(error) => return CallOutcome::Cut(error.to_string()),
         };
         let (head, mut body) = response.into_parts();
         let id = head.headers.get("rookferry-request-id");
@@ -151,7 +151,7 @@
         while let Some(frame) = body.frame().await {
             let frame = match frame {
                 Ok(frame) => frame,
-                Err(error) => return Ending::Cut(error.to_string()),
+                Err(error) => return CallOutcome::Cut(error.to_string()),
             };
             let Ok(data) = frame.into_data() else {
                 continue;
@@ -168,32 +168,33 @@
         let text = String::from_utf8_lossy(&bytes).into_owned();
         if !head.status.is_success() {
             return match serde_json::from_str(&text) {
-                Ok(problem) => Ending::Told(problem),
-                Err(error) => {
-                    Ending::Cut(format!("{} without a problem body: {error}", head.status))
-                }
+                Ok(problem) => CallOutcome::Problem(problem),
+                Err(error) => CallOutcome::Cut(format!(
+                    "status {} without a valid problem document: {error}",
+                    head.status
+                )),
             };
         }
-        Ending::Answered(whole_answer(id, text))
+        CallOutcome::Answered(parse_response(id, text))
     }
 }
 
-fn whole_answer(id: String, text: String) -> Answer {
+fn parse_response(id: String, text: String) -> CallResponse {
     let tokens = serde_json::from_str::<CompletionResponse>(&text)
         .map_or_else(|_| Vec::new(), |body| body.tokens);
-    Answer {
+    CallResponse {
         id,
         tokens,
         body: text,
-        ..Answer::default()
+        ..CallResponse::default()
     }
 }
 
-/// Reads server-sent events.
+/// Parses the server-sent events of a streamed answer.
 struct StreamReader {
     buffer: String,
-    last_at: Instant,
-    answer: Answer,
+    last_token_at: Instant,
+    answer: CallResponse,
     is_done: bool,
     problem: Option<Problem>,
     fault: Option<String>,
@@ -203,10 +204,10 @@
     fn new(sent_at: Instant, id: String) -> Self {
         Self {
             buffer: String::new(),
-            last_at: sent_at,
-            answer: Answer {
+            last_token_at: sent_at,
+            answer: CallResponse {
                 id,
-                ..Answer::default()
+                ..CallResponse::default()
             },
             is_done: false,
             problem: None,
@@ -236,37 +237,37 @@
             return;
         }
         let Ok(token) = serde_json::from_str::<StreamEvent>(data) else {
-            self.fault = Some(format!("unreadable event {data}"));
+            self.fault = Some(format!("invalid event: {data}"));
             return;
         };
         if token.index as usize != self.answer.tokens.len() || *token.id != *self.answer.id {
-            self.fault = Some(format!("event out of place: {data}"));
+            self.fault = Some(format!("event with an unexpected index or id: {data}"));
         }
         self.on_token(token.token);
     }
 
     fn on_token(&mut self, token: u64) {
         let now = Instant::now();
-        let gap = now.saturating_duration_since(self.last_at);
+        let gap = now.saturating_duration_since(self.last_token_at);
         if self.answer.first_token.is_none() {
             self.answer.first_token = Some(gap);
         } else {
             self.answer.gaps.push(gap);
         }
-        self.last_at = now;
+        self.last_token_at = now;
         self.answer.tokens.push(token);
     }
 
-    fn finish(self) -> Ending {
+    fn finish(self) -> CallOutcome {
         if let Some(fault) = self.fault {
-            return Ending::Cut(fault);
+            return CallOutcome::Cut(fault);
         }
         if let Some(problem) = self.problem {
-            return Ending::Told(problem);
+            return CallOutcome::Problem(problem);
         }
         if !self.is_done {
-            return Ending::Cut("the stream ended without [DONE]".to_owned());
+            return CallOutcome::Cut("the stream ended before [DONE]".to_owned());
         }
-        Ending::Answered(self.answer)
+        CallOutcome::Answered(self.answer)
     }
 }
--- a/crates/rookferry_standin/src/load/report.rs
+++ b/crates/rookferry_standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a run.
+//! Report of a load run: latency percentiles, outcomes and throughput.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,120 +8,121 @@
 use serde::Serialize;
 
 use super::CallKind;
-use super::Ending;
+use super::CallOutcome;
 
-/// Width of the buckets of the timeline.
-pub(super) const BUCKET: Duration = Duration::from_millis(100);
+/// Width of the timeline's buckets.
+pub(super) const BUCKET_WIDTH: Duration = Duration::from_millis(100);
 
-/// Percentiles of a time.
+/// Percentiles of a latency.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Percentiles {
     /// Number of samples.
     pub count: u64,
     /// Median.
     pub p50_ms: f64,
-    /// 95 in 100.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
-/// One kind of requests.
+/// Outcomes of one kind of request, and latencies of its correct answers.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct KindReport {
-    /// Sent.
+    /// Requests sent.
     pub sent: u64,
-    /// Answered whole and as the reference.
+    /// Complete answers that equal the reference.
     pub correct: u64,
-    /// Answered with something else.
+    /// Complete answers that differ from the reference.
     pub wrong: u64,
-    /// Told that it did not run.
+    /// Problems with the outcome "not run".
     pub not_run: u64,
-    /// Told that its outcome is unknown, or that it still runs.
+    /// Problems with the outcome "unknown" or "running".
     pub unknown: u64,
-    /// Cut without a word.
+    /// Broken connections, invalid responses and timeouts.
     pub cut: u64,
-    /// Reasons that were told, and what cut requests.
+    /// Number of problems by reason code, and of cut requests by cause.
     pub reasons: BTreeMap<String, u64>,
-    /// From when it was due to its whole answer.
+    /// Time from when a request was due to its complete answer, with all its tries.
     pub whole: Percentiles,
-    /// From when it was due to its first token.
+    /// Time from when a request was due to its first token.
     pub first_token: Percentiles,
-    /// Between tokens.
+    /// Time between tokens.
     pub gaps: Percentiles,
 }
 
-/// A run.
+/// Report of a load run.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct LoadReportOut {
-    /// By kind.
+pub struct LoadRunReport {
+    /// Outcomes and latencies by kind of request.
     pub kinds: BTreeMap<CallKind, KindReport>,
     /// Correct answers by client account.
     pub correct_by_account: BTreeMap<String, u64>,
     /// Requests sent by client account.
     pub sent_by_account: BTreeMap<String, u64>,
-    /// Not sent, since too many were under way.
+    /// Requests not sent because `max_in_flight` was reached.
     pub not_sent: u64,
-    /// Tokens of correct answers a second, in the last three quarters of the
-    /// time in which requests were sent.
+    /// Tokens per second of correct answers, over the last three quarters of the sending
+    /// time.
     pub tokens_per_s: f64,
-    /// Correct answers a second, while requests were sent.
+    /// Correct answers per second of sending time.
     pub answers_per_s: f64,
-    /// Tokens of correct answers in each tenth of a second.
+    /// Tokens of correct answers in each interval of 100 ms.
     pub timeline: Vec<u64>,
-    /// What went wrong with the load itself.
+    /// Failures of the load generator itself, such as faults that weren't injected.
     pub notes: Vec<String>,
 }
 
+/// Latencies in microseconds.
 #[derive(Debug)]
-struct Times {
+struct LatencyHistograms {
     whole: Histogram<u64>,
     first_token: Histogram<u64>,
     gaps: Histogram<u64>,
 }
 
-/// Collects endings.
+/// Collects the outcomes of a run.
 #[derive(Debug, Default)]
 pub(super) struct Collector {
-    report: LoadReportOut,
-    times: BTreeMap<CallKind, Times>,
+    report: LoadRunReport,
+    times: BTreeMap<CallKind, LatencyHistograms>,
     tokens: u64,
     answers: u64,
 }
 
-/// What is known of a request beside its ending.
-pub(super) struct Measured<'a> {
+/// Timing and classification of a finished request.
+pub(super) struct RequestTiming<'a> {
     pub(super) kind: CallKind,
     pub(super) account: &'a str,
-    pub(super) late: Duration,
-    pub(super) took: Duration,
+    /// Time from when it was due to its last try.
+    pub(super) send_delay: Duration,
+    /// Duration of its last try.
+    pub(super) last_try_duration: Duration,
+    /// Time from the start of the load.
     pub(super) ended_at: Duration,
     pub(super) is_correct: bool,
 }
 
 impl Collector {
-    pub(super) fn not_sent(&mut self) {
+    pub(super) fn record_not_sent(&mut self) {
         self.report.not_sent += 1;
     }
 
-    pub(super) fn note(&mut self, note: &str) {
+    pub(super) fn record_note(&mut self, note: &str) {
         self.report.notes.push(note.to_owned());
     }
 
-    pub(super) fn add(&mut self, measured: &Measured<'_>, ending: &Ending) {
-        let sent = self
-            .report
-            .sent_by_account
-            .entry(measured.account.to_owned());
+    pub(super) fn record_request(&mut self, timing: &RequestTiming<'_>, outcome: &CallOutcome) {
+        let sent = self.report.sent_by_account.entry(timing.account.to_owned());
         *sent.or_default() += 1;
-        let kind = self.report.kinds.entry(measured.kind).or_default();
+        let kind = self.report.kinds.entry(timing.kind).or_default();
         kind.sent += 1;
-        match ending {
-            Ending::Answered(_) if measured.is_correct => kind.correct += 1,
-            Ending::Answered(_) => kind.wrong += 1,
-            Ending::Told(problem) => {
+        match outcome {
+            CallOutcome::Answered(_) if timing.is_correct => kind.correct += 1,
+            CallOutcome::Answered(_) => kind.wrong += 1,
+            CallOutcome::Problem(problem) => {
                 let reason = format!("{:?}", problem.reason);
                 *kind.reasons.entry(reason).or_default() += 1;
                 if problem.outcome == rookferry_wire::Outcome::NotRun {
@@ -130,29 +131,35 @@
                     kind.unknown += 1;
                 }
             }
-            Ending::Cut(message) => {
+            CallOutcome::Cut(message) => {
                 kind.cut += 1;
                 *kind.reasons.entry(format!("cut: {message}")).or_default() += 1;
             }
         }
-        if measured.is_correct {
-            self.add_times(measured, ending);
+        if timing.is_correct {
+            self.record_correct(timing, outcome);
         }
     }
 
-    fn add_times(&mut self, measured: &Measured<'_>, ending: &Ending) {
-        let Ending::Answered(answer) = ending else {
+    fn record_correct(&mut self, timing: &RequestTiming<'_>, outcome: &CallOutcome) {
+        let CallOutcome::Answered(answer) = outcome else {
             return;
         };
         let correct = self
             .report
             .correct_by_account
-            .entry(measured.account.to_owned());
+            .entry(timing.account.to_owned());
         *correct.or_default() += 1;
-        let times = self.times.entry(measured.kind).or_insert_with(Times::new);
-        record(&mut times.whole, measured.late + measured.took);
+        let times = self
+            .times
+            .entry(timing.kind)
+            .or_insert_with(LatencyHistograms::new);
+        record(
+            &mut times.whole,
+            timing.send_delay + timing.last_try_duration,
+        );
         if let Some(first_token) = answer.first_token {
-            record(&mut times.first_token, measured.late + first_token);
+            record(&mut times.first_token, timing.send_delay + first_token);
         }
         for gap in &answer.gaps {
             record(&mut times.gaps, *gap);
@@ -160,15 +167,15 @@
         let tokens = answer.tokens.len() as u64;
         self.tokens += tokens;
         self.answers += 1;
-        self.add_to_timeline(measured.ended_at, answer);
+        self.add_to_timeline(timing.ended_at, answer);
     }
 
-    /// A streamed answer's tokens count when each came, others at the end.
-    fn add_to_timeline(&mut self, ended_at: Duration, answer: &super::Answer) {
+    /// Counts each token at its arrival time; without streaming, at the end.
+    fn add_to_timeline(&mut self, ended_at: Duration, answer: &super::CallResponse) {
         let mut at = ended_at;
         let mut gaps = answer.gaps.iter().rev();
         for _ in &answer.tokens {
-            let bucket = usize::try_from(at.as_millis() / BUCKET.as_millis()).unwrap_or(0);
+            let bucket = usize::try_from(at.as_millis() / BUCKET_WIDTH.as_millis()).unwrap_or(0);
             if self.report.timeline.len() <= bucket {
                 self.report.timeline.resize(bucket + 1, 0);
             }
@@ -177,13 +184,22 @@
         }
     }
 
-    pub(super) fn finish(mut self, duration: Duration) -> LoadReportOut {
-        let within = usize::try_from(duration.as_millis() / BUCKET.as_millis()).unwrap_or(0);
-        // The first quarter, in which the site fills up, doesn't count.
-        let skipped = within / 4;
-        let counted = self.report.timeline.iter().take(within).skip(skipped);
-        let seconds = (BUCKET * u32::try_from(within - skipped).unwrap_or(1)).as_secs_f64();
-        self.report.tokens_per_s = counted.sum::<u64>() as f64 / seconds.max(BUCKET.as_secs_f64());
+    /// Completes the report; `duration` is the time in which requests were sent.
+    pub(super) fn finish(mut self, duration: Duration) -> LoadRunReport {
+        let sending_buckets =
+            usize::try_from(duration.as_millis() / BUCKET_WIDTH.as_millis()).unwrap_or(0);
+        // The first quarter is skipped, because the site is still filling with requests.
+        let skipped = sending_buckets / 4;
+        let counted = self
+            .report
+            .timeline
+            .iter()
+            .take(sending_buckets)
+            .skip(skipped);
+        let seconds =
+            (BUCKET_WIDTH * u32::try_from(sending_buckets - skipped).unwrap_or(1)).as_secs_f64();
+        self.report.tokens_per_s =
+            counted.sum::<u64>() as f64 / seconds.max(BUCKET_WIDTH.as_secs_f64());
         self.report.answers_per_s = self.answers as f64 / duration.as_secs_f64();
         for (kind, times) in &self.times {
             let report = self.report.kinds.entry(*kind).or_default();
@@ -195,7 +211,7 @@
     }
 }
 
-impl Times {
+impl LatencyHistograms {
     fn new() -> Self {
         Self {
             whole: histogram(),
@@ -205,8 +221,8 @@
     }
 }
 
-impl LoadReportOut {
-    /// The run as text.
+impl LoadRunReport {
+    /// Formats the report as text.
     #[must_use]
     pub fn to_text(&self) -> String {
         let mut text = String::new();
@@ -254,24 +270,27 @@
         text
     }
 
-    /// Time from a fault until the tokens a second are back at `share` of
-    /// their mean before it, for a half second at least; `None` if never.
+    /// Time from a fault until the tokens per second are back at `share` of their mean
+    /// before it (without the first third, the warm-up), over half a second; `None` if
+    /// they never are.
     #[must_use]
-    pub fn recovery(&self, fault_at: Duration, share: f64) -> Option<Duration> {
-        let fault = usize::try_from(fault_at.as_millis() / BUCKET.as_millis()).ok()?;
+    pub fn recovery_time(&self, fault_at: Duration, share: f64) -> Option<Duration> {
+        let fault = usize::try_from(fault_at.as_millis() / BUCKET_WIDTH.as_millis()).ok()?;
         let before = self.timeline.get(..fault)?;
         let warm = before.get(before.len() / 3..)?;
         let mean = warm.iter().sum::<u64>() as f64 / warm.len().max(1) as f64;
         let after = self.timeline.get(fault..)?;
-        let held = after.windows(5).position(|window| {
+        let recovered_at = after.windows(5).position(|window| {
             let sum: u64 = window.iter().sum();
             sum as f64 >= 5.0 * mean * share
         })?;
-        u32::try_from(held).ok().map(|buckets| BUCKET * buckets)
+        u32::try_from(recovered_at)
+            .ok()
+            .map(|buckets| BUCKET_WIDTH * buckets)
     }
 }
 
-/// Microseconds from 1 to 10 minutes, three digits.
+/// Histogram from 1 µs to 10 min with three significant digits.
 fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 600_000_000, 3)
         .unwrap_or_else(|_| unreachable!("the bounds are constant"))
--- a/crates/rookferry_standin/src/platform/store.rs
+++ b/crates/rookferry_standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The objects and the list, without any transport.
+//! State of the platform: versioned objects and the delayed instance list. No I/O.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,30 +13,31 @@
 use rookferry_wire::PutResponse;
 use rookferry_wire::WatchResponse;
 
-/// What the platform keeps.
+/// Objects and instances of a platform.
 #[derive(Debug, Default)]
 pub struct Store {
     version: ObjectVersion,
     objects: BTreeMap<(String, String), Object>,
-    instances: BTreeMap<InstanceId, Listed>,
+    instances: BTreeMap<InstanceId, ListedInstance>,
 }
 
+/// An instance's current and previous entry; `None` where it isn't listed.
 #[derive(Debug)]
-struct Listed {
+struct ListedInstance {
     entry: Option<InstanceEntry>,
-    former: Option<InstanceEntry>,
-    since: Instant,
+    previous: Option<InstanceEntry>,
+    changed_at: Instant,
 }
 
 impl Store {
-    /// Reads an object.
+    /// Returns an object; `None` if it doesn't exist or was deleted (its value is null).
     #[must_use]
     pub fn get(&self, kind: &str, name: &str) -> Option<&Object> {
         let object = self.objects.get(&(kind.to_owned(), name.to_owned()))?;
         (!object.value.is_null()).then_some(object)
     }
 
-    /// Writes an object if its version is the expected one.
+    /// Writes an object if its current version is `request.expected` (0: doesn't exist).
     pub fn put(&mut self, kind: &str, name: &str, request: PutRequest) -> PutResponse {
         let current = self.get(kind, name).cloned();
         let current_version = current.as_ref().map_or(0, |object| object.version);
@@ -56,13 +57,14 @@
         }
     }
 
-    /// Objects of a kind that changed after a version.
+    /// Objects of a kind with a version above `after`, oldest first; deleted ones have a
+    /// null value.
     #[must_use]
     pub fn changes(&self, kind: &str, after: ObjectVersion) -> WatchResponse {
         let all = self
             .objects
             .iter()
-            .filter(|((of_kind, _), _)| of_kind == kind);
+            .filter(|((object_kind, _), _)| object_kind == kind);
         let mut objects: Vec<Object> = all
             .map(|(_, object)| object.clone())
             .filter(|object| object.version > after)
@@ -72,39 +74,39 @@
         WatchResponse { objects, version }
     }
 
-    /// How many objects of a kind exist.
+    /// Number of objects of a kind, without deleted ones.
     #[must_use]
     pub fn count(&self, kind: &str) -> usize {
         let all = self.objects.iter();
-        all.filter(|((of_kind, _), object)| of_kind == kind && !object.value.is_null())
+        all.filter(|((object_kind, _), object)| object_kind == kind && !object.value.is_null())
             .count()
     }
 
-    /// Sets or removes an instance; the list shows it after its lag.
+    /// Sets or removes an instance; `list` shows the change once its lag has passed.
     pub fn set_instance(&mut self, now: Instant, name: InstanceId, entry: Option<InstanceEntry>) {
-        let former = self.instances.remove(&name).and_then(|listed| listed.entry);
-        let listed = Listed {
+        let previous = self.instances.remove(&name).and_then(|listed| listed.entry);
+        let listed = ListedInstance {
             entry,
-            former,
-            since: now,
+            previous,
+            changed_at: now,
         };
         self.instances.insert(name, listed);
     }
 
-    /// The list as it was a lag ago.
+    /// The instance list; changes made less than `lag` ago don't show yet.
     #[must_use]
     pub fn list(&self, now: Instant, lag: Duration) -> InstanceList {
-        let shown = self.instances.values().filter_map(|listed| {
-            let is_shown = now.saturating_duration_since(listed.since) >= lag;
-            let entry = if is_shown {
+        let visible = self.instances.values().filter_map(|listed| {
+            let is_visible = now.saturating_duration_since(listed.changed_at) >= lag;
+            let entry = if is_visible {
                 &listed.entry
             } else {
-                &listed.former
+                &listed.previous
             };
             entry.clone()
         });
         InstanceList {
-            instances: shown.collect(),
+            instances: visible.collect(),
         }
     }
 }
