--- a/crates/rookferry_controller/src/controller.rs
+++ b/crates/rookferry_controller/src/controller.rs
@@ -1,4 +1,9 @@
-//! Holds the lease and sends what the planner finds due.
+//! The controller's loop: maintains the lease and sends the orders that the planner
+//! finds due.
+//!
+//! Each round reads the configuration and the engines from the local entry instance.
+//! The platform is called only for the lease, `POLLS_PER_LEASE` times per lease
+//! duration or slightly more often.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,18 +41,18 @@
 
 use crate::ControllerSettings;
 
-/// How long the entry instance may take to answer.
+/// Timeout of a call to the entry instance.
 const ENTRY_WAIT: Duration = Duration::from_secs(2);
-/// Looks at the lease in its duration.
+/// Lease polls per lease duration, before jitter, which shortens the interval.
 const LOOKS_PER_LEASE: u32 = 6;
 
-/// What `/v1/config` of an entry instance gives.
+/// Response of an entry instance to `/v1/config`.
 #[derive(Deserialize)]
 struct InForce {
     value: serde_json::Value,
 }
 
-/// One controller.
+/// Orders the engines of one failure domain while it holds the domain's lease.
 pub struct Controller {
     settings: ControllerSettings,
     log: Logger,
@@ -60,7 +65,7 @@
 }
 
 impl Controller {
-    /// A controller that holds nothing.
+    /// Returns a controller that doesn't hold the lease yet; no call is made.
     #[must_use]
     pub fn new(settings: ControllerSettings, log: Logger) -> Self {
         let client = HttpClient::new();
@@ -84,7 +89,8 @@
         }
     }
 
-    /// Runs until the task is dropped.
+    /// Runs until the future is dropped. Failed calls are logged and repeated in a later
+    /// round.
     pub async fn run(mut self) {
         let interval = Duration::from_millis(self.settings.interval_ms);
         loop {
@@ -106,7 +112,7 @@
         match self.platform.get(LEASES_KIND, &domain).await {
             Ok(current) => self.lease.on_read(asked_at, current.as_ref()),
             Err(error) => {
-                debug!(self.log, "Controller::look_at_lease: not read"; "part" => "lease", "error" => %error);
+                debug!(self.log, "Controller::poll_lease: could not read the lease"; "part" => "lease", "error" => %error);
                 return;
             }
         }
@@ -121,13 +127,13 @@
             .await
         {
             Ok(PutResponse::Written { version }) => {
-                debug!(self.log, "Controller::look_at_lease: held"; "part" => "lease", "fence" => object.fence);
+                debug!(self.log, "Controller::poll_lease: lease held"; "part" => "lease", "fence" => object.fence);
                 self.lease.on_written(sent_at, version, object);
             }
             Ok(PutResponse::Conflict { current }) => self.lease.on_read(sent_at, current.as_ref()),
-            // A write that took effect unheard is seen at the next look.
+            // The next poll shows whether a write whose response was lost took effect.
             Err(error) => {
-                info!(self.log, "lease: not written"; "part" => "lease", "error" => %error);
+                info!(self.log, "lease: could not write the lease"; "part" => "lease", "error" => %error);
             }
         }
     }
@@ -150,8 +156,8 @@
     async fn send(&self, engine: &Engine, needed: PlannedOrder) {
         let name = needed.engine;
         let rule = needed.rule;
-        // Looked at just before the sending: the lease may have lapsed while
-        // this process was paused or an earlier order took long.
+        // Checked just before sending: the lease may have expired while this process
+        // was paused or while an earlier order was in flight.
         let Some(fence) = self
             .lease
             .fence_for(clock::now(), engine.info.checks_fences)
@@ -165,14 +171,17 @@
         match self.engines.order(engine.addr, request).await {
             Ok(OrderResponse::Accepted) => info!(self.log, "orders: accepted";
                 "part" => "orders", "engine" => %name, "rule" => rule, "order" => ?needed.order, "fence" => fence),
-            Ok(OrderResponse::Fenced { highest }) => warn!(self.log, "orders: fenced off";
-                "part" => "orders", "engine" => %name, "fence" => fence, "highest" => highest),
+            Ok(OrderResponse::Fenced { highest }) => {
+                warn!(self.log, "orders: rejected by the engine because of a newer fence";
+                "part" => "orders", "engine" => %name, "fence" => fence, "highest" => highest)
+            }
             Err(error) => warn!(self.log, "orders: no answer";
                 "part" => "orders", "engine" => %name, "error" => %error),
         }
     }
 
-    /// Configuration and own engines from the entry instance beside.
+    /// The configuration and the engines of the own failure domain, read from the local
+    /// entry instance; `None` if a call fails or the configuration is invalid.
     async fn read_entry(&self) -> Option<(SiteConfig, Vec<Engine>)> {
         let entry = self.settings.entry;
         let in_force: InForce = self
--- a/crates/rookferry_controller/src/lib.rs
+++ b/crates/rookferry_controller/src/lib.rs
@@ -1,9 +1,9 @@
-//! Gives engines fenced orders, so that the placement rules hold.
+//! Placement controller: sends engines fenced orders that enforce the placement rules.
 //!
-//! One controller runs beside each entry instance; of those of a failure
-//! domain the holder of the domain's lease gives orders. It asks the entry
-//! instance beside it for the configuration and the engines, so that it costs
-//! the platform nothing but the lease. If all controllers die, requests go on.
+//! One controller runs next to each entry instance. Per failure domain, only the
+//! holder of the domain's lease sends orders. The configuration and the engine list
+//! come from the local entry instance, so the lease is the controller's only load on
+//! the platform. Requests are served without a controller.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/rookferry_controller/src/main.rs
+++ b/crates/rookferry_controller/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one controller until it is told to stop.
+//! Runs one controller until it receives SIGTERM or an interrupt.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,14 +12,14 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// Gives engines fenced orders under the lease of a failure domain.
+/// Sends fenced placement orders to the engines of a failure domain while holding its lease.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// The controller's settings, as JSON.
+    /// Path of the controller's settings (JSON).
     #[arg(long)]
     config: PathBuf,
-    /// Checks the settings, prints every fault, and exits.
+    /// Validate the settings, print all errors and exit without starting.
     #[arg(long)]
     check: bool,
 }
@@ -37,9 +37,9 @@
 
 async fn run(args: Args) -> Result<(), String> {
     let text = read_text(&args.config).map_err(|error| error.to_string())?;
-    let settings = ControllerSettings::from_json(&text).map_err(|faults| faults.to_string())?;
+    let settings = ControllerSettings::from_json(&text).map_err(|errors| errors.to_string())?;
     if args.check {
-        println!("{}: no faults", args.config.display());
+        println!("{}: no errors", args.config.display());
         return Ok(());
     }
     let log = root_logger(settings.log_format, settings.log_level, &settings.instance);
--- a/crates/rookferry_controller/src/settings.rs
+++ b/crates/rookferry_controller/src/settings.rs
@@ -1,4 +1,4 @@
-//! A controller's settings.
+//! Settings of a controller: parsed from JSON, with defaults and checks.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,79 +12,80 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Shortest lease: a few calls to the platform must fit into it.
+/// Minimum lease duration: a few calls to the platform must fit into it.
 const MIN_LEASE_MS: u64 = 1_000;
 
-/// Settings of one controller, from a JSON file.
+/// Settings of one controller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ControllerSettings {
-    /// The instance that it runs on.
+    /// Name of the instance; identifies the lease holder.
     pub instance: String,
-    /// Its failure domain.
+    /// Failure domain whose engines it manages; also the name of the lease.
     pub failure_domain: String,
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub platform: SocketAddr,
-    /// The operators' address of the entry instance beside it.
+    /// Operators' address of the local entry instance.
     pub entry: SocketAddr,
-    /// How logs are written.
+    /// Format of log lines.
     #[serde(default)]
     pub log_format: LogFormat,
-    /// The least severity that is logged.
+    /// Minimum severity that is logged.
     #[serde(default)]
     pub log_level: LogLevel,
-    /// How long the lease lasts.
+    /// Lease duration, in milliseconds.
     #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// How long a process may be paused between its last look at the lease
-    /// and the arrival of its order; it is waited out before orders to
-    /// engines that don't check fences.
+    /// Longest time between a holder's lease check and the arrival of its order, in
+    /// milliseconds, including a pause of its process. A new holder waits this much
+    /// longer before it orders engines that don't check fences.
     #[serde(default = "default_pause_bound_ms")]
     pub pause_bound_ms: u64,
-    /// How often it looks at what is to be done.
+    /// Interval between two planning rounds, in milliseconds.
     #[serde(default = "default_interval_ms")]
     pub interval_ms: u64,
-    /// Engines that drain or load at once.
+    /// Maximum number of engines that drain or load at once.
     #[serde(default = "default_at_once")]
     pub at_once: usize,
-    /// The least time between two loads, for the weight store's rate.
+    /// Minimum time between two loads, in milliseconds; limits the load on the weight
+    /// store.
     #[serde(default = "default_load_interval_ms")]
     pub load_interval_ms: u64,
-    /// How long streams may take to finish on an engine that drains.
+    /// Time for streams to finish on a draining engine, in milliseconds.
     #[serde(default = "default_drain_timeout_ms")]
     pub drain_timeout_ms: u64,
 }
 
 impl ControllerSettings {
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// Every fault found, each with its path and the likely fix.
+    /// All errors found, each with its path and the likely correction.
     pub fn from_json(text: &str) -> Result<Self, ConfigErrors> {
         let settings: Self = read_json(text)?;
-        let mut faults = ConfigErrors::default();
+        let mut errors = ConfigErrors::default();
         if settings.lease_ms < MIN_LEASE_MS {
-            faults.push(
+            errors.push(
                 "lease_ms",
-                format!("{} is too short", settings.lease_ms),
-                format!("use {MIN_LEASE_MS} or more"),
+                format!("{} ms is too short for a lease", settings.lease_ms),
+                format!("use {MIN_LEASE_MS} ms or more"),
             );
         }
         if settings.at_once == 0 || settings.interval_ms == 0 {
-            faults.push(
+            errors.push(
                 "at_once, interval_ms",
-                "0 orders nothing",
-                "leave them out for the defaults",
+                "0 would disable all orders",
+                "use positive numbers, or omit them for the defaults",
             );
         }
         if settings.instance.is_empty() || settings.failure_domain.is_empty() {
-            faults.push(
+            errors.push(
                 "instance, failure_domain",
-                "an empty name",
-                "use those of the entry instance beside it",
+                "the name is empty",
+                "use the names from the local entry instance's settings",
             );
         }
-        faults.into_result(settings)
+        errors.into_result(settings)
     }
 
     pub(crate) const fn timing(&self) -> LeaseTiming {
--- a/crates/rookferry_controller/tests/orders.rs
+++ b/crates/rookferry_controller/tests/orders.rs
@@ -1,5 +1,5 @@
-//! Controllers: one holder at a time, fenced orders, and a rollout of a new
-//! version that cuts off no request.
+//! Two controllers of one failure domain roll out new model versions: one lease holder
+//! at a time, fences never decrease on an engine, and no request is interrupted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -117,7 +117,7 @@
         platform
             .put(CONFIG_KIND, CONFIG_NAME, request)
             .await
-            .expect("it is applied");
+            .expect("an applied configuration");
     }
 
     fn platform(&self) -> SocketAddr {
@@ -156,7 +156,7 @@
             }
             assert!(
                 start.elapsed() < PATIENCE,
-                "version {version} was never served by all"
+                "not every engine serves version {version} in time"
             );
             tokio::time::sleep(Duration::from_millis(30)).await;
         }
@@ -176,7 +176,7 @@
     }
 }
 
-/// Calls one after the other until told to stop; each must be answered.
+/// Sends sequential requests until `stop` is set; each must be answered.
 async fn call_until(
     caller: Caller,
     addr: SocketAddr,
@@ -192,7 +192,7 @@
         };
         match caller.complete(addr, &body, None).await {
             Ending::Answered(_) => answered.fetch_add(1, Ordering::Relaxed),
-            other => panic!("cut off: {other:?}"),
+            other => panic!("request interrupted: {other:?}"),
         };
     }
 }
@@ -207,7 +207,7 @@
     let answered = Arc::new(AtomicUsize::new(0));
     let caller = Caller::new(bench.client.clone(), "key".to_owned(), PATIENCE);
     let addr = bench.entry.addrs().callers;
-    // The first answer shows that the instance serves.
+    // Waits until the instance serves requests.
     while !matches!(
         caller
             .complete(
@@ -238,7 +238,7 @@
     for fences in bench.fences().await {
         assert!(
             fences.is_sorted(),
-            "an older holder's order came late: {fences:?}"
+            "an order of a previous lease holder was accepted: {fences:?}"
         );
     }
 }
