--- a/crates/rookferry_burn/src/history.rs
+++ b/crates/rookferry_burn/src/history.rs
@@ -1,4 +1,7 @@
-//! Samples over time, and the counts between them.
+//! Event counts over time, computed from the samples of the instances.
+//!
+//! A sample has an instance's cumulative counters. The history stores their increments,
+//! summed over instances when a window is read.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,27 +13,33 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One instance's counts at one time.
+/// Cumulative counters of one instance at one time; one line of the file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct InstanceSample {
+    /// Milliseconds since the Unix epoch.
     pub(crate) at_ms: u64,
+    /// Operators' address of the instance.
     pub(crate) instance: String,
     pub(crate) objectives: Vec<ObjectiveSample>,
 }
 
-/// An objective of an account.
+/// Names of an objective and of a client account.
 pub(crate) type Series = (String, String);
 
-/// Counts added up over instances, by the time they were counted in.
+/// Increments of the counters of all instances, with the time of their samples.
 #[derive(Debug, Default)]
 pub(crate) struct History {
+    /// Time of the first sample, in milliseconds since the Unix epoch; 0 if none.
     pub(crate) first_ms: u64,
+    /// Time of the last sample, likewise.
     pub(crate) last_ms: u64,
+    /// Number of instances with at least one sample.
     pub(crate) instances: usize,
     increments: BTreeMap<Series, Vec<(u64, WindowCount)>>,
 }
 
 impl History {
+    /// Reads a file of samples; an error names the line that can't be parsed.
     pub(crate) fn read(file: &Path) -> Result<Self, String> {
         let text = read_text(file).map_err(|error| error.to_string())?;
         let mut samples = Vec::new();
@@ -42,6 +51,7 @@
         Ok(Self::from_samples(samples))
     }
 
+    /// Computes the increments between the samples of each instance.
     pub(crate) fn from_samples(mut samples: Vec<InstanceSample>) -> Self {
         samples.sort_by_key(|sample| sample.at_ms);
         let mut history = Self {
@@ -61,8 +71,8 @@
                 };
                 let key = (sample.instance.clone(), series.clone());
                 let before = former.insert(key, count);
-                // What an instance had counted before it was first seen has
-                // no time.
+                // It is unknown when events before an instance's first sample
+                // occurred, so they are left out.
                 let increment = match before {
                     Some(before) => WindowCount::between(before, count),
                     None if is_first => continue,
@@ -79,13 +89,14 @@
         history
     }
 
-    /// Accounts for which an objective was counted.
+    /// Client accounts with events for an objective.
     pub(crate) fn accounts(&self, objective: &str) -> Vec<String> {
         let series = self.increments.keys().filter(|(name, _)| name == objective);
         series.map(|(_, account)| account.clone()).collect()
     }
 
-    /// Counts of an objective between two times, of one account or all.
+    /// Events of an objective after `from_ms` and up to `to_ms`, for one client account
+    /// or, with `None`, for all.
     pub(crate) fn between(
         &self,
         objective: &str,
--- a/crates/rookferry_burn/src/html.rs
+++ b/crates/rookferry_burn/src/html.rs
@@ -1,4 +1,4 @@
-//! The report as one page without anything from elsewhere.
+//! Renders the report as one HTML page that loads no external resources.
 
 use std::fmt::Write;
 
@@ -6,9 +6,12 @@
 use crate::report::Report;
 use crate::report::percent;
 
+/// Width of a plot, in pixels.
 const WIDTH: f64 = 720.0;
+/// Height of a plot, in pixels.
 const HEIGHT: f64 = 160.0;
-/// The least height of a plot's scale, so that a budget on course looks calm.
+/// Minimum upper end of a plot's scale, as a burn rate, so that small variations below
+/// a rate of 1 don't look like peaks.
 const MIN_SCALE: f64 = 2.0;
 
 const STYLE: &str = "body{font:15px/1.5 sans-serif;max-width:760px;margin:2em auto;color:#222}\
@@ -16,12 +19,12 @@
 td:first-child,th:first-child{text-align:left}svg{background:#fafafa;border:1px solid #ddd}\
 .line{fill:none;stroke:#1565c0;stroke-width:2}.limit{stroke:#c62828;stroke-dasharray:4 4}";
 
-/// The page.
+/// Returns the whole page.
 pub(crate) fn page(report: &Report) -> String {
     let mut html = format!(
         "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Service-level burn</title>\
          <style>{STYLE}</style></head><body><h1>Service-level burn</h1><p>{} instances over {} s. \
-         A burn rate of 1 uses the error budget up just by the end of the objective's period.</p>",
+         A burn rate of 1 uses up the error budget exactly at the end of the objective's period.</p>",
         report.instances,
         (report.to_ms - report.from_ms) / 1_000
     );
--- a/crates/rookferry_burn/src/main.rs
+++ b/crates/rookferry_burn/src/main.rs
@@ -1,9 +1,9 @@
-//! The report on service-level burn: how fast each objective's error budget
-//! is used up, by whom, over short and long windows.
+//! Burn-rate reports: how fast each service-level objective uses up its error budget,
+//! over short and long windows and by client account.
 //!
-//! `sample` reads the counts of all instances and appends them to a file;
-//! `report` makes text, JSON or one self-contained HTML page of it. Instances
-//! keep nothing, so that the file is all the history there is.
+//! `sample` reads the cumulative counters of the instances and appends them to a file.
+//! `report` renders the samples as text, JSON or a self-contained HTML page. Instances
+//! store no history, so the file is the only one.
 #![forbid(unsafe_code)]
 
 mod history;
@@ -24,7 +24,7 @@
 use crate::history::History;
 use crate::report::Report;
 
-/// Reports how service-level objectives burn their error budgets.
+/// Report how fast service-level objectives use up their error budgets.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
@@ -34,33 +34,33 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Reads the counts of all instances and appends them to a file.
+    /// Append the current counters of the instances to a file of samples.
     Sample {
-        /// Instances' addresses for operators.
+        /// Operators' address of an instance (IP:PORT); repeat it for each instance.
         #[arg(long, required = true)]
         entry: Vec<SocketAddr>,
-        /// The file, a JSON object a line.
+        /// File to append to, one JSON object per line; created if missing.
         #[arg(long)]
         samples: PathBuf,
-        /// How many times to sample.
+        /// Number of sampling rounds.
         #[arg(long, default_value_t = 1)]
         times: u64,
-        /// Seconds between samples.
+        /// Time between two rounds, in seconds.
         #[arg(long, default_value_t = 60)]
         every_s: u64,
     },
-    /// Makes a report of the samples.
+    /// Render a report from a file of samples.
     Report {
-        /// The site's configuration, for the objectives.
+        /// The site's configuration (JSON), which defines the objectives.
         #[arg(long)]
         config: PathBuf,
-        /// The file of samples.
+        /// File of samples, as written by `sample`.
         #[arg(long)]
         samples: PathBuf,
-        /// How it is written.
+        /// Output format.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
-        /// Windows in seconds, shortest first.
+        /// Windows to report, in seconds, ending at the last sample.
         #[arg(long, value_delimiter = ',', default_values_t = [300, 3_600, 21_600, 259_200])]
         windows_s: Vec<u64>,
     },
@@ -100,7 +100,7 @@
         } => {
             let text = read_text(&config).map_err(|error| error.to_string())?;
             let config = rookferry_core::SiteConfig::from_json(&text)
-                .map_err(|faults| faults.to_string())?;
+                .map_err(|errors| errors.to_string())?;
             let history = History::read(&samples)?;
             let report = Report::new(&config, &history, &windows_s);
             match format {
--- a/crates/rookferry_burn/src/report.rs
+++ b/crates/rookferry_burn/src/report.rs
@@ -1,4 +1,4 @@
-//! The figures of the report.
+//! Computes the report from the history and renders it as text and JSON.
 
 use std::fmt::Write;
 
@@ -9,42 +9,46 @@
 
 use crate::history::History;
 
-/// Points of a plot.
+/// Number of points in a plot.
 const POINTS: u64 = 60;
 
-/// A window and what was counted in it.
+/// Events and burn rate within one window that ends at the last sample.
 #[derive(Debug, Serialize)]
 pub(crate) struct WindowBurn {
     pub(crate) window_s: u64,
     pub(crate) good: u64,
     pub(crate) total: u64,
-    /// 1 uses the budget up just by the end of the objective's period.
+    /// A rate of 1 uses up the budget exactly at the end of the objective's period;
+    /// `None` without events.
     pub(crate) burn_rate: Option<f64>,
 }
 
-/// An account's part in a budget's use.
+/// A client account's share in the use of an error budget.
 #[derive(Debug, Serialize)]
 pub(crate) struct AccountBurn {
     pub(crate) account: String,
     pub(crate) bad: u64,
     pub(crate) total: u64,
+    /// Its bad events divided by those of all accounts.
     pub(crate) share_of_bad: f64,
 }
 
-/// One objective.
+/// Report on one objective.
 #[derive(Debug, Serialize)]
 pub(crate) struct ObjectiveBurn {
     pub(crate) name: String,
+    /// Required share of good events.
     pub(crate) target: f64,
     pub(crate) windows: Vec<WindowBurn>,
-    /// Share of the budget that is left over the whole history.
+    /// Remaining share of the budget over the whole history, negative if it is
+    /// exceeded; `None` without events.
     pub(crate) budget_left: Option<f64>,
     pub(crate) accounts: Vec<AccountBurn>,
-    /// Burn rates over time, for the plot.
+    /// Times in milliseconds since the Unix epoch and the burn rate up to each.
     pub(crate) plot: Vec<(u64, Option<f64>)>,
 }
 
-/// The whole report.
+/// Report on all objectives of a configuration.
 #[derive(Debug, Serialize)]
 pub(crate) struct Report {
     pub(crate) from_ms: u64,
@@ -54,6 +58,7 @@
 }
 
 impl Report {
+    /// Computes the report; `windows_s` are the window lengths in seconds.
     pub(crate) fn new(config: &SiteConfig, history: &History, windows_s: &[u64]) -> Self {
         let objectives = config.objectives.iter();
         Self {
@@ -109,6 +114,7 @@
     }
 }
 
+/// Formats a share as a percentage with one decimal.
 pub(crate) fn percent(share: f64) -> String {
     format!("{:.1} %", share * 100.0)
 }
@@ -138,7 +144,7 @@
     }
 }
 
-/// Accounts by what they took of the budget, the largest part first.
+/// Client accounts by number of bad events, largest first.
 fn accounts(objective: &str, history: &History, all: WindowCount) -> Vec<AccountBurn> {
     let accounts = history.accounts(objective).into_iter();
     let mut burns: Vec<AccountBurn> = accounts
@@ -156,6 +162,7 @@
     burns
 }
 
+/// Burn rates of `POINTS` consecutive intervals over the whole history.
 fn plot(objective: &Objective, history: &History) -> Vec<(u64, Option<f64>)> {
     let step_ms = ((history.last_ms - history.first_ms) / POINTS).max(1);
     let points = 1..=POINTS;
--- a/crates/rookferry_burn/src/sample.rs
+++ b/crates/rookferry_burn/src/sample.rs
@@ -1,4 +1,4 @@
-//! Reads instances' counts.
+//! Reads the instances' objective counters and appends them to the file of samples.
 
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -13,8 +13,11 @@
 
 use crate::history::InstanceSample;
 
+/// Timeout of a call to an instance.
 const WAIT: Duration = Duration::from_secs(3);
 
+/// Samples all `entries` once per round. Instances that can't be read are reported on
+/// standard error; a failed write to the file is returned as an error.
 pub(crate) async fn run(
     entries: &[SocketAddr],
     file: &Path,
@@ -32,9 +35,9 @@
                 .await
             {
                 Ok(objectives) => append(file, *entry, objectives)?,
-                // The others' counts still count; the report says how many
-                // instances it has seen.
-                Err(error) => eprintln!("rookferry-burn: {error}"),
+                // The other instances are sampled all the same; the report states how
+                // many instances it covers.
+                Err(error) => eprintln!("rookferry-burn: instance not sampled: {error}"),
             }
         }
     }
--- a/crates/rookferry_burn/tests/report.rs
+++ b/crates/rookferry_burn/tests/report.rs
@@ -1,4 +1,4 @@
-//! The report from samples, through the program itself.
+//! Runs `rookferry-burn report` on files of samples.
 
 use std::fs;
 use std::path::PathBuf;
@@ -46,7 +46,7 @@
         .arg("--samples")
         .arg(&files.samples)
         .output()
-        .expect("it runs");
+        .expect("the program runs");
     assert!(
         output.status.success(),
         "{}",
@@ -55,7 +55,8 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// Two instances; the last minute is worse than the ten before.
+/// Samples of two instances; the last minute has a larger share of bad events than the
+/// ten minutes.
 fn two_instances(name: &str) -> Files {
     files(
         name,
@@ -86,7 +87,8 @@
     assert_eq!(objective["accounts"][0]["share_of_bad"], 1.0);
 }
 
-/// What came before the first sample has no time; a restart loses nothing.
+/// A counter that decreased was reset by a restart: all events since then count. Events
+/// before an instance's first sample are left out.
 #[test]
 fn counters_that_start_anew_count_whole() {
     let files = files(
@@ -109,6 +111,6 @@
     assert!(page.starts_with("<!doctype html>") && page.ends_with("</html>\n"));
     assert!(
         page.contains("<polyline") && !page.contains("http"),
-        "nothing from elsewhere"
+        "the page loads no external resources"
     );
 }
