--- a/crates/rookferry_controller/src/main.rs
+++ b/crates/rookferry_controller/src/main.rs
@@ -12,7 +12,7 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// Sends fenced placement orders to the engines of a failure domain while holding its lease.
+/// Send fenced placement orders to a failure domain's engines while holding its lease.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
--- a/crates/rookferry_ctl/src/apply.rs
+++ b/crates/rookferry_ctl/src/apply.rs
@@ -1,4 +1,7 @@
-//! Writes a configuration by conditional update, and settles a lost answer.
+//! Writes a configuration to the platform by a conditional update.
+//!
+//! If the response to the write is lost, the configuration is read back to determine
+//! whether the write took effect.
 
 use rookferry_core::SiteConfig;
 use rookferry_core::changed_paths;
@@ -13,13 +16,15 @@
 
 use crate::error::CtlError;
 
-/// Applies a configuration; the message says which version it became.
+/// Validates the configuration `text` and writes it if the platform still has version
+/// `expected` (by default the current one, 0 if there is none). Returns a message with
+/// the new version.
 pub(crate) async fn apply(
     platform: &dyn Platform,
     text: &str,
     expected: Option<u64>,
 ) -> Result<String, CtlError> {
-    SiteConfig::from_json(text).map_err(|faults| CtlError::Faults { faults })?;
+    SiteConfig::from_json(text).map_err(|errors| CtlError::InvalidConfig { errors })?;
     let value: Value = serde_json::from_str(text).unwrap_or_default();
     let base = read(platform).await?;
     let base_version = base.as_ref().map_or(0, |object| object.version);
@@ -31,8 +36,8 @@
     match platform.put(CONFIG_KIND, CONFIG_NAME, request).await {
         Ok(PutResponse::Written { version }) => Ok(format!("accepted as version {version}")),
         Ok(PutResponse::Conflict { current }) => {
-            // Shown against what was there when the tool began, or, if that
-            // is what was in the way, against the file.
+            // Compares with the expected version if it was the current one when the
+            // command started, else with the file.
             let before = base.filter(|object| object.version == expected);
             let before = before.map_or_else(|| value.clone(), |object| object.value);
             Err(conflict(expected, &before, current))
@@ -42,13 +47,14 @@
     }
 }
 
-/// The answer is lost: what the platform holds now tells.
+/// Reads the configuration back after a lost response: the write took effect if the
+/// platform has `value` under a version above `expected`.
 async fn settle(platform: &dyn Platform, expected: u64, value: &Value) -> Result<String, CtlError> {
     let current = platform.get(CONFIG_KIND, CONFIG_NAME).await;
     let current = current.map_err(|source| CtlError::Unknown { source })?;
     match current {
         Some(object) if object.value == *value && object.version > expected => Ok(format!(
-            "accepted as version {} (its answer was lost; read back)",
+            "accepted as version {} (the response was lost; the version was read back)",
             object.version
         )),
         Some(object) if object.version > expected => Err(conflict(expected, value, Some(object))),
--- a/crates/rookferry_ctl/src/args.rs
+++ b/crates/rookferry_ctl/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 use clap::Subcommand;
 use rookferry_core::Selector;
 
-/// Operates a rookferry site.
+/// Manage and inspect a rookferry site.
 #[derive(Debug, Parser)]
 #[command(version)]
 pub(crate) struct Args {
@@ -17,72 +17,75 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Checks a configuration and prints every fault.
+    /// Validate a configuration and print all errors.
     Check {
-        /// The configuration, as JSON.
+        /// Path of the configuration (JSON).
         file: PathBuf,
     },
-    /// Writes a configuration to the platform, unless another came first.
+    /// Validate a configuration and write it to the platform.
+    ///
+    /// Exits with 4, and writes nothing, if the platform has another version than
+    /// expected; with 5 if the response was lost and the outcome is unknown.
     Apply {
-        /// The platform's object API.
+        /// Address of the platform's object API (IP:PORT).
         #[arg(long)]
         platform: SocketAddr,
-        /// The version that the file was made from; the current one if absent.
+        /// Version that the file is based on; the platform's current version if omitted.
         #[arg(long)]
         expected: Option<u64>,
-        /// The configuration, as JSON.
+        /// Path of the configuration (JSON).
         file: PathBuf,
     },
-    /// Prints the configuration that the platform holds.
+    /// Print the platform's current configuration, and its version on standard error.
     Get {
-        /// The platform's object API.
+        /// Address of the platform's object API (IP:PORT).
         #[arg(long)]
         platform: SocketAddr,
     },
-    /// Shows an instance, its engines, and the version in force on each node.
+    /// Show an instance, its peers with their configuration versions, and its engines.
     Status {
-        /// An instance's address for operators.
+        /// Operators' address of an instance (IP:PORT).
         #[arg(long)]
         entry: SocketAddr,
     },
-    /// Shows a whole site on one page, from its instances' metrics.
+    /// Summarise the metrics of all instances of a site.
     Site {
-        /// Only instances whose labels match, as `domain=a and rack in (1, 2)`.
+        /// Version that the file is based on; the current one if omitted.
         #[arg(long, default_value = "")]
         select: Selector,
-        /// How long to wait for each instance, in milliseconds.
+        /// Timeout for each instance's metrics, in milliseconds.
         #[arg(long, default_value_t = 2_000)]
         wait_ms: u64,
-        /// Prints everything as JSON.
+        /// Print the whole summary as JSON.
         #[arg(long)]
         json: bool,
-        /// The instances, one a line: the address for metrics, and labels as
-        /// KEY=VALUE.
+        /// File that lists the instances, one per line: the metrics address (IP:PORT),
+        /// then labels as KEY=VALUE.
         file: PathBuf,
     },
-    /// Tells why a request went where it did, or was refused.
+    /// Explain how a request was routed, or why it was refused.
     Explain {
-        /// An instance's address for operators.
+        /// Operators' address of any instance (IP:PORT).
         #[arg(long)]
         entry: SocketAddr,
-        /// The request's id, from its `Rookferry-Request-Id` header.
+        /// ID of the request, from the `Rookferry-Request-Id` header of its response.
         request_id: String,
     },
-    /// Puts a request's timeline together from logs of instances.
+    /// Print a request's timeline from the logs of the instances.
     Trace {
-        /// How long before the request lines about its surroundings count.
+        /// How long before the request context lines are included, in milliseconds.
         #[arg(long, default_value_t = 3_000)]
         window_ms: u64,
-        /// Of the lines about surroundings only those whose fields match, as
+        /// Include only context lines whose fields match, such as
         /// `event in (server_lost, server_closed)`.
         #[arg(long, default_value = "")]
         select: Selector,
-        /// The request's id.
+        /// ID of the request.
         request_id: String,
-        /// Log files, gzip or plain, and folders of them; `-` is standard input.
+        /// Log files (plain or gzip) and directories of them; `-` reads standard input.
         #[arg(default_value = "-")]
         files: Vec<PathBuf>,
     },
-    /// Reads an account's key from standard input and prints its digest.
+    /// Read a client account's key from standard input and print its SHA-256 digest.
     Digest,
 }
--- a/crates/rookferry_ctl/src/error.rs
+++ b/crates/rookferry_ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! What went wrong, and how the tool exits.
+//! Errors of the commands and their exit codes.
 
 use std::fs;
 use std::io;
@@ -15,8 +15,9 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
-/// Exit codes beside 1.
+/// Exit code of an update that was rejected because of another version.
 const EXIT_CONFLICT: u8 = 4;
+/// Exit code of an update with an unknown outcome.
 const EXIT_UNKNOWN: u8 = 5;
 
 #[derive(Debug, Snafu)]
@@ -24,23 +25,23 @@
 pub(crate) enum CtlError {
     #[snafu(display("{}: {source}", path.display()))]
     File { path: PathBuf, source: io::Error },
-    #[snafu(display("the configuration has faults, nothing was written\n{faults}"))]
-    Faults { faults: ConfigErrors },
-    #[snafu(display("conflict: the platform holds version {version}, not {expected}; nothing was written\n\
-        changed there: {}\nget it, merge, and apply again", changed.join(", ")))]
+    #[snafu(display("the configuration is invalid; nothing was written\n{errors}"))]
+    InvalidConfig { errors: ConfigErrors },
+    #[snafu(display("conflict: expected version {expected}, but the platform has {version}; nothing was written\n\
+        changed paths: {}\nrun `rookferryctl get`, merge the changes and apply again", changed.join(", ")))]
     Conflict {
         expected: u64,
         version: u64,
         changed: Vec<String>,
     },
     #[snafu(display(
-        "unknown: the answer was lost and the platform can't be read back; \
-        run `rookferryctl get` when it answers, and apply again only if needed ({source})"
+        "unknown: the response was lost and the configuration can't be read back ({source}); \
+        run `rookferryctl get` once the platform responds, and apply again if the change is missing"
     ))]
     Unknown { source: PlatformError },
     #[snafu(display("nothing was written: {source}"))]
     Platform { source: PlatformError },
-    #[snafu(display("the platform holds no configuration; apply one"))]
+    #[snafu(display("the platform has no configuration; write one with `rookferryctl apply`"))]
     NoConfig,
     #[snafu(display("{source}"))]
     Entry { source: ClientError },
@@ -50,13 +51,15 @@
         line: usize,
         cause: String,
     },
-    #[snafu(display("{} lists no instances; write one a line: IP:PORT KEY=VALUE ...", path.display()))]
+    #[snafu(display("{} lists no instances; add one per line: IP:PORT KEY=VALUE ...", path.display()))]
     NoInstances { path: PathBuf },
-    #[snafu(display("no instance matches the selector; give another, or none"))]
+    #[snafu(display("no instance matches the selector; change --select or omit it"))]
     NoMatch,
-    #[snafu(display("none of {asked} instances answered; are these their addresses for metrics?"))]
+    #[snafu(display(
+        "none of {asked} instances answered; check that the file lists their metrics addresses"
+    ))]
     NobodyAnswers { asked: usize },
-    #[snafu(display("the answer doesn't write as JSON: {source}"))]
+    #[snafu(display("the result can't be written as JSON: {source}"))]
     Json { source: serde_json::Error },
     #[snafu(display("{explanation}"))]
     NoRecord { explanation: String },
@@ -76,6 +79,7 @@
     fs::read_to_string(path).context(FileSnafu { path })
 }
 
+/// SHA-256 of standard input without surrounding white space, in hexadecimal.
 pub(crate) fn digest_of_stdin() -> Result<String, CtlError> {
     let mut key = String::new();
     io::stdin().read_to_string(&mut key).context(FileSnafu {
--- a/crates/rookferry_ctl/src/explain.rs
+++ b/crates/rookferry_ctl/src/explain.rs
@@ -1,4 +1,4 @@
-//! Tells a decision in the terms that operators configure.
+//! Prints a routing decision in terms of the configuration: routes, pools and labels.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,8 +12,11 @@
 
 use crate::error::CtlError;
 
+/// Timeout of the call to the instance.
 const WAIT: Duration = Duration::from_secs(5);
 
+/// Reads the decision record of a request from an instance and prints it. If there is
+/// none, the error has the instance's explanation.
 pub(crate) async fn show(
     client: &HttpClient,
     entry: SocketAddr,
@@ -26,7 +29,7 @@
             let body: Value = serde_json::from_str(&body).unwrap_or_default();
             let explanation = body["explanation"]
                 .as_str()
-                .unwrap_or("no record")
+                .unwrap_or("no decision record of this request")
                 .to_owned();
             return Err(CtlError::NoRecord { explanation });
         }
@@ -77,7 +80,7 @@
             reason,
             detail,
         }) => println!("no answer: {outcome:?}, {reason:?}: {detail}"),
-        Some(DecisionResult::CallerGone) => println!("the caller went away"),
-        None => println!("still under way"),
+        Some(DecisionResult::CallerGone) => println!("the caller disconnected"),
+        None => println!("in progress"),
     }
 }
--- a/crates/rookferry_ctl/src/main.rs
+++ b/crates/rookferry_ctl/src/main.rs
@@ -1,5 +1,5 @@
-//! The operators' tool: applies configurations, shows what is in force, and
-//! asks why requests went where they did.
+//! Command-line tool for operators: applies configurations, shows the state of
+//! instances and sites, and explains how requests were routed.
 #![forbid(unsafe_code)]
 
 mod apply;
@@ -45,8 +45,8 @@
     match args.command {
         Command::Check { file } => {
             let text = error::read_file(&file)?;
-            SiteConfig::from_json(&text).map_err(|faults| CtlError::Faults { faults })?;
-            println!("{}: no faults", file.display());
+            SiteConfig::from_json(&text).map_err(|errors| CtlError::InvalidConfig { errors })?;
+            println!("{}: no errors", file.display());
             Ok(())
         }
         Command::Apply {
--- a/crates/rookferry_ctl/src/output.rs
+++ b/crates/rookferry_ctl/src/output.rs
@@ -1,4 +1,4 @@
-//! What the tool prints.
+//! Output on standard output.
 
 use std::fmt::Display;
 use std::io;
@@ -9,8 +9,8 @@
 use crate::error::CtlError;
 use crate::error::FileSnafu;
 
-/// Prints lines on standard output. A pager or `head` that has seen enough and
-/// closes it is no failure.
+/// Prints lines on standard output. A reader that closes the pipe early, such as a
+/// pager or `head`, is not an error.
 pub(crate) fn print(lines: impl IntoIterator<Item = impl Display>) -> Result<(), CtlError> {
     match write(lines) {
         Err(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(()),
--- a/crates/rookferry_ctl/src/site/ask.rs
+++ b/crates/rookferry_ctl/src/site/ask.rs
@@ -1,4 +1,4 @@
-//! Asks the instances of a site.
+//! Fetches the metrics of a site's instances and prints the summary.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use crate::error::CtlError;
 use crate::output;
 
-/// Instances that are asked at once: a site of hundreds takes a few rounds, and
-/// an operator's machine few descriptors.
+/// Maximum number of concurrent calls: a site of hundreds takes a few rounds, and the
+/// operator's machine needs few file descriptors.
 const ASKED_AT_ONCE: usize = 32;
-/// Where instances tell their metrics.
+/// Path of an instance's metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// A question to all instances of a site.
+/// A query of all instances of a site.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SiteQuestion {
     wait: Duration,
@@ -28,7 +28,7 @@
 }
 
 impl SiteQuestion {
-    /// Waits for each instance's answer for some time.
+    /// `wait` is the timeout for each instance.
     pub(crate) const fn new(wait: Duration) -> Self {
         Self {
             wait,
@@ -36,15 +36,15 @@
         }
     }
 
-    /// Prints all as JSON in place of a page.
+    /// Prints JSON instead of text.
     #[must_use]
     pub(crate) const fn with_json(mut self, is_json: bool) -> Self {
         self.is_json = is_json;
         self
     }
 
-    /// Asks, and prints what the instances tell together. An error if none
-    /// answers.
+    /// Fetches the metrics and prints the summary. Returns an error, after printing, if
+    /// no instance answered.
     pub(crate) async fn ask(self, client: &HttpClient, roster: Roster) -> Result<(), CtlError> {
         let overview = self.overview(client, roster).await;
         if self.is_json {
@@ -62,7 +62,7 @@
     }
 
     async fn overview(self, client: &HttpClient, roster: Roster) -> SiteOverview {
-        // Shows nothing where standard error is no terminal.
+        // Hidden if standard error is not a terminal.
         let progress = ProgressBar::new(roster.instances.len() as u64);
         let asked = roster.instances.into_iter().map(async |listed| {
             let answer = self.figures(client, listed.addr).await;
--- a/crates/rookferry_ctl/src/site/figures.rs
+++ b/crates/rookferry_ctl/src/site/figures.rs
@@ -1,4 +1,4 @@
-//! What one instance's metrics tell.
+//! Parses the metrics of one instance.
 
 use std::collections::BTreeMap;
 
@@ -6,41 +6,42 @@
 use prometheus_parse::Scrape;
 use prometheus_parse::Value;
 
-/// What one instance's metrics tell.
+/// The metrics of one instance that the summary uses.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct InstanceFigures {
-    /// Its software's version.
+    /// Software version.
     pub(crate) software: String,
-    /// The configuration's version that it has in force; 0 if none.
+    /// Version of its active configuration; 0 if none.
     pub(crate) config_version: u64,
-    /// How long ago that was known to be the newest.
+    /// Seconds since that version was last confirmed to be the newest.
     pub(crate) config_age_s: Option<f64>,
-    /// Requests under way.
+    /// Requests in progress.
     pub(crate) requests: u64,
-    /// Instances that it knows, itself included.
+    /// Instances that it knows, including itself.
     pub(crate) instances: u64,
     /// Servers that don't answer it.
     pub(crate) servers_out: u64,
-    /// Whether it orders engines.
+    /// Whether it holds the lease to order engines.
     pub(crate) is_holder: bool,
-    /// Refusals since its start, by cause.
+    /// Refused requests since its start, by cause.
     pub(crate) refusals: BTreeMap<String, u64>,
-    /// Repeats since its start, by outcome.
+    /// Retries since its start, by outcome.
     pub(crate) retries: BTreeMap<String, u64>,
-    /// Answers since its start.
+    /// Answered requests since its start.
     pub(crate) served: u64,
 }
 
 impl InstanceFigures {
-    /// Reads metrics in Prometheus's text format; says what is missing if they
-    /// are no instance's.
+    /// Parses metrics in the Prometheus text format. An error if `text` can't be parsed
+    /// or isn't from an entry instance.
     pub(crate) fn read(text: &str) -> Result<Self, String> {
         let lines = text.lines().map(|line| Ok(line.to_owned()));
         let scrape = Scrape::parse(lines).map_err(|error| error.to_string())?;
         let samples = Samples(scrape.samples);
         let build = samples.of("rookferry_build_info").next();
         let software = build.and_then(|sample| sample.labels.get("version"));
-        let software = software.ok_or("no rookferry_build_info; is it an instance's address?")?;
+        let software = software
+            .ok_or("no rookferry_build_info; check that it is an instance's metrics address")?;
         Ok(Self {
             software: software.to_owned(),
             config_version: samples.count("rookferry_config_version"),
@@ -56,6 +57,7 @@
     }
 }
 
+/// All samples of one scrape.
 struct Samples(Vec<Sample>);
 
 impl Samples {
@@ -92,7 +94,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "counts are whole and not below 0, and a cast saturates"
+    reason = "counts are non-negative integers, and the cast saturates"
 )]
 const fn count(sample: &Sample) -> u64 {
     number(sample) as u64
--- a/crates/rookferry_ctl/src/site/mod.rs
+++ b/crates/rookferry_ctl/src/site/mod.rs
@@ -1,8 +1,8 @@
-//! A whole site on one page, from its instances' metrics.
+//! Summarises a site from the metrics of its instances.
 //!
-//! Each instance tells only what it knows itself. What is worth a look on a
-//! site of hundreds is where they differ, so the page counts them by each
-//! figure and names those that aren't like most.
+//! Each instance reports only its own state. On a site of hundreds, differences between
+//! instances are what matters, so the summary counts the instances by value of each
+//! metric and lists the addresses of those that differ from the majority.
 
 mod ask;
 mod figures;
--- a/crates/rookferry_ctl/src/site/overview.rs
+++ b/crates/rookferry_ctl/src/site/overview.rs
@@ -1,4 +1,4 @@
-//! What the instances of a site tell together.
+//! The summary of a site: text by `Display`, JSON by serialisation.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,35 +8,40 @@
 
 use super::figures::InstanceFigures;
 
-/// Addresses that a line of the page names; `--json` has all.
+/// Maximum number of addresses on a line of text; `--json` has all.
 const MOST_NAMED: usize = 8;
 
-/// What the instances of a site tell together.
+/// Metrics of a site, summed or grouped over its instances.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct SiteOverview {
-    /// Instances that were asked.
+    /// Number of queried instances.
     pub(crate) asked: usize,
-    /// Those that answered, by their software's version.
+    /// Instances that answered, by software version.
     pub(crate) by_software: BTreeMap<String, Vec<SocketAddr>>,
-    /// The same by their configuration's version.
+    /// The same by version of the active configuration.
     pub(crate) by_config: BTreeMap<u64, Vec<SocketAddr>>,
-    /// The same by how many instances they know.
+    /// The same by number of instances they know.
     pub(crate) by_known: BTreeMap<u64, Vec<SocketAddr>>,
-    /// The same by how many servers don't answer them.
+    /// The same by number of servers that don't answer them.
     pub(crate) by_servers_out: BTreeMap<u64, Vec<SocketAddr>>,
-    /// Those that order engines.
+    /// Lease holders, which order engines.
     pub(crate) holders: Vec<SocketAddr>,
-    /// The oldest word on the newest configuration, and whose it is.
+    /// The instance whose configuration was confirmed the longest ago, `None` if none
+    /// reports an age.
     pub(crate) oldest_config: Option<OldestConfig>,
+    /// Requests in progress.
     pub(crate) requests_under_way: u64,
+    /// Requests answered since the instances started.
     pub(crate) served: u64,
+    /// Requests refused since then, by cause.
     pub(crate) refusals: BTreeMap<String, u64>,
+    /// Retries since then, by outcome.
     pub(crate) retries: BTreeMap<String, u64>,
-    /// Those that didn't answer, and why.
+    /// Instances without an answer, and the cause.
     pub(crate) silent: BTreeMap<SocketAddr, String>,
 }
 
-/// The instance whose configuration was confirmed the longest ago.
+/// An instance, and seconds since its configuration was confirmed to be the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(crate) struct OldestConfig {
     pub(crate) addr: SocketAddr,
@@ -44,7 +49,7 @@
 }
 
 impl SiteOverview {
-    /// Takes an instance's answer in.
+    /// Adds an instance's metrics, or the cause why there are none.
     pub(crate) fn take(&mut self, addr: SocketAddr, answer: Result<InstanceFigures, String>) {
         self.asked += 1;
         match answer {
@@ -124,7 +129,8 @@
     writeln!(f, "{title:<16} {text}")
 }
 
-/// One line a value: how many have it, and which if they are not the most.
+/// Writes one line per value: the number of instances with it, and their addresses
+/// unless no other value has more instances.
 fn write_groups<K: fmt::Display>(
     f: &mut fmt::Formatter<'_>,
     title: &str,
@@ -156,7 +162,7 @@
     write_line(f, title, &sums.join(", "))
 }
 
-/// The first few addresses, and how many more there are.
+/// Lists the first addresses, and the number of those left out.
 fn named(addrs: &[SocketAddr]) -> String {
     let first = addrs.iter().take(MOST_NAMED);
     let mut names: Vec<String> = first.map(ToString::to_string).collect();
--- a/crates/rookferry_ctl/src/site/roster.rs
+++ b/crates/rookferry_ctl/src/site/roster.rs
@@ -1,4 +1,4 @@
-//! The instances to ask.
+//! The list of instances to query, read from a file.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,24 +10,24 @@
 use crate::error::CtlError;
 use crate::error::read_file;
 
-/// An instance, and its labels as the operator lists them.
+/// An instance of the list, with the labels that the operator gave it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Listed {
-    /// Its address for metrics.
+    /// Metrics address.
     pub(crate) addr: SocketAddr,
     pub(crate) labels: Labels,
 }
 
-/// The instances to ask.
+/// The instances to query.
 #[derive(Clone, Debug)]
 pub(crate) struct Roster {
     pub(crate) instances: Vec<Listed>,
 }
 
 impl Roster {
-    /// Reads a list of instances, one a line: the address for metrics, then
-    /// labels as `KEY=VALUE`. Empty lines and those that begin with `#` are
-    /// passed over.
+    /// Reads a file with one instance per line: the metrics address, then labels as
+    /// `KEY=VALUE`. Empty lines and lines that begin with `#` are skipped. Returns an
+    /// error for an invalid line and for a list without instances.
     pub(crate) fn read(path: &Path) -> Result<Self, CtlError> {
         let text = read_file(path)?;
         let lines = text.lines().enumerate();
@@ -49,7 +49,7 @@
         Ok(Self { instances })
     }
 
-    /// Those whose labels match.
+    /// Retains the instances whose labels match.
     #[must_use]
     pub(crate) fn matching(mut self, selector: &Selector) -> Self {
         self.instances
--- a/crates/rookferry_ctl/src/status.rs
+++ b/crates/rookferry_ctl/src/status.rs
@@ -1,4 +1,4 @@
-//! Shows an instance's status.
+//! Prints an instance's status: the instance, its peers and its engines.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,6 +8,7 @@
 
 use crate::error::CtlError;
 
+/// Timeout of the call to the instance.
 const WAIT: Duration = Duration::from_secs(3);
 
 pub(crate) async fn show(client: &HttpClient, entry: SocketAddr) -> Result<(), CtlError> {
--- a/crates/rookferry_ctl/src/trace/line.rs
+++ b/crates/rookferry_ctl/src/trace/line.rs
@@ -1,4 +1,4 @@
-//! One line of a log.
+//! A parsed log line.
 
 use std::collections::BTreeSet;
 
@@ -7,10 +7,9 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// Fields that stand at the start of a line of the timeline, or say nothing
-/// beyond it.
+/// Fields that are printed at the start of a timeline line, or that add nothing to it.
 const HEAD_FIELDS: [&str; 7] = ["ts", "instance", "event", "msg", "level", "request", "part"];
-/// Events that change what an instance believes of its surroundings.
+/// Events that change an instance's state or its view of its dependencies and peers.
 const SURROUNDINGS: [&str; 13] = [
     "config_adopted",
     "config_older",
@@ -26,17 +25,17 @@
     "store_forgot",
     "store_watch_overdue",
 ];
-/// Fields that name servers.
+/// Fields with server addresses.
 const SERVER_FIELDS: [&str; 4] = ["server", "addr", "path", "lost"];
 
-/// A line of a log.
+/// A log line: a JSON object.
 pub(super) struct Line {
     fields: Map<String, Value>,
 }
 
 impl Line {
-    /// Reads a line; whatever collects logs may have put something before the
-    /// object. `None` if there is none.
+    /// Parses a line. A log collector may have put a prefix before the object. `None`
+    /// if the line has no JSON object.
     pub(super) fn read(text: &str) -> Option<Self> {
         let object = &text[text.find('{')?..];
         let Ok(Value::Object(fields)) = serde_json::from_str(object) else {
@@ -53,7 +52,7 @@
         self.fields.get(name)?.as_u64()
     }
 
-    /// Milliseconds since midnight; enough to order the lines of one day.
+    /// Time in milliseconds since midnight, which orders the lines of one day.
     pub(super) fn time_ms(&self) -> Option<u64> {
         let (_, time) = self.text("ts")?.split_once('T')?;
         let mut parts = time.trim_end_matches('Z').split(':');
@@ -65,7 +64,7 @@
         Some(((hours * 60 + minutes) * 60 + seconds) * 1_000 + millis)
     }
 
-    /// The servers that the line names; of a path, each of its stages.
+    /// Addresses of the servers that the line names, including each stage of a path.
     pub(super) fn servers(&self) -> impl Iterator<Item = &str> {
         let values = SERVER_FIELDS.iter().filter_map(|name| self.text(name));
         values
@@ -73,8 +72,8 @@
             .map(|stage| stage.split('=').next().unwrap_or(stage))
     }
 
-    /// Whether the line tells of servers, or of an instance's surroundings, and
-    /// of no request.
+    /// Whether the line belongs to no request, and names one of `servers` or has an event
+    /// of `SURROUNDINGS`.
     pub(super) fn explains(&self, servers: &BTreeSet<String>) -> bool {
         let is_about_servers = self.servers().any(|server| servers.contains(server));
         let is_about_surroundings = self
@@ -83,14 +82,14 @@
         self.text("request").is_none() && (is_about_servers || is_about_surroundings)
     }
 
-    /// Whether a selector matches the line's fields that are texts.
+    /// Whether a selector matches the line's string fields.
     pub(super) fn matches(&self, selector: &Selector) -> bool {
         let texts = self.fields.iter();
         let texts = texts.filter_map(|(name, value)| Some((name.clone(), value.as_str()?.into())));
         selector.matches(&texts.collect::<Labels>())
     }
 
-    /// The line as the timeline shows it; `*` marks the request's own.
+    /// Formats the line for the timeline; `*` marks the request's own lines.
     pub(super) fn describe(&self) -> String {
         let rest = self.fields.iter();
         let rest: Vec<String> = rest
--- a/crates/rookferry_ctl/src/trace/logs.rs
+++ b/crates/rookferry_ctl/src/trace/logs.rs
@@ -1,4 +1,4 @@
-//! Log files, plain or compressed, read line by line.
+//! Reads plain and gzip log files line by line.
 
 use std::fs;
 use std::fs::File;
@@ -15,26 +15,26 @@
 use crate::error::CtlError;
 use crate::error::FileSnafu;
 
-/// How a compressed file begins.
+/// First bytes of a gzip file.
 const GZIP_MAGIC: [u8; 2] = [0x1f, 0x8b];
-/// What is read of a file at once, in bytes.
+/// Size of a read buffer, in bytes.
 const BUFFER_BYTES: usize = 1 << 18;
 
-/// Where lines come from.
+/// A source of log lines.
 enum Source {
     File(PathBuf),
-    /// Standard input, which can't be read twice.
+    /// Contents of standard input, stored because it can't be read twice.
     Input(Vec<u8>),
 }
 
-/// The logs of some instances.
+/// Logs that can be read repeatedly.
 pub(super) struct Logs {
     sources: Vec<Source>,
 }
 
 impl Logs {
-    /// Files, folders of files, and `-` for standard input, which is kept in
-    /// memory.
+    /// Opens files, directories of files (not recursively) and, for `-`, standard input,
+    /// which is held in memory.
     pub(super) fn open(paths: &[PathBuf]) -> Result<Self, CtlError> {
         let mut sources = Vec::new();
         for path in paths {
@@ -49,7 +49,7 @@
         Ok(Self { sources })
     }
 
-    /// Hands each line to `take`.
+    /// Calls `take` for each line of each source.
     pub(super) fn each_line(&self, mut take: impl FnMut(&[u8])) -> Result<(), CtlError> {
         for source in &self.sources {
             match source {
@@ -71,7 +71,7 @@
     Ok(bytes)
 }
 
-/// The files of a folder, in order.
+/// The files of a directory, sorted by name.
 fn files_in(folder: &Path) -> Result<Vec<PathBuf>, CtlError> {
     let mut files = Vec::new();
     for entry in fs::read_dir(folder).context(FileSnafu { path: folder })? {
--- a/crates/rookferry_ctl/src/trace/mod.rs
+++ b/crates/rookferry_ctl/src/trace/mod.rs
@@ -1,12 +1,12 @@
-//! A request's way from the log lines of instances, without asking them.
+//! A request's timeline from log files, without calls to the instances.
 //!
-//! Lines that name the request come first to mind, but the cause is often in
-//! one that doesn't: a server that was lost, a store that went away. So the
-//! timeline also has the instances' lines about the servers on the request's
-//! way, and about their own dependencies, from a while before it to its end.
+//! The cause of a failure is often in a line that doesn't name the request: a lost
+//! server, an unavailable store. So the timeline also has context lines: those of the
+//! same instances about the request's servers and about their own dependencies, from
+//! some time before the request until its end.
 //!
-//! The logs of hundreds of instances don't fit in memory. They are read twice:
-//! for the request's lines, and then for those that explain them.
+//! The logs of hundreds of instances don't fit in memory, so they are read twice: for
+//! the request's lines, then for the context lines.
 
 mod line;
 mod logs;
--- a/crates/rookferry_ctl/src/trace/timeline.rs
+++ b/crates/rookferry_ctl/src/trace/timeline.rs
@@ -1,4 +1,4 @@
-//! Puts a request's timeline together.
+//! Selects and orders the log lines of a request's timeline.
 
 use std::borrow::Cow;
 use std::collections::BTreeSet;
@@ -13,18 +13,18 @@
 use crate::error::CtlError;
 use crate::output;
 
-/// Lines that explain a request which are kept, the last ones of the window. A
-/// page has room for far fewer.
+/// Maximum number of context lines, which bounds memory; the latest of the window are
+/// shown. Readers need far fewer.
 const MOST_EXPLAINING: usize = 20_000;
 
-/// What of the logs a timeline is made of.
+/// Selection of the log lines of one request.
 pub(crate) struct Timeline<'a> {
     request_id: &'a str,
     window_ms: u64,
     selector: &'a Selector,
 }
 
-/// What the request's own lines say of where to look.
+/// Where the request's lines indicate that its context is.
 struct Scene {
     servers: BTreeSet<String>,
     instances: BTreeSet<String>,
@@ -33,8 +33,8 @@
 }
 
 impl<'a> Timeline<'a> {
-    /// Of a request, with what explains it from some milliseconds before on;
-    /// of that only lines whose fields `selector` matches.
+    /// Includes context lines from `window_ms` before the request on, if `selector`
+    /// matches their fields.
     pub(crate) const fn new(request_id: &'a str, window_ms: u64, selector: &'a Selector) -> Self {
         Self {
             request_id,
@@ -43,13 +43,13 @@
         }
     }
 
-    /// Prints it out of log files and folders; `-` is standard input.
+    /// Prints the timeline from log files and directories; `-` is standard input.
     pub(crate) fn show(&self, paths: &[PathBuf]) -> Result<(), CtlError> {
         let logs = Logs::open(paths)?;
         let mut lines = self.own_lines(&logs)?;
         let Some(scene) = self.scene(&lines) else {
             let explanation = format!(
-                "no line names {}; give the logs of every instance that ran then",
+                "no line names {}; include the logs of all instances that ran at the time",
                 self.request_id
             );
             return Err(CtlError::NoRecord { explanation });
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Lines of the request's instances that tell of its surroundings.
+    /// Context lines from the request's instances, at most `MOST_EXPLAINING`.
     fn explaining_lines(&self, logs: &Logs, scene: &Scene) -> Result<Vec<Line>, CtlError> {
         let names: Vec<Finder<'_>> = scene.instances.iter().map(Finder::new).collect();
         let mut lines = Vec::new();
@@ -103,8 +103,8 @@
         if lines.len() > MOST_EXPLAINING {
             keep_last(&mut lines);
             eprintln!(
-                "rookferryctl: only the last {MOST_EXPLAINING} lines that explain it are shown; \
-                 give a shorter --window-ms, or --select"
+                "rookferryctl: only the last {MOST_EXPLAINING} context lines are shown; \
+                 give a shorter --window-ms or a --select"
             );
         }
         Ok(lines)
@@ -121,13 +121,13 @@
     }
 }
 
-/// Drops all but the last lines.
+/// Removes all but the latest lines.
 fn keep_last(lines: &mut Vec<Line>) {
     lines.sort_by_key(Line::time_ms);
     lines.drain(..lines.len().saturating_sub(MOST_EXPLAINING));
 }
 
-/// A line as text; bytes that are none are replaced.
+/// Decodes UTF-8; invalid bytes are replaced.
 fn text(bytes: &[u8]) -> Cow<'_, str> {
     String::from_utf8_lossy(bytes)
 }
--- a/crates/rookferry_ctl/tests/apply.rs
+++ b/crates/rookferry_ctl/tests/apply.rs
@@ -1,4 +1,5 @@
-//! The operators' tool against a platform that races, loses answers and fails.
+//! `rookferryctl apply` with conflicting writes, lost responses and an unavailable
+//! platform.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -36,9 +37,11 @@
         Command::new(env!("CARGO_BIN_EXE_rookferryctl"))
             .args(arguments)
             .output()
-            .expect("it runs")
+            .expect("the program runs")
     };
-    tokio::task::spawn_blocking(run).await.expect("it ends")
+    tokio::task::spawn_blocking(run)
+        .await
+        .expect("the program exits")
 }
 
 async fn apply(platform: SocketAddr, file: &Path, expected: Option<u64>) -> Output {
@@ -63,7 +66,7 @@
 async fn fault(platform: SocketAddr, fault: Value) {
     let client = HttpClient::new();
     let ordered: Result<(), _> = client.post(platform, "/admin/fault", &fault, CALL).await;
-    ordered.expect("it is ordered");
+    ordered.expect("the fault is set");
 }
 
 fn told(output: &Output) -> String {
--- a/crates/rookferry_ctl/tests/site.rs
+++ b/crates/rookferry_ctl/tests/site.rs
@@ -1,4 +1,4 @@
-//! A whole site on one page, against instances that answer and some that don't.
+//! `rookferryctl site` with instances that answer and instances that don't.
 
 use std::fs;
 use std::io::Read;
@@ -13,7 +13,7 @@
 use rstest::rstest;
 use serde_json::Value;
 
-/// An instance's metrics address; ends with the test.
+/// Serves `metrics` as an instance would until the test ends; returns the address.
 fn instance(metrics: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let addr = listener.local_addr().expect("an address");
@@ -27,7 +27,9 @@
                 "HTTP/1.1 200 OK\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{metrics}",
                 metrics.len()
             );
-            stream.write_all(answer.as_bytes()).expect("it reads");
+            stream
+                .write_all(answer.as_bytes())
+                .expect("the client reads the response");
         }
     });
     addr
@@ -64,13 +66,13 @@
         .args(options)
         .arg(&file)
         .output()
-        .expect("it runs");
-    fs::remove_file(&file).expect("the file is there");
+        .expect("the program runs");
+    fs::remove_file(&file).expect("the file exists");
     output
 }
 
-/// Three instances, of which one has another configuration, and an address
-/// where nobody listens.
+/// Three instances, one of them with another configuration, and an address without a
+/// listener.
 fn three() -> (String, [SocketAddr; 4]) {
     let nobody = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let gone = nobody.local_addr().expect("an address");
@@ -93,7 +95,7 @@
     let (text, addrs) = three();
     let output = site("page", &text, &[]);
     assert!(output.status.success(), "{output:?}");
-    assert_eq!(output.stderr, b"", "no progress where there is no terminal");
+    assert_eq!(output.stderr, b"", "no progress bar without a terminal");
     let page = String::from_utf8(output.stdout).expect("text");
     for line in [
         "instances        3 of 4 answered".to_owned(),
@@ -107,7 +109,7 @@
         assert!(page.lines().any(|told| told == line), "{line}\n{page}");
     }
     let silent = page.lines().find(|line| line.starts_with("no answer"));
-    let silent = silent.expect("a line for the one that is gone");
+    let silent = silent.expect("a line for the instance without an answer");
     assert!(silent.contains(&addrs[3].to_string()), "{page}");
 }
 
--- a/crates/rookferry_ctl/tests/trace.rs
+++ b/crates/rookferry_ctl/tests/trace.rs
@@ -1,4 +1,4 @@
-//! A request's timeline out of log lines.
+//! `rookferryctl trace`: a request's timeline from log files.
 
 use std::fs;
 use std::io::Write;
@@ -37,8 +37,8 @@
         .arg(id)
         .arg(&file)
         .output()
-        .expect("it runs");
-    fs::remove_file(&file).expect("the file is there");
+        .expect("the program runs");
+    fs::remove_file(&file).expect("the file exists");
     output
 }
 
@@ -72,10 +72,10 @@
     assert!(text.contains("no line names nobody"), "{text}");
 }
 
-/// A folder of logs, one of them compressed; `LOG`'s instances apart.
+/// A directory with a log file per instance of `LOG`, one of them compressed.
 fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("rookferry-logs-{}-{name}", std::process::id()));
-    fs::create_dir_all(&folder).expect("a folder");
+    fs::create_dir_all(&folder).expect("a directory");
     let of = |instance: &str| -> String {
         let mark = format!("\"instance\":\"{instance}\"");
         let lines = LOG.lines().filter(|line| line.contains(&mark));
@@ -86,8 +86,8 @@
     let mut compressed = GzEncoder::new(file, Compression::fast());
     compressed
         .write_all(of("n1").as_bytes())
-        .expect("it writes");
-    compressed.finish().expect("it ends");
+        .expect("a compressed file");
+    compressed.finish().expect("a compressed file");
     folder
 }
 
@@ -98,14 +98,14 @@
         .arg("abc")
         .arg(folder)
         .output()
-        .expect("it runs")
+        .expect("the program runs")
 }
 
 #[test]
 fn a_folder_of_logs_is_read_compressed_ones_too() {
     let folder = folder("all");
     let output = trace_in(&folder, &[]);
-    fs::remove_dir_all(&folder).expect("the folder is there");
+    fs::remove_dir_all(&folder).expect("the directory exists");
     let text = String::from_utf8(output.stdout).expect("text");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 3, "{text}");
@@ -118,7 +118,7 @@
     let folder = folder("some");
     let output = trace_in(&folder, &["--select", "event=server_lost"]);
     let wrong = trace_in(&folder, &["--select", "event in ("]);
-    fs::remove_dir_all(&folder).expect("the folder is there");
+    fs::remove_dir_all(&folder).expect("the directory exists");
     let text = String::from_utf8(output.stdout).expect("text");
     assert_eq!(text.lines().count(), 2, "{text}");
     assert!(!text.contains("dependency_lost"), "{text}");
@@ -138,9 +138,13 @@
     let lines: Vec<String> = (0..50_000).map(line).collect();
     fs::write(folder.join("n1.more.log"), lines.join("\n")).expect("a file");
     let output = trace_in(&folder, &[]);
-    fs::remove_dir_all(&folder).expect("the folder is there");
+    fs::remove_dir_all(&folder).expect("the directory exists");
     let text = String::from_utf8(output.stdout).expect("text");
-    assert_eq!(text.lines().count(), 20_001, "the request's and the last");
+    assert_eq!(
+        text.lines().count(),
+        20_001,
+        "the request's line and the latest context lines"
+    );
     assert!(text.contains("stream_cut") && text.contains("peer=p49999"));
     assert!(!text.contains("peer=p0,") && !text.contains("dependency_lost"));
     let said = String::from_utf8(output.stderr).expect("text");
@@ -157,10 +161,10 @@
         .arg(&folder)
         .stdout(Stdio::piped())
         .spawn()
-        .expect("it runs");
+        .expect("the program runs");
     drop(child.stdout.take());
-    let status = child.wait().expect("it ends");
-    fs::remove_dir_all(&folder).expect("the folder is there");
+    let status = child.wait().expect("the program exits");
+    fs::remove_dir_all(&folder).expect("the directory exists");
     assert!(status.success(), "{status}");
 }
 
@@ -169,7 +173,7 @@
     let folder = folder("gone");
     let missing = folder.join("none.log");
     let output = trace_in(&missing, &[]);
-    fs::remove_dir_all(&folder).expect("the folder is there");
+    fs::remove_dir_all(&folder).expect("the directory exists");
     assert!(!output.status.success());
     let said = String::from_utf8(output.stderr).expect("text");
     assert!(said.contains("none.log"), "{said}");
