--- a/crates/rookferry_controller/src/controller.rs
+++ b/crates/rookferry_controller/src/controller.rs
@@ -42,13 +42,13 @@
 use crate::ControllerSettings;
 
 /// Timeout of a call to the entry instance.
-const ENTRY_WAIT: Duration = Duration::from_secs(2);
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Lease polls per lease duration, before jitter, which shortens the interval.
-const LOOKS_PER_LEASE: u32 = 6;
+const POLLS_PER_LEASE: u32 = 6;
 
 /// Response of an entry instance to `/v1/config`.
 #[derive(Deserialize)]
-struct InForce {
+struct ActiveConfig {
     value: serde_json::Value,
 }
 
@@ -61,7 +61,7 @@
     engines: Arc<dyn EngineTransport>,
     lease: Lease,
     planner: PlacementPlanner,
-    next_look: Instant,
+    next_lease_poll: Instant,
 }
 
 impl Controller {
@@ -69,10 +69,10 @@
     #[must_use]
     pub fn new(settings: ControllerSettings, log: Logger) -> Self {
         let client = HttpClient::new();
-        let since = clock::unix_now();
+        let started_at = clock::unix_now();
         let backoffs = Arc::new(BackoffTable::new(log.clone()));
         let engines = Arc::new(HttpEngineTransport::new(client.clone()));
-        let incarnation = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
+        let incarnation = u64::try_from(started_at.as_millis()).unwrap_or(u64::MAX);
         Self {
             platform: Arc::new(HttpPlatform::new(client.clone(), settings.platform)),
             engines: Arc::new(BackoffTransport::new(engines, backoffs)),
@@ -82,7 +82,7 @@
                 settings.timing(),
             ),
             planner: PlacementPlanner::new(settings.limits()),
-            next_look: clock::now(),
+            next_lease_poll: clock::now(),
             client,
             log,
             settings,
@@ -94,19 +94,20 @@
     pub async fn run(mut self) {
         let interval = Duration::from_millis(self.settings.interval_ms);
         loop {
-            if clock::now() >= self.next_look {
-                self.look_at_lease().await;
+            if clock::now() >= self.next_lease_poll {
+                self.poll_lease().await;
             }
             if self.lease.fence_for(clock::now(), true).is_some() {
-                self.give_orders().await;
+                self.send_due_orders().await;
             }
             tokio::time::sleep(interval).await;
         }
     }
 
-    async fn look_at_lease(&mut self) {
-        let part = self.settings.timing().duration / LOOKS_PER_LEASE;
-        self.next_look = clock::now() + part.mul_f64(rand::rng().random_range(0.7..1.0));
+    async fn poll_lease(&mut self) {
+        let poll_interval = self.settings.timing().duration / POLLS_PER_LEASE;
+        self.next_lease_poll =
+            clock::now() + poll_interval.mul_f64(rand::rng().random_range(0.7..1.0));
         let asked_at = clock::now();
         let domain = self.settings.failure_domain.clone();
         match self.platform.get(LEASES_KIND, &domain).await {
@@ -138,8 +139,8 @@
         }
     }
 
-    async fn give_orders(&mut self) {
-        let Some((config, engines)) = self.read_entry().await else {
+    async fn send_due_orders(&mut self) {
+        let Some((config, engines)) = self.fetch_config_and_engines().await else {
             return;
         };
         let orders = self.planner.plan(clock::now(), &config, &engines);
@@ -148,14 +149,14 @@
                 .iter()
                 .find(|engine| engine.info.engine == order.engine);
             if let Some(engine) = engine {
-                self.send(engine, order).await;
+                self.send_order(engine, order).await;
             }
         }
     }
 
-    async fn send(&self, engine: &Engine, needed: PlannedOrder) {
-        let name = needed.engine;
-        let rule = needed.rule;
+    async fn send_order(&self, engine: &Engine, planned: PlannedOrder) {
+        let name = planned.engine;
+        let rule = planned.rule;
         // Checked just before sending: the lease may have expired while this process
         // was paused or while an earlier order was in flight.
         let Some(fence) = self
@@ -166,11 +167,11 @@
         };
         let request = OrderRequest {
             fence,
-            order: needed.order.clone(),
+            order: planned.order.clone(),
         };
         match self.engines.order(engine.addr, request).await {
             Ok(OrderResponse::Accepted) => info!(self.log, "orders: accepted";
-                "part" => "orders", "engine" => %name, "rule" => rule, "order" => ?needed.order, "fence" => fence),
+                "part" => "orders", "engine" => %name, "rule" => rule, "order" => ?planned.order, "fence" => fence),
             Ok(OrderResponse::Fenced { highest }) => {
                 warn!(self.log, "orders: rejected by the engine because of a newer fence";
                 "part" => "orders", "engine" => %name, "fence" => fence, "highest" => highest)
@@ -182,23 +183,27 @@
 
     /// The configuration and the engines of the own failure domain, read from the local
     /// entry instance; `None` if a call fails or the configuration is invalid.
-    async fn read_entry(&self) -> Option<(SiteConfig, Vec<Engine>)> {
+    async fn fetch_config_and_engines(&self) -> Option<(SiteConfig, Vec<Engine>)> {
         let entry = self.settings.entry;
-        let in_force: InForce = self
+        let active: ActiveConfig = self
             .client
-            .get(entry, "/v1/config", ENTRY_WAIT)
+            .get(entry, "/v1/config", ENTRY_TIMEOUT)
             .await
             .ok()?;
-        let config = SiteConfig::from_json(&in_force.value.to_string()).ok()?;
-        let fleet: Vec<FleetEngine> = self.client.get(entry, "/v1/fleet", ENTRY_WAIT).await.ok()?;
-        let own = fleet
+        let config = SiteConfig::from_json(&active.value.to_string()).ok()?;
+        let fleet: Vec<FleetEngine> = self
+            .client
+            .get(entry, "/v1/fleet", ENTRY_TIMEOUT)
+            .await
+            .ok()?;
+        let local = fleet
             .into_iter()
             .filter(|engine| *engine.failure_domain == *self.settings.failure_domain);
-        Some((config, own.map(engine_of).collect()))
+        Some((config, local.map(to_engine).collect()))
     }
 }
 
-fn engine_of(engine: FleetEngine) -> Engine {
+fn to_engine(engine: FleetEngine) -> Engine {
     let stats = EngineStats::new();
     let report = LoadReport {
         streams: engine.streams,
--- a/crates/rookferry_controller/tests/orders.rs
+++ b/crates/rookferry_controller/tests/orders.rs
@@ -35,8 +35,8 @@
 use sha2::Digest;
 use sha2::Sha256;
 
-const PATIENCE: Duration = Duration::from_mins(1);
-const CALL: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_mins(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn engine(name: &str, start: u16, checks_fences: bool) -> Value {
     json!({
@@ -61,13 +61,13 @@
     })
 }
 
-struct Bench {
+struct TestSite {
     site: Site,
     entry: Entry,
     client: HttpClient,
 }
 
-impl Bench {
+impl TestSite {
     async fn start() -> Self {
         let mut engines = Vec::new();
         for (name, start) in [("a1", 0), ("a2", 0), ("b1", 2), ("b2", 2)] {
@@ -95,13 +95,13 @@
         let entry = Entry::start(settings, log)
             .await
             .expect("an entry instance");
-        let bench = Self {
+        let test_site = Self {
             site,
             entry,
             client: HttpClient::new(),
         };
-        bench.apply("1").await;
-        bench
+        test_site.apply("1").await;
+        test_site
     }
 
     async fn apply(&self, version: &str) {
@@ -142,7 +142,7 @@
             for addr in self.site.addrs.engines.values() {
                 let info: EngineInfo = self
                     .client
-                    .get(*addr, "/v1/info", CALL)
+                    .get(*addr, "/v1/info", CALL_TIMEOUT)
                     .await
                     .expect("an engine");
                 let is_serving = info
@@ -155,7 +155,7 @@
                 return;
             }
             assert!(
-                start.elapsed() < PATIENCE,
+                start.elapsed() < TIMEOUT,
                 "not every engine serves version {version} in time"
             );
             tokio::time::sleep(Duration::from_millis(30)).await;
@@ -167,7 +167,7 @@
         for addr in self.site.addrs.engines.values() {
             let ledger: Ledger = self
                 .client
-                .get(*addr, "/admin/ledger", CALL)
+                .get(*addr, "/admin/ledger", CALL_TIMEOUT)
                 .await
                 .expect("a ledger");
             fences.push(ledger.fences);
@@ -198,15 +198,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rollout_cuts_off_nothing_and_a_new_holder_goes_on() {
-    let bench = Bench::start().await;
-    let first = bench.controller("entry-1");
-    let second = bench.controller("entry-2");
-    bench.wait_for_version("1").await;
+async fn a_rollout_interrupts_no_request_and_a_new_lease_holder_continues_it() {
+    let test_site = TestSite::start().await;
+    let first = test_site.controller("entry-1");
+    let second = test_site.controller("entry-2");
+    test_site.wait_for_version("1").await;
     let stop = Arc::new(AtomicBool::new(false));
     let answered = Arc::new(AtomicUsize::new(0));
-    let caller = Caller::new(bench.client.clone(), "key".to_owned(), PATIENCE);
-    let addr = bench.entry.addrs().callers;
+    let caller = Caller::new(test_site.client.clone(), "key".to_owned(), TIMEOUT);
+    let addr = test_site.entry.addrs().callers;
     // Waits until the instance serves requests.
     while !matches!(
         caller
@@ -226,16 +226,16 @@
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
     let calls = tokio::spawn(call_until(caller, addr, stop.clone(), answered.clone()));
-    bench.apply("2").await;
-    bench.wait_for_version("2").await;
+    test_site.apply("2").await;
+    test_site.wait_for_version("2").await;
     first.abort();
-    bench.apply("3").await;
-    bench.wait_for_version("3").await;
+    test_site.apply("3").await;
+    test_site.wait_for_version("3").await;
     stop.store(true, Ordering::Relaxed);
     calls.await.expect("every call is answered");
     second.abort();
     assert!(answered.load(Ordering::Relaxed) > 0);
-    for fences in bench.fences().await {
+    for fences in test_site.fences().await {
         assert!(
             fences.is_sorted(),
             "an order of a previous lease holder was accepted: {fences:?}"
