--- a/crates/rookferry_burn/src/history.rs
+++ b/crates/rookferry_burn/src/history.rs
@@ -59,10 +59,10 @@
             last_ms: samples.last().map_or(0, |sample| sample.at_ms),
             ..Self::default()
         };
-        let mut former: BTreeMap<(String, Series), WindowCount> = BTreeMap::new();
-        let mut seen: BTreeSet<String> = BTreeSet::new();
+        let mut previous: BTreeMap<(String, Series), WindowCount> = BTreeMap::new();
+        let mut instances_seen: BTreeSet<String> = BTreeSet::new();
         for sample in samples {
-            let is_first = seen.insert(sample.instance.clone());
+            let is_first = instances_seen.insert(sample.instance.clone());
             for objective in sample.objectives {
                 let series = (objective.objective, objective.account);
                 let count = WindowCount {
@@ -70,11 +70,11 @@
                     total: objective.total,
                 };
                 let key = (sample.instance.clone(), series.clone());
-                let before = former.insert(key, count);
+                let previous_count = previous.insert(key, count);
                 // It is unknown when events before an instance's first sample
                 // occurred, so they are left out.
-                let increment = match before {
-                    Some(before) => WindowCount::between(before, count),
+                let increment = match previous_count {
+                    Some(previous_count) => WindowCount::between(previous_count, count),
                     None if is_first => continue,
                     None => count,
                 };
@@ -85,7 +85,7 @@
                     .push((sample.at_ms, increment));
             }
         }
-        history.instances = seen.len();
+        history.instances = instances_seen.len();
         history
     }
 
@@ -104,8 +104,8 @@
         from_ms: u64,
         to_ms: u64,
     ) -> WindowCount {
-        let series = self.increments.iter().filter(|((name, of), _)| {
-            name == objective && account.is_none_or(|account| account == of)
+        let series = self.increments.iter().filter(|((name, series_account), _)| {
+            name == objective && account.is_none_or(|account| account == series_account)
         });
         let counts = series.flat_map(|(_, counts)| counts);
         let within = counts.filter(|(at_ms, _)| (from_ms + 1..=to_ms).contains(at_ms));
--- a/crates/rookferry_burn/src/html.rs
+++ b/crates/rookferry_burn/src/html.rs
@@ -20,7 +20,7 @@
 .line{fill:none;stroke:#1565c0;stroke-width:2}.limit{stroke:#c62828;stroke-dasharray:4 4}";
 
 /// Returns the whole page.
-pub(crate) fn page(report: &Report) -> String {
+pub(crate) fn render_page(report: &Report) -> String {
     let mut html = format!(
         "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Service-level burn</title>\
          <style>{STYLE}</style></head><body><h1>Service-level burn</h1><p>{} instances over {} s. \
@@ -29,13 +29,13 @@
         (report.to_ms - report.from_ms) / 1_000
     );
     for objective in &report.objectives {
-        section(&mut html, objective);
+        write_objective(&mut html, objective);
     }
     html.push_str("</body></html>");
     html
 }
 
-fn section(html: &mut String, objective: &ObjectiveBurn) {
+fn write_objective(html: &mut String, objective: &ObjectiveBurn) {
     let left = objective
         .budget_left
         .map_or("no events".to_owned(), percent);
@@ -45,7 +45,7 @@
         escape(&objective.name),
         percent(objective.target)
     );
-    plot(html, objective);
+    write_plot(html, objective);
     html.push_str("<table><tr><th>window</th><th>burn rate</th><th>good</th><th>all</th></tr>");
     for window in &objective.windows {
         let rate = window
@@ -71,7 +71,7 @@
     html.push_str("</table>");
 }
 
-fn plot(html: &mut String, objective: &ObjectiveBurn) {
+fn write_plot(html: &mut String, objective: &ObjectiveBurn) {
     let rates = objective.plot.iter().filter_map(|(_, rate)| *rate);
     let scale = rates.fold(MIN_SCALE, f64::max);
     let y = |rate: f64| HEIGHT - rate / scale * HEIGHT;
--- a/crates/rookferry_burn/src/main.rs
+++ b/crates/rookferry_burn/src/main.rs
@@ -106,7 +106,7 @@
             match format {
                 Format::Text => print!("{}", report.to_text()),
                 Format::Json => println!("{}", report.to_json()),
-                Format::Html => println!("{}", html::page(&report)),
+                Format::Html => println!("{}", html::render_page(&report)),
             }
             Ok(())
         }
--- a/crates/rookferry_burn/src/report.rs
+++ b/crates/rookferry_burn/src/report.rs
@@ -10,7 +10,7 @@
 use crate::history::History;
 
 /// Number of points in a plot.
-const POINTS: u64 = 60;
+const PLOT_POINTS: u64 = 60;
 
 /// Events and burn rate within one window that ends at the last sample.
 #[derive(Debug, Serialize)]
@@ -66,7 +66,7 @@
             to_ms: history.last_ms,
             instances: history.instances,
             objectives: objectives
-                .map(|objective| burn(objective, history, windows_s))
+                .map(|objective| objective_burn(objective, history, windows_s))
                 .collect(),
         }
     }
@@ -119,13 +119,13 @@
     format!("{:.1} %", share * 100.0)
 }
 
-fn burn(objective: &Objective, history: &History, windows_s: &[u64]) -> ObjectiveBurn {
+fn objective_burn(objective: &Objective, history: &History, windows_s: &[u64]) -> ObjectiveBurn {
     let to_ms = history.last_ms;
     let name = &objective.name;
-    let within =
+    let events_in_last =
         |window_ms: u64| history.between(name, None, to_ms.saturating_sub(window_ms), to_ms);
     let windows = windows_s.iter().map(|window_s| {
-        let count = within(window_s * 1_000);
+        let count = events_in_last(window_s * 1_000);
         WindowBurn {
             window_s: *window_s,
             good: count.good,
@@ -139,13 +139,13 @@
         target: objective.target,
         windows: windows.collect(),
         budget_left: all.burn_rate(objective.target).map(|used| 1.0 - used),
-        accounts: accounts(name, history, all),
+        accounts: account_burns(name, history, all),
         plot: plot(objective, history),
     }
 }
 
 /// Client accounts by number of bad events, largest first.
-fn accounts(objective: &str, history: &History, all: WindowCount) -> Vec<AccountBurn> {
+fn account_burns(objective: &str, history: &History, all: WindowCount) -> Vec<AccountBurn> {
     let accounts = history.accounts(objective).into_iter();
     let mut burns: Vec<AccountBurn> = accounts
         .map(|account| {
@@ -162,10 +162,10 @@
     burns
 }
 
-/// Burn rates of `POINTS` consecutive intervals over the whole history.
+/// Burn rates of `PLOT_POINTS` consecutive intervals over the whole history.
 fn plot(objective: &Objective, history: &History) -> Vec<(u64, Option<f64>)> {
-    let step_ms = ((history.last_ms - history.first_ms) / POINTS).max(1);
-    let points = 1..=POINTS;
+    let step_ms = ((history.last_ms - history.first_ms) / PLOT_POINTS).max(1);
+    let points = 1..=PLOT_POINTS;
     points
         .map(|point| {
             let to_ms = history.first_ms + point * step_ms;
--- a/crates/rookferry_burn/src/sample.rs
+++ b/crates/rookferry_burn/src/sample.rs
@@ -14,7 +14,7 @@
 use crate::history::InstanceSample;
 
 /// Timeout of a call to an instance.
-const WAIT: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Samples all `entries` once per round. Instances that can't be read are reported on
 /// standard error; a failed write to the file is returned as an error.
@@ -25,13 +25,13 @@
     every: Duration,
 ) -> Result<(), String> {
     let client = HttpClient::new();
-    for number in 0..times {
-        if number > 0 {
+    for round in 0..times {
+        if round > 0 {
             tokio::time::sleep(every).await;
         }
         for entry in entries {
             match client
-                .get::<Vec<ObjectiveSample>>(*entry, "/v1/objectives", WAIT)
+                .get::<Vec<ObjectiveSample>>(*entry, "/v1/objectives", CALL_TIMEOUT)
                 .await
             {
                 Ok(objectives) => append(file, *entry, objectives)?,
@@ -45,11 +45,11 @@
 }
 
 fn append(file: &Path, entry: SocketAddr, objectives: Vec<ObjectiveSample>) -> Result<(), String> {
-    let since = SystemTime::now()
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     let sample = InstanceSample {
-        at_ms: u64::try_from(since.as_millis()).unwrap_or(u64::MAX),
+        at_ms: u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX),
         instance: entry.to_string(),
         objectives,
     };
