--- a/crates/rookferry_burn/src/history.rs
+++ b/crates/rookferry_burn/src/history.rs
@@ -104,9 +104,12 @@
         from_ms: u64,
         to_ms: u64,
     ) -> WindowCount {
-        let series = self.increments.iter().filter(|((name, series_account), _)| {
-            name == objective && account.is_none_or(|account| account == series_account)
-        });
+        let series = self
+            .increments
+            .iter()
+            .filter(|((name, series_account), _)| {
+                name == objective && account.is_none_or(|account| account == series_account)
+            });
         let counts = series.flat_map(|(_, counts)| counts);
         let within = counts.filter(|(at_ms, _)| (from_ms + 1..=to_ms).contains(at_ms));
         within.fold(WindowCount::default(), |sum, (_, count)| sum.plus(*count))
--- a/crates/rookferry_burn/tests/report.rs
+++ b/crates/rookferry_burn/tests/report.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn burn_rates_follow_the_windows_and_tell_who_burns() {
+fn burn_rates_are_per_window_and_attributed_to_accounts() {
     let report: Value =
         serde_json::from_str(&report(&two_instances("json"), "json")).expect("JSON");
     assert_eq!(report["instances"], 2);
@@ -90,7 +90,7 @@
 /// A counter that decreased was reset by a restart: all events since then count. Events
 /// before an instance's first sample are left out.
 #[test]
-fn counters_that_start_anew_count_whole() {
+fn a_counter_reset_by_a_restart_counts_in_full() {
     let files = files(
         "restart",
         &[
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn text_and_page_show_the_same_figures() {
+fn text_shows_the_target_and_html_loads_no_external_resources() {
     let files = two_instances("page");
     let text = report(&files, "text");
     assert!(text.contains("answered: target 90.0 %"), "{text}");
