--- a/crates/rookferry_controller/src/controller.rs
+++ b/crates/rookferry_controller/src/controller.rs
@@ -172,10 +172,8 @@
         match self.engines.order(engine.addr, request).await {
             Ok(OrderResponse::Accepted) => info!(self.log, "orders: accepted";
                 "part" => "orders", "engine" => %name, "rule" => rule, "order" => ?planned.order, "fence" => fence),
-            Ok(OrderResponse::Fenced { highest }) => {
-                warn!(self.log, "orders: rejected by the engine because of a newer fence";
-                "part" => "orders", "engine" => %name, "fence" => fence, "highest" => highest)
-            }
+            Ok(OrderResponse::Fenced { highest }) => warn!(self.log, "orders: outdated fence";
+                "part" => "orders", "engine" => %name, "fence" => fence, "highest" => highest),
             Err(error) => warn!(self.log, "orders: no answer";
                 "part" => "orders", "engine" => %name, "error" => %error),
         }
