--- a/crates/rookferry_ctl/src/apply.rs
+++ b/crates/rookferry_ctl/src/apply.rs
@@ -26,7 +26,7 @@
 ) -> Result<String, CtlError> {
     SiteConfig::from_json(text).map_err(|errors| CtlError::InvalidConfig { errors })?;
     let value: Value = serde_json::from_str(text).unwrap_or_default();
-    let base = read(platform).await?;
+    let base = read_config(platform).await?;
     let base_version = base.as_ref().map_or(0, |object| object.version);
     let expected = expected.unwrap_or(base_version);
     let request = PutRequest {
@@ -42,14 +42,18 @@
             let before = before.map_or_else(|| value.clone(), |object| object.value);
             Err(conflict(expected, &before, current))
         }
-        Err(PlatformError::Lost { .. }) => settle(platform, expected, &value).await,
+        Err(PlatformError::Lost { .. }) => resolve_lost_response(platform, expected, &value).await,
         Err(source) => Err(CtlError::Platform { source }),
     }
 }
 
 /// Reads the configuration back after a lost response: the write took effect if the
 /// platform has `value` under a version above `expected`.
-async fn settle(platform: &dyn Platform, expected: u64, value: &Value) -> Result<String, CtlError> {
+async fn resolve_lost_response(
+    platform: &dyn Platform,
+    expected: u64,
+    value: &Value,
+) -> Result<String, CtlError> {
     let current = platform.get(CONFIG_KIND, CONFIG_NAME).await;
     let current = current.map_err(|source| CtlError::Unknown { source })?;
     match current {
@@ -66,7 +70,7 @@
     }
 }
 
-async fn read(platform: &dyn Platform) -> Result<Option<Object>, CtlError> {
+async fn read_config(platform: &dyn Platform) -> Result<Option<Object>, CtlError> {
     let object = platform.get(CONFIG_KIND, CONFIG_NAME).await;
     object.map_err(|source| CtlError::Platform { source })
 }
--- a/crates/rookferry_ctl/src/error.rs
+++ b/crates/rookferry_ctl/src/error.rs
@@ -46,7 +46,7 @@
     #[snafu(display("{source}"))]
     Entry { source: ClientError },
     #[snafu(display("{}, line {line}: {cause}", path.display()))]
-    Roster {
+    InvalidListLine {
         path: PathBuf,
         line: usize,
         cause: String,
@@ -58,7 +58,7 @@
     #[snafu(display(
         "none of {asked} instances answered; check that the file lists their metrics addresses"
     ))]
-    NobodyAnswers { asked: usize },
+    NoAnswers { asked: usize },
     #[snafu(display("the result can't be written as JSON: {source}"))]
     Json { source: serde_json::Error },
     #[snafu(display("{explanation}"))]
--- a/crates/rookferry_ctl/src/explain.rs
+++ b/crates/rookferry_ctl/src/explain.rs
@@ -13,7 +13,7 @@
 use crate::error::CtlError;
 
 /// Timeout of the call to the instance.
-const WAIT: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Reads the decision record of a request from an instance and prints it. If there is
 /// none, the error has the instance's explanation.
@@ -23,7 +23,7 @@
     request_id: &str,
 ) -> Result<(), CtlError> {
     let path = format!("/v1/decisions/{request_id}");
-    let record: DecisionRecord = match client.get(entry, &path, WAIT).await {
+    let record: DecisionRecord = match client.get(entry, &path, CALL_TIMEOUT).await {
         Ok(record) => record,
         Err(ClientError::Status { status, body, .. }) if status == StatusCode::NOT_FOUND => {
             let body: Value = serde_json::from_str(&body).unwrap_or_default();
@@ -51,13 +51,16 @@
         .map(|(name, value)| format!("{name}={value}"))
         .collect();
     println!("labels: {}", labels.join(", "));
-    for trial in &record.routes {
-        let verdict = if trial.matched {
+    for evaluated in &record.routes {
+        let verdict = if evaluated.matched {
             "matched"
         } else {
             "did not match"
         };
-        println!("route {} [{}]: {verdict}", trial.route, trial.selector);
+        println!(
+            "route {} [{}]: {verdict}",
+            evaluated.route, evaluated.selector
+        );
     }
     if let Some(pool) = &record.pool {
         println!("pool {} [{}]", pool.pool, pool.selector);
@@ -70,8 +73,8 @@
     }
     println!("waited {} us", record.queued_us);
     for (number, chain) in record.chains.iter().enumerate() {
-        let word = if number == 0 { "ran on" } else { "then on" };
-        println!("{word} {}", chain.join(" -> "));
+        let verb = if number == 0 { "ran on" } else { "then on" };
+        println!("{verb} {}", chain.join(" -> "));
     }
     match &record.result {
         Some(DecisionResult::Answered { size }) => println!("answered, {size} tokens or bytes"),
--- a/crates/rookferry_ctl/src/main.rs
+++ b/crates/rookferry_ctl/src/main.rs
@@ -25,8 +25,8 @@
 use crate::args::Args;
 use crate::args::Command;
 use crate::error::CtlError;
-use crate::site::Roster;
-use crate::site::SiteQuestion;
+use crate::site::InstanceList;
+use crate::site::SiteQuery;
 use crate::trace::Timeline;
 
 #[tokio::main]
@@ -56,8 +56,8 @@
         } => {
             let text = error::read_file(&file)?;
             let platform = HttpPlatform::new(client, platform);
-            let applied = apply::apply(&platform, &text, expected).await?;
-            println!("{applied}");
+            let message = apply::apply(&platform, &text, expected).await?;
+            println!("{message}");
             Ok(())
         }
         Command::Get { platform } => {
@@ -79,12 +79,12 @@
             json,
             file,
         } => {
-            let roster = Roster::read(&file)?.matching(&select);
-            if roster.instances.is_empty() {
+            let list = InstanceList::read(&file)?.matching(&select);
+            if list.instances.is_empty() {
                 return Err(CtlError::NoMatch);
             }
-            let question = SiteQuestion::new(Duration::from_millis(wait_ms)).with_json(json);
-            question.ask(&client, roster).await
+            let query = SiteQuery::new(Duration::from_millis(wait_ms)).with_json(json);
+            query.run(&client, list).await
         }
         Command::Explain { entry, request_id } => explain::show(&client, entry, &request_id).await,
         Command::Trace {
--- a/crates/rookferry_ctl/src/site/roster.rs
+++ b/crates/rookferry_ctl/src/site/instance_list.rs
@@ -12,7 +12,7 @@
 
 /// An instance of the list, with the labels that the operator gave it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Listed {
+pub(crate) struct ListedInstance {
     /// Metrics address.
     pub(crate) addr: SocketAddr,
     pub(crate) labels: Labels,
@@ -20,11 +20,11 @@
 
 /// The instances to query.
 #[derive(Clone, Debug)]
-pub(crate) struct Roster {
-    pub(crate) instances: Vec<Listed>,
+pub(crate) struct InstanceList {
+    pub(crate) instances: Vec<ListedInstance>,
 }
 
-impl Roster {
+impl InstanceList {
     /// Reads a file with one instance per line: the metrics address, then labels as
     /// `KEY=VALUE`. Empty lines and lines that begin with `#` are skipped. Returns an
     /// error for an invalid line and for a list without instances.
@@ -32,15 +32,15 @@
         let text = read_file(path)?;
         let lines = text.lines().enumerate();
         let lines = lines.map(|(index, line)| (index + 1, line.trim()));
-        let told = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
-        let instances = told.map(|(number, line)| {
-            line.parse().map_err(|cause| CtlError::Roster {
+        let entries = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
+        let instances = entries.map(|(number, line)| {
+            line.parse().map_err(|cause| CtlError::InvalidListLine {
                 path: path.to_owned(),
                 line: number,
                 cause,
             })
         });
-        let instances: Vec<Listed> = instances.collect::<Result<_, _>>()?;
+        let instances: Vec<ListedInstance> = instances.collect::<Result<_, _>>()?;
         if instances.is_empty() {
             return Err(CtlError::NoInstances {
                 path: path.to_owned(),
@@ -53,24 +53,24 @@
     #[must_use]
     pub(crate) fn matching(mut self, selector: &Selector) -> Self {
         self.instances
-            .retain(|listed| selector.matches(&listed.labels));
+            .retain(|instance| selector.matches(&instance.labels));
         self
     }
 }
 
-impl FromStr for Listed {
+impl FromStr for ListedInstance {
     type Err = String;
 
     fn from_str(line: &str) -> Result<Self, String> {
-        let mut words = line.split_whitespace();
-        let addr = words.next().unwrap_or_default();
+        let mut fields = line.split_whitespace();
+        let addr = fields.next().unwrap_or_default();
         let addr = addr
             .parse()
             .map_err(|_| format!("{addr} is no address; write IP:PORT"))?;
-        let labels = words.map(|word| {
-            let (key, value) = word
+        let labels = fields.map(|field| {
+            let (key, value) = field
                 .split_once('=')
-                .ok_or_else(|| format!("{word} is no label; write KEY=VALUE"))?;
+                .ok_or_else(|| format!("{field} is no label; write KEY=VALUE"))?;
             Ok((key.to_owned(), value.to_owned()))
         });
         let labels = labels.collect::<Result<Labels, String>>()?;
--- a/crates/rookferry_ctl/src/site/figures.rs
+++ b/crates/rookferry_ctl/src/site/metrics.rs
@@ -8,7 +8,7 @@
 
 /// The metrics of one instance that the summary uses.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct InstanceFigures {
+pub(crate) struct InstanceMetrics {
     /// Software version.
     pub(crate) software: String,
     /// Version of its active configuration; 0 if none.
@@ -16,13 +16,13 @@
     /// Seconds since that version was last confirmed to be the newest.
     pub(crate) config_age_s: Option<f64>,
     /// Requests in progress.
-    pub(crate) requests: u64,
+    pub(crate) active_requests: u64,
     /// Instances that it knows, including itself.
-    pub(crate) instances: u64,
+    pub(crate) known_instances: u64,
     /// Servers that don't answer it.
-    pub(crate) servers_out: u64,
+    pub(crate) unresponsive_servers: u64,
     /// Whether it holds the lease to order engines.
-    pub(crate) is_holder: bool,
+    pub(crate) holds_lease: bool,
     /// Refused requests since its start, by cause.
     pub(crate) refusals: BTreeMap<String, u64>,
     /// Retries since its start, by outcome.
@@ -31,14 +31,14 @@
     pub(crate) served: u64,
 }
 
-impl InstanceFigures {
+impl InstanceMetrics {
     /// Parses metrics in the Prometheus text format. An error if `text` can't be parsed
     /// or isn't from an entry instance.
-    pub(crate) fn read(text: &str) -> Result<Self, String> {
+    pub(crate) fn parse(text: &str) -> Result<Self, String> {
         let lines = text.lines().map(|line| Ok(line.to_owned()));
         let scrape = Scrape::parse(lines).map_err(|error| error.to_string())?;
-        let samples = Samples(scrape.samples);
-        let build = samples.of("rookferry_build_info").next();
+        let samples = ScrapedSamples(scrape.samples);
+        let build = samples.samples_of("rookferry_build_info").next();
         let software = build.and_then(|sample| sample.labels.get("version"));
         let software = software
             .ok_or("no rookferry_build_info; check that it is an instance's metrics address")?;
@@ -46,37 +46,40 @@
             software: software.to_owned(),
             config_version: samples.count("rookferry_config_version"),
             config_age_s: samples.gauge("rookferry_config_age_seconds"),
-            requests: samples.count("rookferry_requests_under_way"),
-            instances: samples.count("rookferry_instances"),
-            servers_out: samples.count("rookferry_servers_out"),
-            is_holder: samples.count("rookferry_holds_lease") > 0,
+            active_requests: samples.count("rookferry_requests_under_way"),
+            known_instances: samples.count("rookferry_instances"),
+            unresponsive_servers: samples.count("rookferry_servers_out"),
+            holds_lease: samples.count("rookferry_holds_lease") > 0,
             refusals: samples.by_label("rookferry_refused_total", "cause"),
             retries: samples.by_label("rookferry_retries_total", "outcome"),
-            served: samples.of("rookferry_served_total").map(count).sum(),
+            served: samples
+                .samples_of("rookferry_served_total")
+                .map(count)
+                .sum(),
         })
     }
 }
 
 /// All samples of one scrape.
-struct Samples(Vec<Sample>);
+struct ScrapedSamples(Vec<Sample>);
 
-impl Samples {
-    fn of<'a>(&'a self, metric: &'a str) -> impl Iterator<Item = &'a Sample> {
+impl ScrapedSamples {
+    fn samples_of<'a>(&'a self, metric: &'a str) -> impl Iterator<Item = &'a Sample> {
         let samples = self.0.iter();
         samples.filter(move |sample| sample.metric == metric)
     }
 
     fn gauge(&self, metric: &str) -> Option<f64> {
-        self.of(metric).next().map(number)
+        self.samples_of(metric).next().map(number)
     }
 
     fn count(&self, metric: &str) -> u64 {
-        self.of(metric).next().map_or(0, count)
+        self.samples_of(metric).next().map_or(0, count)
     }
 
     fn by_label(&self, metric: &str, label: &str) -> BTreeMap<String, u64> {
         let mut sums = BTreeMap::new();
-        for sample in self.of(metric) {
+        for sample in self.samples_of(metric) {
             let key = sample.labels.get(label).unwrap_or_default();
             *sums.entry(key.to_owned()).or_default() += count(sample);
         }
--- a/crates/rookferry_ctl/src/site/mod.rs
+++ b/crates/rookferry_ctl/src/site/mod.rs
@@ -4,10 +4,10 @@
 //! instances are what matters, so the summary counts the instances by value of each
 //! metric and lists the addresses of those that differ from the majority.
 
-mod ask;
-mod figures;
+mod instance_list;
+mod metrics;
 mod overview;
-mod roster;
+mod query;
 
-pub(crate) use ask::SiteQuestion;
-pub(crate) use roster::Roster;
+pub(crate) use instance_list::InstanceList;
+pub(crate) use query::SiteQuery;
--- a/crates/rookferry_ctl/src/site/overview.rs
+++ b/crates/rookferry_ctl/src/site/overview.rs
@@ -6,10 +6,10 @@
 
 use serde::Serialize;
 
-use super::figures::InstanceFigures;
+use super::metrics::InstanceMetrics;
 
 /// Maximum number of addresses on a line of text; `--json` has all.
-const MOST_NAMED: usize = 8;
+const MAX_LISTED_ADDRESSES: usize = 8;
 
 /// Metrics of a site, summed or grouped over its instances.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -50,33 +50,33 @@
 
 impl SiteOverview {
     /// Adds an instance's metrics, or the cause why there are none.
-    pub(crate) fn take(&mut self, addr: SocketAddr, answer: Result<InstanceFigures, String>) {
+    pub(crate) fn add_result(&mut self, addr: SocketAddr, result: Result<InstanceMetrics, String>) {
         self.asked += 1;
-        match answer {
-            Ok(figures) => self.add(addr, figures),
+        match result {
+            Ok(metrics) => self.add_metrics(addr, metrics),
             Err(cause) => {
                 self.silent.insert(addr, cause);
             }
         }
     }
 
-    fn add(&mut self, addr: SocketAddr, figures: InstanceFigures) {
-        note(&mut self.by_software, figures.software, addr);
-        note(&mut self.by_config, figures.config_version, addr);
-        note(&mut self.by_known, figures.instances, addr);
-        note(&mut self.by_servers_out, figures.servers_out, addr);
-        if figures.is_holder {
+    fn add_metrics(&mut self, addr: SocketAddr, metrics: InstanceMetrics) {
+        add_to_group(&mut self.by_software, metrics.software, addr);
+        add_to_group(&mut self.by_config, metrics.config_version, addr);
+        add_to_group(&mut self.by_known, metrics.known_instances, addr);
+        add_to_group(&mut self.by_servers_out, metrics.unresponsive_servers, addr);
+        if metrics.holds_lease {
             self.holders.push(addr);
         }
-        if let Some(age_s) = figures.config_age_s
+        if let Some(age_s) = metrics.config_age_s
             && self.oldest_config.is_none_or(|oldest| oldest.age_s < age_s)
         {
             self.oldest_config = Some(OldestConfig { addr, age_s });
         }
-        self.requests_under_way += figures.requests;
-        self.served += figures.served;
-        add_all(&mut self.refusals, figures.refusals);
-        add_all(&mut self.retries, figures.retries);
+        self.requests_under_way += metrics.active_requests;
+        self.served += metrics.served;
+        add_counts(&mut self.refusals, metrics.refusals);
+        add_counts(&mut self.retries, metrics.retries);
     }
 
     fn answered(&self) -> usize {
@@ -84,11 +84,11 @@
     }
 }
 
-fn note<K: Ord>(by: &mut BTreeMap<K, Vec<SocketAddr>>, key: K, addr: SocketAddr) {
+fn add_to_group<K: Ord>(by: &mut BTreeMap<K, Vec<SocketAddr>>, key: K, addr: SocketAddr) {
     by.entry(key).or_default().push(addr);
 }
 
-fn add_all(sums: &mut BTreeMap<String, u64>, more: BTreeMap<String, u64>) {
+fn add_counts(sums: &mut BTreeMap<String, u64>, more: BTreeMap<String, u64>) {
     for (key, count) in more {
         *sums.entry(key).or_default() += count;
     }
@@ -108,7 +108,7 @@
         write_groups(f, "servers out", &self.by_servers_out)?;
         let holders = match self.holders.as_slice() {
             [] => "nobody".to_owned(),
-            holders => named(holders),
+            holders => list_addresses(holders),
         };
         write_line(f, "orders engines", &holders)?;
         let requests = format!(
@@ -140,7 +140,7 @@
     for (value, addrs) in groups {
         let mut text = format!("{value}: {}", addrs.len());
         if addrs.len() < most {
-            text = format!("{text} ({})", named(addrs));
+            text = format!("{text} ({})", list_addresses(addrs));
         }
         write_line(f, title, &text)?;
     }
@@ -163,10 +163,14 @@
 }
 
 /// Lists the first addresses, and the number of those left out.
-fn named(addrs: &[SocketAddr]) -> String {
-    let first = addrs.iter().take(MOST_NAMED);
+fn list_addresses(addrs: &[SocketAddr]) -> String {
+    let first = addrs.iter().take(MAX_LISTED_ADDRESSES);
     let mut names: Vec<String> = first.map(ToString::to_string).collect();
-    if let Some(more) = addrs.len().checked_sub(MOST_NAMED).filter(|more| *more > 0) {
+    if let Some(more) = addrs
+        .len()
+        .checked_sub(MAX_LISTED_ADDRESSES)
+        .filter(|more| *more > 0)
+    {
         names.push(format!("{more} more"));
     }
     names.join(", ")
--- a/crates/rookferry_ctl/src/site/ask.rs
+++ b/crates/rookferry_ctl/src/site/query.rs
@@ -8,30 +8,30 @@
 use indicatif::ProgressBar;
 use rookferry_net::HttpClient;
 
-use super::Roster;
-use super::figures::InstanceFigures;
+use super::InstanceList;
+use super::metrics::InstanceMetrics;
 use super::overview::SiteOverview;
 use crate::error::CtlError;
 use crate::output;
 
 /// Maximum number of concurrent calls: a site of hundreds takes a few rounds, and the
 /// operator's machine needs few file descriptors.
-const ASKED_AT_ONCE: usize = 32;
+const MAX_CONCURRENT_CALLS: usize = 32;
 /// Path of an instance's metrics.
 const METRICS_PATH: &str = "/metrics";
 
 /// A query of all instances of a site.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SiteQuestion {
-    wait: Duration,
+pub(crate) struct SiteQuery {
+    timeout: Duration,
     is_json: bool,
 }
 
-impl SiteQuestion {
-    /// `wait` is the timeout for each instance.
-    pub(crate) const fn new(wait: Duration) -> Self {
+impl SiteQuery {
+    /// Queries each instance with this timeout and prints text.
+    pub(crate) const fn new(timeout: Duration) -> Self {
         Self {
-            wait,
+            timeout,
             is_json: false,
         }
     }
@@ -45,48 +45,48 @@
 
     /// Fetches the metrics and prints the summary. Returns an error, after printing, if
     /// no instance answered.
-    pub(crate) async fn ask(self, client: &HttpClient, roster: Roster) -> Result<(), CtlError> {
-        let overview = self.overview(client, roster).await;
+    pub(crate) async fn run(self, client: &HttpClient, list: InstanceList) -> Result<(), CtlError> {
+        let overview = self.overview(client, list).await;
         if self.is_json {
             let json = serde_json::to_string_pretty(&overview);
-            output::print([json.map_err(|source| CtlError::Json { source })?])?;
+            output::print_lines([json.map_err(|source| CtlError::Json { source })?])?;
         } else {
-            output::print(overview.to_string().lines())?;
+            output::print_lines(overview.to_string().lines())?;
         }
         if overview.silent.len() == overview.asked {
-            return Err(CtlError::NobodyAnswers {
+            return Err(CtlError::NoAnswers {
                 asked: overview.asked,
             });
         }
         Ok(())
     }
 
-    async fn overview(self, client: &HttpClient, roster: Roster) -> SiteOverview {
+    async fn overview(self, client: &HttpClient, list: InstanceList) -> SiteOverview {
         // Hidden if standard error is not a terminal.
-        let progress = ProgressBar::new(roster.instances.len() as u64);
-        let asked = roster.instances.into_iter().map(async |listed| {
-            let answer = self.figures(client, listed.addr).await;
+        let progress = ProgressBar::new(list.instances.len() as u64);
+        let calls = list.instances.into_iter().map(async |instance| {
+            let result = self.fetch_metrics(client, instance.addr).await;
             progress.inc(1);
-            (listed.addr, answer)
+            (instance.addr, result)
         });
-        let answers = stream::iter(asked).buffer_unordered(ASKED_AT_ONCE);
-        let mut answers: Vec<_> = answers.collect().await;
+        let responses = stream::iter(calls).buffer_unordered(MAX_CONCURRENT_CALLS);
+        let mut responses: Vec<_> = responses.collect().await;
         progress.finish_and_clear();
-        answers.sort_by_key(|(addr, _)| *addr);
+        responses.sort_by_key(|(addr, _)| *addr);
         let mut overview = SiteOverview::default();
-        for (addr, answer) in answers {
-            overview.take(addr, answer);
+        for (addr, result) in responses {
+            overview.add_result(addr, result);
         }
         overview
     }
 
-    async fn figures(
+    async fn fetch_metrics(
         self,
         client: &HttpClient,
         addr: SocketAddr,
-    ) -> Result<InstanceFigures, String> {
-        let text = client.get_text(addr, METRICS_PATH, self.wait).await;
+    ) -> Result<InstanceMetrics, String> {
+        let text = client.get_text(addr, METRICS_PATH, self.timeout).await;
         let text = text.map_err(|error| error.to_string())?;
-        InstanceFigures::read(&text)
+        InstanceMetrics::parse(&text)
     }
 }
--- a/crates/rookferry_ctl/src/status.rs
+++ b/crates/rookferry_ctl/src/status.rs
@@ -9,11 +9,11 @@
 use crate::error::CtlError;
 
 /// Timeout of the call to the instance.
-const WAIT: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 pub(crate) async fn show(client: &HttpClient, entry: SocketAddr) -> Result<(), CtlError> {
     let status: Value = client
-        .get(entry, "/v1/status", WAIT)
+        .get(entry, "/v1/status", CALL_TIMEOUT)
         .await
         .map_err(|source| CtlError::Entry { source })?;
     println!(
--- a/crates/rookferry_ctl/src/trace/line.rs
+++ b/crates/rookferry_ctl/src/trace/log_line.rs
@@ -8,9 +8,9 @@
 use serde_json::Value;
 
 /// Fields that are printed at the start of a timeline line, or that add nothing to it.
-const HEAD_FIELDS: [&str; 7] = ["ts", "instance", "event", "msg", "level", "request", "part"];
+const PREFIX_FIELDS: [&str; 7] = ["ts", "instance", "event", "msg", "level", "request", "part"];
 /// Events that change an instance's state or its view of its dependencies and peers.
-const SURROUNDINGS: [&str; 13] = [
+const CONTEXT_EVENTS: [&str; 13] = [
     "config_adopted",
     "config_older",
     "dependency_lost",
@@ -26,17 +26,17 @@
     "store_watch_overdue",
 ];
 /// Fields with server addresses.
-const SERVER_FIELDS: [&str; 4] = ["server", "addr", "path", "lost"];
+const ADDRESS_FIELDS: [&str; 4] = ["server", "addr", "path", "lost"];
 
 /// A log line: a JSON object.
-pub(super) struct Line {
+pub(super) struct LogLine {
     fields: Map<String, Value>,
 }
 
-impl Line {
+impl LogLine {
     /// Parses a line. A log collector may have put a prefix before the object. `None`
     /// if the line has no JSON object.
-    pub(super) fn read(text: &str) -> Option<Self> {
+    pub(super) fn parse(text: &str) -> Option<Self> {
         let object = &text[text.find('{')?..];
         let Ok(Value::Object(fields)) = serde_json::from_str(object) else {
             return None;
@@ -44,17 +44,17 @@
         Some(Self { fields })
     }
 
-    pub(super) fn text(&self, name: &str) -> Option<&str> {
+    pub(super) fn str_field(&self, name: &str) -> Option<&str> {
         self.fields.get(name)?.as_str()
     }
 
-    pub(super) fn number(&self, name: &str) -> Option<u64> {
+    pub(super) fn u64_field(&self, name: &str) -> Option<u64> {
         self.fields.get(name)?.as_u64()
     }
 
     /// Time in milliseconds since midnight, which orders the lines of one day.
     pub(super) fn time_ms(&self) -> Option<u64> {
-        let (_, time) = self.text("ts")?.split_once('T')?;
+        let (_, time) = self.str_field("ts")?.split_once('T')?;
         let mut parts = time.trim_end_matches('Z').split(':');
         let hours: u64 = parts.next()?.parse().ok()?;
         let minutes: u64 = parts.next()?.parse().ok()?;
@@ -66,20 +66,22 @@
 
     /// Addresses of the servers that the line names, including each stage of a path.
     pub(super) fn servers(&self) -> impl Iterator<Item = &str> {
-        let values = SERVER_FIELDS.iter().filter_map(|name| self.text(name));
+        let values = ADDRESS_FIELDS
+            .iter()
+            .filter_map(|name| self.str_field(name));
         values
             .flat_map(|value| value.split(','))
             .map(|stage| stage.split('=').next().unwrap_or(stage))
     }
 
     /// Whether the line belongs to no request, and names one of `servers` or has an event
-    /// of `SURROUNDINGS`.
-    pub(super) fn explains(&self, servers: &BTreeSet<String>) -> bool {
-        let is_about_servers = self.servers().any(|server| servers.contains(server));
-        let is_about_surroundings = self
-            .text("event")
-            .is_some_and(|event| SURROUNDINGS.contains(&event));
-        self.text("request").is_none() && (is_about_servers || is_about_surroundings)
+    /// of `CONTEXT_EVENTS`.
+    pub(super) fn is_context(&self, servers: &BTreeSet<String>) -> bool {
+        let names_server = self.servers().any(|server| servers.contains(server));
+        let is_context_event = self
+            .str_field("event")
+            .is_some_and(|event| CONTEXT_EVENTS.contains(&event));
+        self.str_field("request").is_none() && (names_server || is_context_event)
     }
 
     /// Whether a selector matches the line's string fields.
@@ -90,23 +92,23 @@
     }
 
     /// Formats the line for the timeline; `*` marks the request's own lines.
-    pub(super) fn describe(&self) -> String {
+    pub(super) fn format_entry(&self) -> String {
         let rest = self.fields.iter();
         let rest: Vec<String> = rest
-            .filter(|(name, _)| !HEAD_FIELDS.contains(&name.as_str()))
+            .filter(|(name, _)| !PREFIX_FIELDS.contains(&name.as_str()))
             .map(|(name, value)| match value {
                 Value::String(text) => format!("{name}={text}"),
                 other => format!("{name}={other}"),
             })
             .collect();
-        let head = |name| self.text(name).unwrap_or("-");
-        let mark = if self.fields.contains_key("request") {
+        let head = |name| self.str_field(name).unwrap_or("-");
+        let marker = if self.fields.contains_key("request") {
             "*"
         } else {
             " "
         };
         format!(
-            "{mark} {} {} {}: {}; {}",
+            "{marker} {} {} {}: {}; {}",
             head("ts"),
             head("instance"),
             head("event"),
--- a/crates/rookferry_ctl/src/trace/logs.rs
+++ b/crates/rookferry_ctl/src/trace/logs.rs
@@ -24,7 +24,7 @@
 enum Source {
     File(PathBuf),
     /// Contents of standard input, stored because it can't be read twice.
-    Input(Vec<u8>),
+    Stdin(Vec<u8>),
 }
 
 /// Logs that can be read repeatedly.
@@ -39,9 +39,9 @@
         let mut sources = Vec::new();
         for path in paths {
             if path.as_os_str() == "-" {
-                sources.push(Source::Input(read_input()?));
+                sources.push(Source::Stdin(read_stdin()?));
             } else if path.is_dir() {
-                sources.extend(files_in(path)?.into_iter().map(Source::File));
+                sources.extend(list_files(path)?.into_iter().map(Source::File));
             } else {
                 sources.push(Source::File(path.clone()));
             }
@@ -49,13 +49,13 @@
         Ok(Self { sources })
     }
 
-    /// Calls `take` for each line of each source.
-    pub(super) fn each_line(&self, mut take: impl FnMut(&[u8])) -> Result<(), CtlError> {
+    /// Calls `visit` for each line of each source.
+    pub(super) fn for_each_line(&self, mut visit: impl FnMut(&[u8])) -> Result<(), CtlError> {
         for source in &self.sources {
             match source {
-                Source::Input(bytes) => bytes.split(|byte| *byte == b'\n').for_each(&mut take),
+                Source::Stdin(bytes) => bytes.split(|byte| *byte == b'\n').for_each(&mut visit),
                 Source::File(path) => {
-                    read_lines(path, &mut take).context(FileSnafu { path })?;
+                    read_log_file(path, &mut visit).context(FileSnafu { path })?;
                 }
             }
         }
@@ -63,7 +63,7 @@
     }
 }
 
-fn read_input() -> Result<Vec<u8>, CtlError> {
+fn read_stdin() -> Result<Vec<u8>, CtlError> {
     let mut bytes = Vec::new();
     io::stdin().read_to_end(&mut bytes).context(FileSnafu {
         path: "standard input",
@@ -72,10 +72,10 @@
 }
 
 /// The files of a directory, sorted by name.
-fn files_in(folder: &Path) -> Result<Vec<PathBuf>, CtlError> {
+fn list_files(directory: &Path) -> Result<Vec<PathBuf>, CtlError> {
     let mut files = Vec::new();
-    for entry in fs::read_dir(folder).context(FileSnafu { path: folder })? {
-        let path = entry.context(FileSnafu { path: folder })?.path();
+    for entry in fs::read_dir(directory).context(FileSnafu { path: directory })? {
+        let path = entry.context(FileSnafu { path: directory })?.path();
         if path.is_file() {
             files.push(path);
         }
@@ -84,20 +84,20 @@
     Ok(files)
 }
 
-fn read_lines(path: &Path, take: &mut impl FnMut(&[u8])) -> io::Result<()> {
+fn read_log_file(path: &Path, visit: &mut impl FnMut(&[u8])) -> io::Result<()> {
     let mut reader = BufReader::with_capacity(BUFFER_BYTES, File::open(path)?);
     let is_compressed = reader.fill_buf()?.starts_with(&GZIP_MAGIC);
     if is_compressed {
         let decoder = MultiGzDecoder::new(reader);
-        return take_lines(BufReader::with_capacity(BUFFER_BYTES, decoder), take);
+        return visit_lines(BufReader::with_capacity(BUFFER_BYTES, decoder), visit);
     }
-    take_lines(reader, take)
+    visit_lines(reader, visit)
 }
 
-fn take_lines(mut reader: impl BufRead, take: &mut impl FnMut(&[u8])) -> io::Result<()> {
+fn visit_lines(mut reader: impl BufRead, visit: &mut impl FnMut(&[u8])) -> io::Result<()> {
     let mut line = Vec::new();
     while reader.read_until(b'\n', &mut line)? > 0 {
-        take(line.trim_ascii_end());
+        visit(line.trim_ascii_end());
         line.clear();
     }
     Ok(())
--- a/crates/rookferry_ctl/src/trace/mod.rs
+++ b/crates/rookferry_ctl/src/trace/mod.rs
@@ -8,7 +8,7 @@
 //! The logs of hundreds of instances don't fit in memory, so they are read twice: for
 //! the request's lines, then for the context lines.
 
-mod line;
+mod log_line;
 mod logs;
 mod timeline;
 
--- a/crates/rookferry_ctl/src/trace/timeline.rs
+++ b/crates/rookferry_ctl/src/trace/timeline.rs
@@ -8,14 +8,14 @@
 use memchr::memmem::Finder;
 use rookferry_core::Selector;
 
-use super::line::Line;
+use super::log_line::LogLine;
 use super::logs::Logs;
 use crate::error::CtlError;
 use crate::output;
 
 /// Maximum number of context lines, which bounds memory; the latest of the window are
 /// shown. Readers need far fewer.
-const MOST_EXPLAINING: usize = 20_000;
+const MAX_CONTEXT_LINES: usize = 20_000;
 
 /// Selection of the log lines of one request.
 pub(crate) struct Timeline<'a> {
@@ -25,7 +25,7 @@
 }
 
 /// Where the request's lines indicate that its context is.
-struct Scene {
+struct TraceContext {
     servers: BTreeSet<String>,
     instances: BTreeSet<String>,
     /// Milliseconds since midnight.
@@ -46,88 +46,98 @@
     /// Prints the timeline from log files and directories; `-` is standard input.
     pub(crate) fn show(&self, paths: &[PathBuf]) -> Result<(), CtlError> {
         let logs = Logs::open(paths)?;
-        let mut lines = self.own_lines(&logs)?;
-        let Some(scene) = self.scene(&lines) else {
+        let mut lines = self.request_lines(&logs)?;
+        let Some(context) = self.context(&lines) else {
             let explanation = format!(
                 "no line names {}; include the logs of all instances that ran at the time",
                 self.request_id
             );
             return Err(CtlError::NoRecord { explanation });
         };
-        lines.extend(self.explaining_lines(&logs, &scene)?);
-        lines.sort_by_key(Line::time_ms);
-        output::print(lines.iter().map(Line::describe))
+        lines.extend(self.context_lines(&logs, &context)?);
+        lines.sort_by_key(LogLine::time_ms);
+        output::print_lines(lines.iter().map(LogLine::format_entry))
     }
 
-    fn own_lines(&self, logs: &Logs) -> Result<Vec<Line>, CtlError> {
+    fn request_lines(&self, logs: &Logs) -> Result<Vec<LogLine>, CtlError> {
         let id = Finder::new(self.request_id);
         let mut lines = Vec::new();
-        logs.each_line(|bytes| {
+        logs.for_each_line(|bytes| {
             if id.find(bytes).is_none() {
                 return;
             }
-            let line = Line::read(&text(bytes));
-            lines.extend(line.filter(|line| line.text("request") == Some(self.request_id)));
+            let line = LogLine::parse(&decode(bytes));
+            lines.extend(line.filter(|line| line.str_field("request") == Some(self.request_id)));
         })?;
         Ok(lines)
     }
 
-    fn scene(&self, own: &[Line]) -> Option<Scene> {
-        let times = || own.iter().filter_map(Line::time_ms);
+    fn context(&self, request_lines: &[LogLine]) -> Option<TraceContext> {
+        let times = || request_lines.iter().filter_map(LogLine::time_ms);
         let (first_ms, last_ms) = (times().min()?, times().max()?);
-        let took = own.iter().filter_map(|line| line.number("took_ms"));
-        let before_ms = took.max().unwrap_or(0) + self.window_ms;
-        let servers = own.iter().flat_map(Line::servers);
-        let instances = own.iter().filter_map(|line| line.text("instance"));
-        Some(Scene {
+        let durations_ms = request_lines
+            .iter()
+            .filter_map(|line| line.u64_field("took_ms"));
+        let before_ms = durations_ms.max().unwrap_or(0) + self.window_ms;
+        let servers = request_lines.iter().flat_map(LogLine::servers);
+        let instances = request_lines
+            .iter()
+            .filter_map(|line| line.str_field("instance"));
+        Some(TraceContext {
             servers: servers.map(str::to_owned).collect(),
             instances: instances.map(str::to_owned).collect(),
             times_ms: first_ms.saturating_sub(before_ms)..=last_ms,
         })
     }
 
-    /// Context lines from the request's instances, at most `MOST_EXPLAINING`.
-    fn explaining_lines(&self, logs: &Logs, scene: &Scene) -> Result<Vec<Line>, CtlError> {
-        let names: Vec<Finder<'_>> = scene.instances.iter().map(Finder::new).collect();
+    /// Context lines from the request's instances, at most `MAX_CONTEXT_LINES`.
+    fn context_lines(&self, logs: &Logs, context: &TraceContext) -> Result<Vec<LogLine>, CtlError> {
+        let instance_finders: Vec<Finder<'_>> = context.instances.iter().map(Finder::new).collect();
         let mut lines = Vec::new();
-        logs.each_line(|bytes| {
-            if names.iter().all(|name| name.find(bytes).is_none()) {
+        logs.for_each_line(|bytes| {
+            if instance_finders
+                .iter()
+                .all(|finder| finder.find(bytes).is_none())
+            {
                 return;
             }
-            let line = Line::read(&text(bytes));
-            lines.extend(line.filter(|line| self.explains(line, scene)));
-            if lines.len() >= 2 * MOST_EXPLAINING {
-                keep_last(&mut lines);
+            let line = LogLine::parse(&decode(bytes));
+            lines.extend(line.filter(|line| self.is_context(line, context)));
+            if lines.len() >= 2 * MAX_CONTEXT_LINES {
+                truncate_to_latest(&mut lines);
             }
         })?;
-        if lines.len() > MOST_EXPLAINING {
-            keep_last(&mut lines);
+        if lines.len() > MAX_CONTEXT_LINES {
+            truncate_to_latest(&mut lines);
             eprintln!(
-                "rookferryctl: only the last {MOST_EXPLAINING} context lines are shown; \
+                "rookferryctl: only the last {MAX_CONTEXT_LINES} context lines are shown; \
                  give a shorter --window-ms or a --select"
             );
         }
         Ok(lines)
     }
 
-    fn explains(&self, line: &Line, scene: &Scene) -> bool {
-        let is_here = line
-            .text("instance")
-            .is_some_and(|name| scene.instances.contains(name));
-        let is_then = line
+    fn is_context(&self, line: &LogLine, context: &TraceContext) -> bool {
+        let is_from_instance = line
+            .str_field("instance")
+            .is_some_and(|name| context.instances.contains(name));
+        let is_in_window = line
             .time_ms()
-            .is_some_and(|at_ms| scene.times_ms.contains(&at_ms));
-        is_here && is_then && line.explains(&scene.servers) && line.matches(self.selector)
+            .is_some_and(|time_ms| context.times_ms.contains(&time_ms));
+        is_from_instance
+            && is_in_window
+            && line.is_context(&context.servers)
+            && line.matches(self.selector)
     }
 }
 
 /// Removes all but the latest lines.
-fn keep_last(lines: &mut Vec<Line>) {
-    lines.sort_by_key(Line::time_ms);
-    lines.drain(..lines.len().saturating_sub(MOST_EXPLAINING));
+fn truncate_to_latest(lines: &mut Vec<LogLine>) {
+    lines.sort_by_key(LogLine::time_ms);
+    lines.drain(..lines.len().saturating_sub(MAX_CONTEXT_LINES));
 }
 
 /// Decodes UTF-8; invalid bytes are replaced.
-fn text(bytes: &[u8]) -> Cow<'_, str> {
+fn decode(bytes: &[u8]) -> Cow<'_, str> {
     String::from_utf8_lossy(bytes)
 }
--- a/crates/rookferry_ctl/tests/apply.rs
+++ b/crates/rookferry_ctl/tests/apply.rs
@@ -15,7 +15,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-const CALL: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn file(name: &str, value: &Value) -> PathBuf {
     let path =
@@ -63,56 +63,62 @@
     server.expect("a platform").addr
 }
 
-async fn fault(platform: SocketAddr, fault: Value) {
+async fn set_fault(platform: SocketAddr, fault: Value) {
     let client = HttpClient::new();
-    let ordered: Result<(), _> = client.post(platform, "/admin/fault", &fault, CALL).await;
-    ordered.expect("the fault is set");
+    let result: Result<(), _> = client
+        .post(platform, "/admin/fault", &fault, CALL_TIMEOUT)
+        .await;
+    result.expect("the fault is set");
 }
 
-fn told(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     let both = [&output.stdout[..], &output.stderr[..]].concat();
     String::from_utf8_lossy(&both).into_owned()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_accepted_one_is_told_with_its_version() {
+async fn an_accepted_configuration_reports_its_version() {
     let platform = platform().await;
     let file = file("accepted", &config(2));
     let output = apply(platform, &file, None).await;
     assert!(output.status.success());
     assert!(
-        told(&output).contains("accepted as version 1"),
+        output_text(&output).contains("accepted as version 1"),
         "{}",
-        told(&output)
+        output_text(&output)
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_conflict_shows_what_the_other_changed() {
+async fn a_conflict_lists_the_changed_paths() {
     let platform = platform().await;
-    let (ours, theirs) = (file("ours", &config(2)), file("theirs", &config(3)));
-    assert!(apply(platform, &ours, None).await.status.success());
-    assert!(apply(platform, &theirs, None).await.status.success());
-    let output = apply(platform, &ours, Some(1)).await;
+    let (own_file, other_file) = (file("ours", &config(2)), file("theirs", &config(3)));
+    assert!(apply(platform, &own_file, None).await.status.success());
+    assert!(apply(platform, &other_file, None).await.status.success());
+    let output = apply(platform, &own_file, Some(1)).await;
     assert_eq!(output.status.code(), Some(4));
     assert!(
-        told(&output).contains("models.scribe.layers"),
+        output_text(&output).contains("models.scribe.layers"),
         "{}",
-        told(&output)
+        output_text(&output)
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_is_settled_by_reading_back() {
+async fn a_lost_response_is_resolved_by_reading_back() {
     let platform = platform().await;
-    fault(platform, json!({"lose_answers": 1})).await;
+    set_fault(platform, json!({"lose_answers": 1})).await;
     let output = apply(platform, &file("lost", &config(2)), None).await;
-    assert!(output.status.success(), "{}", told(&output));
-    assert!(told(&output).contains("read back"), "{}", told(&output));
+    assert!(output.status.success(), "{}", output_text(&output));
+    assert!(
+        output_text(&output).contains("read back"),
+        "{}",
+        output_text(&output)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn faults_are_told_and_nothing_is_written() {
+async fn configuration_errors_are_reported_and_nothing_is_written() {
     let platform = platform().await;
     let bad = file(
         "bad",
@@ -121,23 +127,27 @@
     let output = apply(platform, &bad, None).await;
     assert!(!output.status.success());
     assert!(
-        told(&output).contains("modles: unknown key"),
+        output_text(&output).contains("modles: unknown key"),
         "{}",
-        told(&output)
+        output_text(&output)
     );
     let got = ctl(&["get", "--platform", &platform.to_string()]).await;
-    assert!(told(&got).contains("no configuration"), "{}", told(&got));
+    assert!(
+        output_text(&got).contains("no configuration"),
+        "{}",
+        output_text(&got)
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_is_told_as_nothing_written() {
+async fn a_platform_outage_is_reported_as_nothing_written() {
     let platform = platform().await;
-    fault(platform, json!({"dead": true})).await;
+    set_fault(platform, json!({"dead": true})).await;
     let output = apply(platform, &file("outage", &config(2)), None).await;
     assert!(!output.status.success());
     assert!(
-        told(&output).contains("nothing was written"),
+        output_text(&output).contains("nothing was written"),
         "{}",
-        told(&output)
+        output_text(&output)
     );
 }
--- a/crates/rookferry_ctl/tests/site.rs
+++ b/crates/rookferry_ctl/tests/site.rs
@@ -14,7 +14,7 @@
 use serde_json::Value;
 
 /// Serves `metrics` as an instance would until the test ends; returns the address.
-fn instance(metrics: String) -> SocketAddr {
+fn serve_metrics(metrics: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let addr = listener.local_addr().expect("an address");
     thread::spawn(move || {
@@ -35,7 +35,7 @@
     addr
 }
 
-fn metrics(config: u64, holds: u8, out: u8) -> String {
+fn metrics(config: u64, holds_lease: u8, servers_out: u8) -> String {
     format!(
         "# TYPE rookferry_build_info gauge\n\
          rookferry_build_info{{version=\"0.1.0\"}} 1\n\
@@ -44,8 +44,8 @@
          rookferry_uptime_seconds 60\n\
          rookferry_requests_under_way 3\n\
          rookferry_instances 4\n\
-         rookferry_servers_out {out}\n\
-         rookferry_holds_lease {holds}\n\
+         rookferry_servers_out {servers_out}\n\
+         rookferry_holds_lease {holds_lease}\n\
          # TYPE rookferry_refused_total counter\n\
          rookferry_refused_total{{cause=\"overloaded\"}} 2\n\
          rookferry_served_total{{route=\"a\",status=\"200\"}} 10\n\
@@ -53,14 +53,14 @@
     )
 }
 
-fn list(name: &str, text: &str) -> PathBuf {
+fn write_list(name: &str, text: &str) -> PathBuf {
     let file = std::env::temp_dir().join(format!("rookferry-site-{}-{name}", std::process::id()));
     fs::write(&file, text).expect("a file");
     file
 }
 
 fn site(name: &str, text: &str, options: &[&str]) -> Output {
-    let file = list(name, text);
+    let file = write_list(name, text);
     let output = Command::new(env!("CARGO_BIN_EXE_rookferryctl"))
         .arg("site")
         .args(options)
@@ -73,15 +73,15 @@
 
 /// Three instances, one of them with another configuration, and an address without a
 /// listener.
-fn three() -> (String, [SocketAddr; 4]) {
-    let nobody = TcpListener::bind("127.0.0.1:0").expect("a listener");
-    let gone = nobody.local_addr().expect("an address");
-    drop(nobody);
+fn three_instances() -> (String, [SocketAddr; 4]) {
+    let unused = TcpListener::bind("127.0.0.1:0").expect("a listener");
+    let unreachable = unused.local_addr().expect("an address");
+    drop(unused);
     let addrs = [
-        instance(metrics(7, 1, 0)),
-        instance(metrics(7, 0, 0)),
-        instance(metrics(4, 0, 2)),
-        gone,
+        serve_metrics(metrics(7, 1, 0)),
+        serve_metrics(metrics(7, 0, 0)),
+        serve_metrics(metrics(4, 0, 2)),
+        unreachable,
     ];
     let labels = ["domain=a", "domain=a", "domain=b", "domain=b rack=9"];
     let lines = addrs.iter().zip(labels);
@@ -91,8 +91,8 @@
 }
 
 #[test]
-fn a_page_counts_instances_and_names_those_that_differ() {
-    let (text, addrs) = three();
+fn the_summary_counts_instances_and_lists_those_that_differ() {
+    let (text, addrs) = three_instances();
     let output = site("page", &text, &[]);
     assert!(output.status.success(), "{output:?}");
     assert_eq!(output.stderr, b"", "no progress bar without a terminal");
@@ -106,23 +106,26 @@
         "requests         9 under way, 45 answered".to_owned(),
         "refused          overloaded 6".to_owned(),
     ] {
-        assert!(page.lines().any(|told| told == line), "{line}\n{page}");
+        assert!(
+            page.lines().any(|printed| printed == line),
+            "{line}\n{page}"
+        );
     }
-    let silent = page.lines().find(|line| line.starts_with("no answer"));
-    let silent = silent.expect("a line for the instance without an answer");
-    assert!(silent.contains(&addrs[3].to_string()), "{page}");
+    let unanswered = page.lines().find(|line| line.starts_with("no answer"));
+    let unanswered = unanswered.expect("a line for the instance without an answer");
+    assert!(unanswered.contains(&addrs[3].to_string()), "{page}");
 }
 
 #[test]
-fn a_selector_chooses_instances_and_json_has_all() {
-    let (text, addrs) = three();
+fn a_selector_filters_instances_and_json_is_complete() {
+    let (text, addrs) = three_instances();
     let output = site("json", &text, &["--json", "--select", "domain=a"]);
     assert!(output.status.success(), "{output:?}");
-    let told: Value = serde_json::from_slice(&output.stdout).expect("JSON");
-    assert_eq!(told["asked"], 2);
-    assert_eq!(told["by_config"]["7"].as_array().map(Vec::len), Some(2));
-    assert_eq!(told["holders"][0], addrs[0].to_string());
-    assert_eq!(told["refusals"]["overloaded"], 4);
+    let printed: Value = serde_json::from_slice(&output.stdout).expect("JSON");
+    assert_eq!(printed["asked"], 2);
+    assert_eq!(printed["by_config"]["7"].as_array().map(Vec::len), Some(2));
+    assert_eq!(printed["holders"][0], addrs[0].to_string());
+    assert_eq!(printed["refusals"]["overloaded"], 4);
 }
 
 #[rstest]
@@ -130,23 +133,23 @@
 #[case::no_label("# x\n127.0.0.1:1 domain\n", &[], "line 2: domain is no label; write KEY=VALUE")]
 #[case::empty("# nothing\n", &[], "lists no instances")]
 #[case::no_match("127.0.0.1:1 domain=a\n", &["--select", "domain=b"], "no instance matches")]
-#[case::nobody("127.0.0.1:1 domain=a\n", &[], "none of 1 instances answered")]
+#[case::no_instance_answers("127.0.0.1:1 domain=a\n", &[], "none of 1 instances answered")]
 #[case::selector("127.0.0.1:1 domain=a\n", &["--select", "domain=("], "--select")]
-fn what_is_wrong_is_said_with_a_way_out(
+fn errors_state_the_problem_and_the_correction(
     #[case] text: &str,
     #[case] options: &[&str],
-    #[case] said: &str,
+    #[case] expected: &str,
 ) {
-    let name = said.replace(|letter: char| !letter.is_ascii_alphanumeric(), "-");
+    let name = expected.replace(|letter: char| !letter.is_ascii_alphanumeric(), "-");
     let output = site(&name, text, options);
     assert!(!output.status.success());
     let error = String::from_utf8(output.stderr).expect("text");
-    assert!(error.contains(said), "{error}");
+    assert!(error.contains(expected), "{error}");
 }
 
 #[test]
-fn an_address_that_isnt_an_instances_is_said_so() {
-    let addr = instance("some_metric 3\n".to_owned());
+fn an_address_of_another_service_is_reported() {
+    let addr = serve_metrics("some_metric 3\n".to_owned());
     let output = site("other", &format!("{addr}\n"), &[]);
     assert!(!output.status.success());
     let page = String::from_utf8(output.stdout).expect("text");
--- a/crates/rookferry_ctl/tests/trace.rs
+++ b/crates/rookferry_ctl/tests/trace.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_timeline_has_the_request_and_what_explains_it_and_nothing_else() {
+fn a_timeline_has_only_the_request_and_its_context() {
     let output = trace("known", "abc");
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).expect("text");
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_unknown_request_is_said_so() {
+fn an_unknown_request_is_reported() {
     let output = trace("unknown", "nobody");
     assert!(!output.status.success());
     let text = String::from_utf8(output.stderr).expect("text");
@@ -73,39 +73,40 @@
 }
 
 /// A directory with a log file per instance of `LOG`, one of them compressed.
-fn folder(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("rookferry-logs-{}-{name}", std::process::id()));
-    fs::create_dir_all(&folder).expect("a directory");
-    let of = |instance: &str| -> String {
-        let mark = format!("\"instance\":\"{instance}\"");
-        let lines = LOG.lines().filter(|line| line.contains(&mark));
+fn log_directory(name: &str) -> PathBuf {
+    let log_directory =
+        std::env::temp_dir().join(format!("rookferry-logs-{}-{name}", std::process::id()));
+    fs::create_dir_all(&log_directory).expect("a directory");
+    let lines_of = |instance: &str| -> String {
+        let field = format!("\"instance\":\"{instance}\"");
+        let lines = LOG.lines().filter(|line| line.contains(&field));
         lines.collect::<Vec<_>>().join("\n")
     };
-    fs::write(folder.join("n2.log"), of("n2")).expect("a file");
-    let file = fs::File::create(folder.join("n1.log.gz")).expect("a file");
+    fs::write(log_directory.join("n2.log"), lines_of("n2")).expect("a file");
+    let file = fs::File::create(log_directory.join("n1.log.gz")).expect("a file");
     let mut compressed = GzEncoder::new(file, Compression::fast());
     compressed
-        .write_all(of("n1").as_bytes())
+        .write_all(lines_of("n1").as_bytes())
         .expect("a compressed file");
     compressed.finish().expect("a compressed file");
-    folder
+    log_directory
 }
 
-fn trace_in(folder: &Path, options: &[&str]) -> Output {
+fn trace_in(log_directory: &Path, options: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_rookferryctl"))
         .arg("trace")
         .args(options)
         .arg("abc")
-        .arg(folder)
+        .arg(log_directory)
         .output()
         .expect("the program runs")
 }
 
 #[test]
-fn a_folder_of_logs_is_read_compressed_ones_too() {
-    let folder = folder("all");
-    let output = trace_in(&folder, &[]);
-    fs::remove_dir_all(&folder).expect("the directory exists");
+fn a_directory_of_plain_and_gzip_logs_is_read() {
+    let log_directory = log_directory("all");
+    let output = trace_in(&log_directory, &[]);
+    fs::remove_dir_all(&log_directory).expect("the directory exists");
     let text = String::from_utf8(output.stdout).expect("text");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 3, "{text}");
@@ -114,21 +115,21 @@
 }
 
 #[test]
-fn a_selector_leaves_the_request_and_what_it_matches() {
-    let folder = folder("some");
-    let output = trace_in(&folder, &["--select", "event=server_lost"]);
-    let wrong = trace_in(&folder, &["--select", "event in ("]);
-    fs::remove_dir_all(&folder).expect("the directory exists");
+fn a_selector_retains_the_request_and_matching_context() {
+    let log_directory = log_directory("some");
+    let output = trace_in(&log_directory, &["--select", "event=server_lost"]);
+    let invalid = trace_in(&log_directory, &["--select", "event in ("]);
+    fs::remove_dir_all(&log_directory).expect("the directory exists");
     let text = String::from_utf8(output.stdout).expect("text");
     assert_eq!(text.lines().count(), 2, "{text}");
     assert!(!text.contains("dependency_lost"), "{text}");
     assert!(text.contains("server_lost") && text.contains("stream_cut"));
-    assert!(!wrong.status.success());
+    assert!(!invalid.status.success());
 }
 
 #[test]
-fn more_surroundings_than_a_page_holds_are_cut_and_said_so() {
-    let folder = folder("many");
+fn context_lines_above_the_limit_are_dropped_with_a_warning() {
+    let log_directory = log_directory("many");
     let line = |number: usize| {
         format!(
             r#"{{"ts":"2026-01-01T10:00:01.{:03}000000Z","instance":"n1","event":"peer_lost","peer":"p{number}"}}"#,
@@ -136,9 +137,9 @@
         )
     };
     let lines: Vec<String> = (0..50_000).map(line).collect();
-    fs::write(folder.join("n1.more.log"), lines.join("\n")).expect("a file");
-    let output = trace_in(&folder, &[]);
-    fs::remove_dir_all(&folder).expect("the directory exists");
+    fs::write(log_directory.join("n1.more.log"), lines.join("\n")).expect("a file");
+    let output = trace_in(&log_directory, &[]);
+    fs::remove_dir_all(&log_directory).expect("the directory exists");
     let text = String::from_utf8(output.stdout).expect("text");
     assert_eq!(
         text.lines().count(),
@@ -147,34 +148,38 @@
     );
     assert!(text.contains("stream_cut") && text.contains("peer=p49999"));
     assert!(!text.contains("peer=p0,") && !text.contains("dependency_lost"));
-    let said = String::from_utf8(output.stderr).expect("text");
-    assert!(said.contains("give a shorter --window-ms"), "{said}");
+    let error = String::from_utf8(output.stderr).expect("text");
+    assert!(error.contains("give a shorter --window-ms"), "{error}");
 }
 
 #[test]
-fn a_pager_that_closes_early_is_no_failure() {
-    let folder = folder("pager");
-    let own = r#"{"ts":"2026-01-01T10:00:01.300000000Z","instance":"n1","event":"served","request":"abc"}"#;
-    fs::write(folder.join("n1.more.log"), format!("{own}\n").repeat(5_000)).expect("a file");
+fn a_pager_that_closes_early_is_not_an_error() {
+    let log_directory = log_directory("pager");
+    let request_line = r#"{"ts":"2026-01-01T10:00:01.300000000Z","instance":"n1","event":"served","request":"abc"}"#;
+    fs::write(
+        log_directory.join("n1.more.log"),
+        format!("{request_line}\n").repeat(5_000),
+    )
+    .expect("a file");
     let mut child = Command::new(env!("CARGO_BIN_EXE_rookferryctl"))
         .args(["trace", "abc"])
-        .arg(&folder)
+        .arg(&log_directory)
         .stdout(Stdio::piped())
         .spawn()
         .expect("the program runs");
     drop(child.stdout.take());
     let status = child.wait().expect("the program exits");
-    fs::remove_dir_all(&folder).expect("the directory exists");
+    fs::remove_dir_all(&log_directory).expect("the directory exists");
     assert!(status.success(), "{status}");
 }
 
 #[test]
-fn a_file_that_is_no_log_is_named() {
-    let folder = folder("gone");
-    let missing = folder.join("none.log");
+fn a_missing_file_is_named_in_the_error() {
+    let log_directory = log_directory("gone");
+    let missing = log_directory.join("none.log");
     let output = trace_in(&missing, &[]);
-    fs::remove_dir_all(&folder).expect("the directory exists");
+    fs::remove_dir_all(&log_directory).expect("the directory exists");
     assert!(!output.status.success());
-    let said = String::from_utf8(output.stderr).expect("text");
-    assert!(said.contains("none.log"), "{said}");
+    let error = String::from_utf8(output.stderr).expect("text");
+    assert!(error.contains("none.log"), "{error}");
 }
