--- a/crates/rookferry_ctl/src/site/overview.rs
+++ b/crates/rookferry_ctl/src/site/overview.rs
@@ -84,8 +84,8 @@
     }
 }
 
-fn add_to_group<K: Ord>(by: &mut BTreeMap<K, Vec<SocketAddr>>, key: K, addr: SocketAddr) {
-    by.entry(key).or_default().push(addr);
+fn add_to_group<K: Ord>(groups: &mut BTreeMap<K, Vec<SocketAddr>>, key: K, addr: SocketAddr) {
+    groups.entry(key).or_default().push(addr);
 }
 
 fn add_counts(sums: &mut BTreeMap<String, u64>, more: BTreeMap<String, u64>) {
--- a/crates/rookferry_ctl/src/trace/logs.rs
+++ b/crates/rookferry_ctl/src/trace/logs.rs
@@ -33,8 +33,8 @@
 }
 
 impl Logs {
-    /// Opens files, directories of files (not recursively) and, for `-`, standard input,
-    /// which is held in memory.
+    /// Collects files, the files of directories (not recursively) and, for `-`, standard
+    /// input, which is read into memory. Files are opened when lines are read.
     pub(super) fn open(paths: &[PathBuf]) -> Result<Self, CtlError> {
         let mut sources = Vec::new();
         for path in paths {
