--- a/crates/rookferry_ctl/src/args.rs
+++ b/crates/rookferry_ctl/src/args.rs
@@ -50,7 +50,7 @@
     },
     /// Summarise the metrics of all instances of a site.
     Site {
-        /// Version that the file is based on; the current one if omitted.
+        /// Include only matching instances, for example `domain=a and rack in (1, 2)`.
         #[arg(long, default_value = "")]
         select: Selector,
         /// Timeout for each instance's metrics, in milliseconds.
@@ -73,7 +73,7 @@
     },
     /// Print a request's timeline from the logs of the instances.
     Trace {
-        /// How long before the request context lines are included, in milliseconds.
+        /// Include context lines from this long before the request, in milliseconds.
         #[arg(long, default_value_t = 3_000)]
         window_ms: u64,
         /// Include only context lines whose fields match, such as
