--- a/crates/rookferry_burn/src/sample.rs
+++ b/crates/rookferry_burn/src/sample.rs
@@ -1,4 +1,4 @@
-//! Reads instances' counts.
+//! Reads the instances' objective counters and appends them to the file of samples.
 
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -13,8 +13,11 @@
 
 use crate::history::InstanceSample;
 
-const WAIT: Duration = Duration::from_secs(3);
+/// Timeout of a call to an instance.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
+/// Samples all `entries` once per round. Instances that can't be read are reported on
+/// standard error; a failed write to the file is returned as an error.
 pub(crate) async fn run(
     entries: &[SocketAddr],
     file: &Path,
@@ -22,19 +25,19 @@
     every: Duration,
 ) -> Result<(), String> {
     let client = HttpClient::new();
-    for number in 0..times {
-        if number > 0 {
+    for round in 0..times {
+        if round > 0 {
             tokio::time::sleep(every).await;
         }
         for entry in entries {
             match client
-                .get::<Vec<ObjectiveSample>>(*entry, "/v1/objectives", WAIT)
+                .get::<Vec<ObjectiveSample>>(*entry, "/v1/objectives", CALL_TIMEOUT)
                 .await
             {
                 Ok(objectives) => append(file, *entry, objectives)?,
-                // The others' counts still count; the report says how many
-                // instances it has seen.
-                Err(error) => eprintln!("rookferry-burn: {error}"),
+                // The other instances are sampled all the same; the report states how
+                // many instances it covers.
+                Err(error) => eprintln!("rookferry-burn: instance not sampled: {error}"),
             }
         }
     }
@@ -42,11 +45,11 @@
 }
 
 fn append(file: &Path, entry: SocketAddr, objectives: Vec<ObjectiveSample>) -> Result<(), String> {
-    let since = SystemTime::now()
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     let sample = InstanceSample {
-        at_ms: u64::try_from(since.as_millis()).unwrap_or(u64::MAX),
+        at_ms: u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX),
         instance: entry.to_string(),
         objectives,
     };
--- a/crates/rookferry_ctl/src/site/overview.rs
+++ b/crates/rookferry_ctl/src/site/overview.rs
@@ -1,4 +1,4 @@
-//! What the instances of a site tell together.
+//! The summary of a site: text by `Display`, JSON by serialisation.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,37 +6,42 @@
 
 use serde::Serialize;
 
-use super::figures::InstanceFigures;
+use super::metrics::InstanceMetrics;
 
-/// Addresses that a line of the page names; `--json` has all.
-const MOST_NAMED: usize = 8;
+/// Maximum number of addresses on a line of text; `--json` has all.
+const MAX_LISTED_ADDRESSES: usize = 8;
 
-/// What the instances of a site tell together.
+/// Metrics of a site, summed or grouped over its instances.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct SiteOverview {
-    /// Instances that were asked.
+    /// Number of queried instances.
     pub(crate) asked: usize,
-    /// Those that answered, by their software's version.
+    /// Instances that answered, by software version.
     pub(crate) by_software: BTreeMap<String, Vec<SocketAddr>>,
-    /// The same by their configuration's version.
+    /// The same by version of the active configuration.
     pub(crate) by_config: BTreeMap<u64, Vec<SocketAddr>>,
-    /// The same by how many instances they know.
+    /// The same by number of instances they know.
     pub(crate) by_known: BTreeMap<u64, Vec<SocketAddr>>,
-    /// The same by how many servers don't answer them.
+    /// The same by number of servers that don't answer them.
     pub(crate) by_servers_out: BTreeMap<u64, Vec<SocketAddr>>,
-    /// Those that order engines.
+    /// Lease holders, which order engines.
     pub(crate) holders: Vec<SocketAddr>,
-    /// The oldest word on the newest configuration, and whose it is.
+    /// The instance whose configuration was confirmed the longest ago, `None` if none
+    /// reports an age.
     pub(crate) oldest_config: Option<OldestConfig>,
+    /// Requests in progress.
     pub(crate) requests_under_way: u64,
+    /// Requests answered since the instances started.
     pub(crate) served: u64,
+    /// Requests refused since then, by cause.
     pub(crate) refusals: BTreeMap<String, u64>,
+    /// Retries since then, by outcome.
     pub(crate) retries: BTreeMap<String, u64>,
-    /// Those that didn't answer, and why.
+    /// Instances without an answer, and the cause.
     pub(crate) silent: BTreeMap<SocketAddr, String>,
 }
 
-/// The instance whose configuration was confirmed the longest ago.
+/// An instance, and seconds since its configuration was confirmed to be the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(crate) struct OldestConfig {
     pub(crate) addr: SocketAddr,
@@ -44,34 +49,34 @@
 }
 
 impl SiteOverview {
-    /// Takes an instance's answer in.
-    pub(crate) fn take(&mut self, addr: SocketAddr, answer: Result<InstanceFigures, String>) {
+    /// Adds an instance's metrics, or the cause why there are none.
+    pub(crate) fn add_result(&mut self, addr: SocketAddr, result: Result<InstanceMetrics, String>) {
         self.asked += 1;
-        match answer {
-            Ok(figures) => self.add(addr, figures),
+        match result {
+            Ok(metrics) => self.add_metrics(addr, metrics),
             Err(cause) => {
                 self.silent.insert(addr, cause);
             }
         }
     }
 
-    fn add(&mut self, addr: SocketAddr, figures: InstanceFigures) {
-        note(&mut self.by_software, figures.software, addr);
-        note(&mut self.by_config, figures.config_version, addr);
-        note(&mut self.by_known, figures.instances, addr);
-        note(&mut self.by_servers_out, figures.servers_out, addr);
-        if figures.is_holder {
+    fn add_metrics(&mut self, addr: SocketAddr, metrics: InstanceMetrics) {
+        add_to_group(&mut self.by_software, metrics.software, addr);
+        add_to_group(&mut self.by_config, metrics.config_version, addr);
+        add_to_group(&mut self.by_known, metrics.known_instances, addr);
+        add_to_group(&mut self.by_servers_out, metrics.unresponsive_servers, addr);
+        if metrics.holds_lease {
             self.holders.push(addr);
         }
-        if let Some(age_s) = figures.config_age_s
+        if let Some(age_s) = metrics.config_age_s
             && self.oldest_config.is_none_or(|oldest| oldest.age_s < age_s)
         {
             self.oldest_config = Some(OldestConfig { addr, age_s });
         }
-        self.requests_under_way += figures.requests;
-        self.served += figures.served;
-        add_all(&mut self.refusals, figures.refusals);
-        add_all(&mut self.retries, figures.retries);
+        self.requests_under_way += metrics.active_requests;
+        self.served += metrics.served;
+        add_counts(&mut self.refusals, metrics.refusals);
+        add_counts(&mut self.retries, metrics.retries);
     }
 
     fn answered(&self) -> usize {
@@ -79,11 +84,11 @@
     }
 }
 
-fn note<K: Ord>(by: &mut BTreeMap<K, Vec<SocketAddr>>, key: K, addr: SocketAddr) {
-    by.entry(key).or_default().push(addr);
+fn add_to_group<K: Ord>(groups: &mut BTreeMap<K, Vec<SocketAddr>>, key: K, addr: SocketAddr) {
+    groups.entry(key).or_default().push(addr);
 }
 
-fn add_all(sums: &mut BTreeMap<String, u64>, more: BTreeMap<String, u64>) {
+fn add_counts(sums: &mut BTreeMap<String, u64>, more: BTreeMap<String, u64>) {
     for (key, count) in more {
         *sums.entry(key).or_default() += count;
     }
@@ -103,7 +108,7 @@
         write_groups(f, "servers out", &self.by_servers_out)?;
         let holders = match self.holders.as_slice() {
             [] => "nobody".to_owned(),
-            holders => named(holders),
+            holders => list_addresses(holders),
         };
         write_line(f, "orders engines", &holders)?;
         let requests = format!(
@@ -124,7 +129,8 @@
     writeln!(f, "{title:<16} {text}")
 }
 
-/// One line a value: how many have it, and which if they are not the most.
+/// Writes one line per value: the number of instances with it, and their addresses
+/// unless no other value has more instances.
 fn write_groups<K: fmt::Display>(
     f: &mut fmt::Formatter<'_>,
     title: &str,
@@ -134,7 +140,7 @@
     for (value, addrs) in groups {
         let mut text = format!("{value}: {}", addrs.len());
         if addrs.len() < most {
-            text = format!("{text} ({})", named(addrs));
+            text = format!("{text} ({})", list_addresses(addrs));
         }
         write_line(f, title, &text)?;
     }
@@ -156,11 +162,15 @@
     write_line(f, title, &sums.join(", "))
 }
 
-/// The first few addresses, and how many more there are.
-fn named(addrs: &[SocketAddr]) -> String {
-    let first = addrs.iter().take(MOST_NAMED);
+/// Lists the first addresses, and the number of those left out.
+fn list_addresses(addrs: &[SocketAddr]) -> String {
+    let first = addrs.iter().take(MAX_LISTED_ADDRESSES);
     let mut names: Vec<String> = first.map(ToString::to_string).collect();
-    if let Some(more) = addrs.len().checked_sub(MOST_NAMED).filter(|more| *more > 0) {
+    if let Some(more) = addrs
+        .len()
+        .checked_sub(MAX_LISTED_ADDRESSES)
+        .filter(|more| *more > 0)
+    {
         names.push(format!("{more} more"));
     }
     names.join(", ")
--- a/crates/rookferry_ctl/src/status.rs
+++ b/crates/rookferry_ctl/src/status.rs
@@ -1,4 +1,4 @@
-//! Shows an instance's status.
+//! Prints an instance's status: the instance, its peers and its engines.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,11 +8,12 @@
 
 use crate::error::CtlError;
 
-const WAIT: Duration = Duration::from_secs(3);
+/// Timeout of the call to the instance.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 pub(crate) async fn show(client: &HttpClient, entry: SocketAddr) -> Result<(), CtlError> {
     let status: Value = client
-        .get(entry, "/v1/status", WAIT)
+        .get(entry, "/v1/status", CALL_TIMEOUT)
         .await
         .map_err(|source| CtlError::Entry { source })?;
     println!(
--- a/crates/rookferry_ctl/src/trace/line.rs
+++ b/crates/rookferry_ctl/src/trace/log_line.rs
@@ -1,4 +1,4 @@
-//! One line of a log.
+//! A parsed log line.
 
 use std::collections::BTreeSet;
 
@@ -7,11 +7,10 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// Fields that stand at the start of a line of the timeline, or say nothing
-/// beyond it.
-const HEAD_FIELDS: [&str; 7] = ["ts", "instance", "event", "msg", "level", "request", "part"];
-/// Events that change what an instance believes of its surroundings.
-const SURROUNDINGS: [&str; 13] = [
+/// Fields that are printed at the start of a timeline line, or that add nothing to it.
+const PREFIX_FIELDS: [&str; 7] = ["ts", "instance", "event", "msg", "level", "request", "part"];
+/// Events that change an instance's state or its view of its dependencies and peers.
+const CONTEXT_EVENTS: [&str; 13] = [
     "config_adopted",
     "config_older",
     "dependency_lost",
@@ -26,18 +25,18 @@
     "store_forgot",
     "store_watch_overdue",
 ];
-/// Fields that name servers.
-const SERVER_FIELDS: [&str; 4] = ["server", "addr", "path", "lost"];
+/// Fields with server addresses.
+const ADDRESS_FIELDS: [&str; 4] = ["server", "addr", "path", "lost"];
 
-/// A line of a log.
-pub(super) struct Line {
+/// A log line: a JSON object.
+pub(super) struct LogLine {
     fields: Map<String, Value>,
 }
 
-impl Line {
-    /// Reads a line; whatever collects logs may have put something before the
-    /// object. `None` if there is none.
-    pub(super) fn read(text: &str) -> Option<Self> {
+impl LogLine {
+    /// Parses a line. A log collector may have put a prefix before the object. `None`
+    /// if the line has no JSON object.
+    pub(super) fn parse(text: &str) -> Option<Self> {
         let object = &text[text.find('{')?..];
         let Ok(Value::Object(fields)) = serde_json::from_str(object) else {
             return None;
@@ -45,17 +44,17 @@
         Some(Self { fields })
     }
 
-    pub(super) fn text(&self, name: &str) -> Option<&str> {
+    pub(super) fn str_field(&self, name: &str) -> Option<&str> {
         self.fields.get(name)?.as_str()
     }
 
-    pub(super) fn number(&self, name: &str) -> Option<u64> {
+    pub(super) fn u64_field(&self, name: &str) -> Option<u64> {
         self.fields.get(name)?.as_u64()
     }
 
-    /// Milliseconds since midnight; enough to order the lines of one day.
+    /// Time in milliseconds since midnight, which orders the lines of one day.
     pub(super) fn time_ms(&self) -> Option<u64> {
-        let (_, time) = self.text("ts")?.split_once('T')?;
+        let (_, time) = self.str_field("ts")?.split_once('T')?;
         let mut parts = time.trim_end_matches('Z').split(':');
         let hours: u64 = parts.next()?.parse().ok()?;
         let minutes: u64 = parts.next()?.parse().ok()?;
@@ -65,49 +64,51 @@
         Some(((hours * 60 + minutes) * 60 + seconds) * 1_000 + millis)
     }
 
-    /// The servers that the line names; of a path, each of its stages.
+    /// Addresses of the servers that the line names, including each stage of a path.
     pub(super) fn servers(&self) -> impl Iterator<Item = &str> {
-        let values = SERVER_FIELDS.iter().filter_map(|name| self.text(name));
+        let values = ADDRESS_FIELDS
+            .iter()
+            .filter_map(|name| self.str_field(name));
         values
             .flat_map(|value| value.split(','))
             .map(|stage| stage.split('=').next().unwrap_or(stage))
     }
 
-    /// Whether the line tells of servers, or of an instance's surroundings, and
-    /// of no request.
-    pub(super) fn explains(&self, servers: &BTreeSet<String>) -> bool {
-        let is_about_servers = self.servers().any(|server| servers.contains(server));
-        let is_about_surroundings = self
-            .text("event")
-            .is_some_and(|event| SURROUNDINGS.contains(&event));
-        self.text("request").is_none() && (is_about_servers || is_about_surroundings)
+    /// Whether the line belongs to no request, and names one of `servers` or has an event
+    /// of `CONTEXT_EVENTS`.
+    pub(super) fn is_context(&self, servers: &BTreeSet<String>) -> bool {
+        let names_server = self.servers().any(|server| servers.contains(server));
+        let is_context_event = self
+            .str_field("event")
+            .is_some_and(|event| CONTEXT_EVENTS.contains(&event));
+        self.str_field("request").is_none() && (names_server || is_context_event)
     }
 
-    /// Whether a selector matches the line's fields that are texts.
+    /// Whether a selector matches the line's string fields.
     pub(super) fn matches(&self, selector: &Selector) -> bool {
         let texts = self.fields.iter();
         let texts = texts.filter_map(|(name, value)| Some((name.clone(), value.as_str()?.into())));
         selector.matches(&texts.collect::<Labels>())
     }
 
-    /// The line as the timeline shows it; `*` marks the request's own.
-    pub(super) fn describe(&self) -> String {
+    /// Formats the line for the timeline; `*` marks the request's own lines.
+    pub(super) fn format_entry(&self) -> String {
         let rest = self.fields.iter();
         let rest: Vec<String> = rest
-            .filter(|(name, _)| !HEAD_FIELDS.contains(&name.as_str()))
+            .filter(|(name, _)| !PREFIX_FIELDS.contains(&name.as_str()))
             .map(|(name, value)| match value {
                 Value::String(text) => format!("{name}={text}"),
                 other => format!("{name}={other}"),
             })
             .collect();
-        let head = |name| self.text(name).unwrap_or("-");
-        let mark = if self.fields.contains_key("request") {
+        let head = |name| self.str_field(name).unwrap_or("-");
+        let marker = if self.fields.contains_key("request") {
             "*"
         } else {
             " "
         };
         format!(
-            "{mark} {} {} {}: {}; {}",
+            "{marker} {} {} {}: {}; {}",
             head("ts"),
             head("instance"),
             head("event"),
