--- a/crates/rookferry_core/tests/admission.rs
+++ b/crates/rookferry_core/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Fair turns, bounded queues, honest waits, retry budgets.
+//! Admission of queued requests: shares of the accounts, eviction from a full queue, the
+//! expected wait and the retry budget.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,6 +12,7 @@
 use rookferry_core::FairQueue;
 use rookferry_core::RetryBudget;
 
+/// Dequeues up to `turns` requests and counts them by account.
 fn served(queue: &mut FairQueue<u32>, turns: usize) -> BTreeMap<String, usize> {
     let mut served = BTreeMap::new();
     for _ in 0..turns {
@@ -69,7 +71,7 @@
     let evicted = queue
         .push("quiet".into(), 1.0, 1.0, 0)
         .evicted
-        .expect("one is turned away");
+        .expect("a request is evicted");
     assert_eq!((&*evicted.account, evicted.item), ("flood", 9));
     assert_eq!(queue.len(), 10);
 }
@@ -99,7 +101,8 @@
         prop_assert!(seen == all, "{seen:?}");
     }
 
-    /// Equal accounts that always have work get equal turns, whoever floods.
+    /// Equal accounts that always have queued requests are served equally often,
+    /// however many each has queued.
     #[test]
     fn no_account_is_starved(depths in vec(1_usize..200, 2..6)) {
         let mut queue = FairQueue::new(10_000);
@@ -123,7 +126,7 @@
         drain.record_dequeue(start + Duration::from_millis(tenth * 100));
     }
     let now = start + Duration::from_mins(1);
-    let wait = drain.expected_wait(now, 100).expect("a rate is known");
+    let wait = drain.expected_wait(now, 100).expect("a measured rate");
     assert!(
         wait > Duration::from_secs(8) && wait < Duration::from_secs(13),
         "{wait:?}"
--- a/crates/rookferry_core/tests/body_source.rs
+++ b/crates/rookferry_core/tests/body_source.rs
@@ -1,4 +1,5 @@
-//! A new configuration that all of a failure domain want at once.
+//! Distribution of a new configuration when all members of a failure domain request it
+//! at once.
 
 use std::net::SocketAddr;
 
@@ -9,9 +10,9 @@
 use rookferry_core::BodySource;
 
 const MEMBERS: usize = 59;
-/// Time of one body over its sender's link alone.
+/// Transfer time of one body when nothing else uses the sender's link.
 const BODY_MS: u64 = 80;
-/// Pause of one that found nobody else.
+/// Mean pause of a member that was offered neither the body nor another source.
 const PAUSE_MS: u64 = 80;
 const VERSION: u64 = 2;
 
@@ -19,7 +20,8 @@
     SocketAddr::from(([10, 0, 0, 1], u16::try_from(1_000 + member).unwrap()))
 }
 
-/// A member that asks `source`, or gets a body from it until some time.
+/// What a member does: it requests the body from `source` at some time, receives it from
+/// there for some remaining time, or has it.
 #[derive(Clone, Copy)]
 enum Doing {
     Asks { source: usize, from_ms: u64 },
@@ -27,8 +29,8 @@
     HasIt,
 }
 
-/// Milliseconds until all members have what the first has; the link of each
-/// is shared by all that get the body from it.
+/// Milliseconds until all members have the body that at first only one has. Concurrent
+/// transfers from one member share its link.
 fn spread_ms(seed: u64) -> u64 {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut sources = vec![BodySource::new(); MEMBERS];
@@ -54,7 +56,7 @@
             *doing = match *doing {
                 Doing::Asks { source, from_ms } if from_ms <= now_ms => {
                     match sources[source].offer(VERSION) {
-                        // What others send meanwhile makes it longer.
+                        // Concurrent transfers from the same source make it longer.
                         BodyOffer::Body => Doing::Gets {
                             source,
                             left_ms: BODY_MS,
@@ -109,7 +111,7 @@
     assert_eq!(source.offer(2), BodyOffer::Body);
     assert_eq!(source.offer(2), BodyOffer::Body);
     assert_eq!(source.offer(2), BodyOffer::Elsewhere(Vec::new()));
-    // A body that didn't arrive frees its place and names nobody.
+    // A failed transfer frees its slot and adds no source.
     source.finish_transfer(2, None);
     assert_eq!(source.offer(2), BodyOffer::Body);
     assert_eq!(source.offer(2), BodyOffer::Elsewhere(Vec::new()));
--- a/crates/rookferry_core/tests/census.rs
+++ b/crates/rookferry_core/tests/census.rs
@@ -1,4 +1,5 @@
-//! Engines that come to be listed one by one: when they are planned with.
+//! When the first plan is made while engines are listed one by one: it must include all
+//! of them, and must not be delayed without bound.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,10 +10,10 @@
 use rstest::rstest;
 
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
-/// How often the holder looks.
+/// Interval at which the lease holder polls the list.
 const LOOK_EVERY: Duration = Duration::from_millis(60);
 
-/// An engine and when its entry is listed.
+/// An engine and the time at which its entry is listed.
 struct Listing {
     at: Duration,
     engine: LayoutEngine,
@@ -28,8 +29,8 @@
     }
 }
 
-/// Engines that are listed at even times until `last`, domain by domain in
-/// turn.
+/// Engines that are listed at equal intervals until `last`, alternating between the
+/// domains.
 fn even(domains: usize, per_domain: usize, last: Duration) -> Vec<Listing> {
     let count = domains * per_domain;
     let listing = |place: usize| Listing {
@@ -39,7 +40,8 @@
     (0..count).map(listing).collect()
 }
 
-/// Looks until the first plan; tells when it is made, and with how many.
+/// Polls until the first plan. Returns its time and its number of engines, or none if
+/// there is no plan by `until`.
 fn first_plan(listings: &[Listing], until: Duration) -> Option<(Duration, usize)> {
     let start = Instant::now();
     let mut census = FleetInventory::new(HEARTBEAT);
@@ -61,8 +63,8 @@
 #[case::of_a_hundred(3, 33)]
 #[case::of_hundreds(5, 44)]
 fn the_first_plan_is_made_with_all(#[case] domains: usize, #[case] per_domain: usize) {
-    // Each writes within a heartbeat of its start; a list that is late and a
-    // slow store add half as much.
+    // Each engine's entry is written within a heartbeat of its start; a late list and a
+    // slow store add half a heartbeat.
     let listings = even(domains, per_domain, HEARTBEAT.mul_f64(1.5));
     let (_, planned) = first_plan(&listings, HEARTBEAT * 10).expect("a plan is made");
     assert_eq!(planned, listings.len());
--- a/crates/rookferry_core/tests/claims.rs
+++ b/crates/rookferry_core/tests/claims.rs
@@ -1,5 +1,5 @@
-//! At most once: several instances claim the same keys while the platform
-//! loses requests and answers, delays writes and has outages.
+//! A key is granted at most once, although several instances claim it while the platform
+//! loses requests and responses, delays writes and has outages.
 
 use std::collections::BTreeMap;
 
@@ -30,18 +30,18 @@
 const WINDOW_MS: u64 = 1_000_000;
 const NOW_MS: u64 = 5_000_000;
 
-/// What becomes of a call to the platform.
+/// Outcome of a call to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fate {
-    /// It is taken and answered.
+    /// The call takes effect and its response arrives.
     Delivered,
-    /// It never arrives, and nobody can tell.
+    /// The call never arrives, which its caller can't tell from a lost response.
     RequestLost,
-    /// It takes effect and its answer is lost.
+    /// The call takes effect and its response is lost.
     AnswerLost,
-    /// Its answer is lost, and it takes effect only at the next call.
+    /// The response is lost, and the call takes effect only at the next call.
     Late,
-    /// The platform turns it away.
+    /// The platform refuses the call.
     Rejected,
 }
 
@@ -51,7 +51,7 @@
         writer: usize,
         key: usize,
     },
-    /// One instance asks another to write for it; the answer may be lost.
+    /// An instance requests another to write the claim; the response may be lost.
     Forward {
         writer: usize,
         home: usize,
@@ -106,9 +106,9 @@
     platform: Platform,
     instances: Vec<Instance>,
     next_ask: ClaimRequestId,
-    /// Key and nonce of each ask.
+    /// Key and nonce of each request.
     keys: BTreeMap<ClaimRequestId, (usize, u64)>,
-    /// Asks of a peer: who asked, and whether the answer gets lost.
+    /// Forwarded requests: the instance that sent each, and whether the response is lost.
     forwards: BTreeMap<ClaimRequestId, (usize, bool)>,
     answered: BTreeMap<ClaimRequestId, &'static str>,
     granted: BTreeMap<usize, Vec<u64>>,
@@ -213,7 +213,7 @@
             let (id, word) = match action {
                 ClaimAction::Put { .. } | ClaimAction::Get => {
                     let former = self.instances[writer].call.replace(action);
-                    assert_eq!(former, None, "one call is under way at a time");
+                    assert_eq!(former, None, "one call is in flight at a time");
                     continue;
                 }
                 ClaimAction::Granted { id } => (id, "granted"),
@@ -221,7 +221,7 @@
                 ClaimAction::Refused { id, .. } => (id, "refused"),
             };
             let former = self.answered.insert(id, word);
-            assert_eq!(former, None, "an ask is answered once");
+            assert_eq!(former, None, "a request gets one response");
             self.on_answer(id, word);
         }
     }
@@ -229,7 +229,7 @@
     fn on_answer(&mut self, id: ClaimRequestId, word: &'static str) {
         let (key, nonce) = self.keys[&id];
         match self.forwards.get(&id).copied() {
-            // The asker settles it itself, with the same nonce.
+            // Without a response, the sender claims the key itself with the same nonce.
             Some((owner, true)) => self.ask_with(owner, owner, key, nonce),
             Some((owner, false)) if word == "refused" => {
                 self.tell(owner, ClaimEvent::Withdraw { nonce });
@@ -239,7 +239,7 @@
         }
     }
 
-    /// The platform recovers and all calls are answered.
+    /// Delivers all calls until none is pending: the platform has recovered.
     fn settle(&mut self) {
         while self
             .instances
@@ -258,14 +258,20 @@
             assert!(grants.len() <= 1, "key {key} was granted to {grants:?}");
         }
         for id in self.keys.keys() {
-            assert!(self.answered.contains_key(id), "ask {id} waits for ever");
+            assert!(
+                self.answered.contains_key(id),
+                "request {id} got no response"
+            );
         }
         let value = self.platform.value.clone().unwrap_or_default();
         let object: ClaimObject = serde_json::from_value(value).unwrap_or_default();
         for (key, grants) in &self.granted {
             let kept = object.claims.get(&format!("key-{key}"));
-            let kept = kept.expect("a granted claim stays");
-            assert!(grants.contains(&kept.nonce), "key {key} is held by another");
+            let kept = kept.expect("a granted claim is stored");
+            assert!(
+                grants.contains(&kept.nonce),
+                "key {key} is claimed with another nonce"
+            );
         }
     }
 }
@@ -321,7 +327,7 @@
     }
 }
 
-/// Each fate of the first write, and of the read that settles it.
+/// Each outcome of the first write, and of the read that follows if its response is lost.
 #[rstest]
 fn a_write_is_settled_whatever_becomes_of_it(
     #[values(
@@ -352,7 +358,6 @@
     assert_eq!(first, expected);
 }
 
-/// Many asks that wait for one object share one write.
 #[test]
 fn asks_that_wait_share_a_write() {
     let mut world = World::new();
@@ -365,7 +370,6 @@
     assert_eq!(world.granted.len(), 50);
 }
 
-/// A key that was refused for an outage can be claimed once it is over.
 #[test]
 fn a_refused_key_is_free_after_the_outage() {
     let mut world = World::new();
@@ -445,7 +449,7 @@
     assert_eq!(fault, Err(expected));
 }
 
-/// What is deleted can hold no key that anyone would still take.
+/// A deleted object holds no key that an instance would still accept.
 #[test]
 fn only_expired_objects_are_deleted() {
     let now_ms = NOW_MS + 100_000_000;
@@ -459,12 +463,13 @@
     }
     for age_ms in (0..=WINDOW_MS).step_by(60_000) {
         let key = uuid_at(now_ms - age_ms);
-        let key = ClaimKey::parse("desk", &key, now_ms, WINDOW_MS).expect("a key of the window");
+        let key =
+            ClaimKey::parse("desk", &key, now_ms, WINDOW_MS).expect("a key within the window");
         assert!(!expired.contains(&key.object), "{age_ms} ms old");
     }
     let later = ClaimKey::expired_objects(now_ms + 10 * 60 * 1_000, WINDOW_MS);
     assert!(
         later.iter().any(|object| expired.contains(object)),
-        "missed ones are looked at again"
+        "objects missed by one cleanup are listed again"
     );
 }
--- a/crates/rookferry_core/tests/config.rs
+++ b/crates/rookferry_core/tests/config.rs
@@ -1,4 +1,5 @@
-//! Configurations: every fault with its path, and adoption only upward.
+//! Configurations: validation reports every error with its path, and only valid higher
+//! versions are adopted.
 
 use rookferry_core::AdoptOutcome;
 use rookferry_core::ConfigAdopter;
@@ -22,7 +23,7 @@
 
 #[test]
 fn a_sound_one_is_read() {
-    let config = SiteConfig::from_json(&sound().to_string()).expect("no faults");
+    let config = SiteConfig::from_json(&sound().to_string()).expect("no errors");
     assert_eq!(config.routes[0].deadline_ms, 30_000);
 }
 
@@ -55,7 +56,7 @@
     }
     config.pointer_mut(parent).expect("its parent")[key] = value;
     let faults = SiteConfig::from_json(&config.to_string())
-        .expect_err("a fault")
+        .expect_err("an error")
         .errors;
     assert!(faults.iter().any(|fault| fault.path == path), "{faults:?}");
 }
@@ -65,7 +66,7 @@
     let mut config = sound();
     config["routes"][0]["pool"] = json!("other");
     config["accounts"]["desk"]["weight"] = json!(-1);
-    let faults = SiteConfig::from_json(&config.to_string()).expect_err("faults");
+    let faults = SiteConfig::from_json(&config.to_string()).expect_err("errors");
     assert_eq!(faults.errors.len(), 2, "{faults}");
 }
 
--- a/crates/rookferry_core/tests/forecast.rs
+++ b/crates/rookferry_core/tests/forecast.rs
@@ -1,4 +1,4 @@
-//! What a chain of engines is expected to carry.
+//! Expected latency and throughput of a chain of engines.
 
 use rookferry_core::AcceleratorKind;
 use rookferry_core::ChainForecast;
@@ -7,6 +7,7 @@
 use rookferry_core::forecast;
 use rstest::rstest;
 
+/// Transfer time from one stage to the next.
 const HANDOVER_MS: f64 = 0.2;
 
 fn kind(step_factor: f64) -> AcceleratorKind {
@@ -54,8 +55,8 @@
 
 #[test]
 fn a_lone_request_takes_what_the_engines_take() {
-    // 800 tokens at 200 a millisecond and 0.32 million pairs; 50 rounds of
-    // four steps of 1.0095 ms, and half as much again for passes under way.
+    // Prefill: 800 tokens at 200 a millisecond and 0.32 million pairs. Decoding: 50
+    // rounds of four steps of 1.0095 ms, and half as much again for passes in flight.
     let found = chain(&kind(1.0), 1, 1.0);
     assert!((found.round_ms - 6.4).abs() < 0.3, "{found:?}");
     assert!((found.first_event_ms - 10.5).abs() < 0.5, "{found:?}");
--- a/crates/rookferry_core/tests/layout.rs
+++ b/crates/rookferry_core/tests/layout.rs
@@ -1,5 +1,5 @@
-//! Which engine holds which layers: whole domains, never over memory, and
-//! nothing moved without need.
+//! Layouts of a model's layers over engines: each failure domain covers all layers, no
+//! engine exceeds its memory, and no layers move without need.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -49,6 +49,8 @@
     }
 }
 
+/// Engines without layers; each domain has its name and its number of large, mid and
+/// small engines.
 fn fleet(domains: &[(&str, usize, usize, usize)]) -> Vec<LayoutEngine> {
     let mut engines = Vec::new();
     for (domain, large, mid, small) in domains {
@@ -206,7 +208,8 @@
     assert!(orders.iter().all(|order| order.engine != engines[0].engine));
 }
 
-/// Kinds as unlike as a site's can be: the slow one has the most memory.
+/// A model whose kinds of engine differ widely: the slowest has more memory than the next
+/// faster one.
 fn uneven_model() -> ModelShape {
     let mut model = model();
     for (name, memory_mb, factor) in [
@@ -261,6 +264,7 @@
     );
 }
 
+/// A shorter pause makes a chain of fewer concurrent requests and lower latency.
 #[test]
 fn a_short_pause_makes_a_chain_of_fewer_requests_and_less_time() {
     let model = uneven_model();
@@ -307,7 +311,7 @@
     let back = orders
         .iter()
         .find(|placement| &*placement.engine == "a-large-0");
-    let back = back.expect("an order for the engine that is back").layers;
+    let back = back.expect("an order for the engine that returned").layers;
     assert!(
         back.start < held.end && held.start < back.end,
         "{back:?} for {held:?}"
@@ -340,7 +344,7 @@
     };
     let count = (0..80).filter(is_held).count();
     assert!(count > 64, "{orders:?}");
-    // What stood stays where it is.
+    // Layers of the remaining engines stay held.
     assert!([0, 20, 50, 70].iter().all(is_held));
 }
 
@@ -353,7 +357,7 @@
         held(0, 16),
         held(16, 32),
         held(32, 48),
-        // 20 layers leave a large engine room for some ten requests.
+        // 20 layers leave a large engine cache for some ten requests.
         held(48, 68),
         held(68, 80),
         held(0, 9),
@@ -372,7 +376,7 @@
     assert!(covers(&engines, "a"));
 }
 
-/// The least room of a domain's layers, in tokens, by the holders of each.
+/// The cache capacity, in tokens, of the layer whose holders have the least together.
 fn least_room(model: &ModelShape, engines: &[LayoutEngine]) -> f64 {
     let room = |layer: u16| -> f64 {
         let holders = engines.iter().filter_map(|engine| {
@@ -385,8 +389,8 @@
     (0..80).map(room).fold(f64::INFINITY, f64::min)
 }
 
-/// Replays what a loss leaves: an engine that was widened to its last room, and
-/// neighbours that came back beside it with plenty.
+/// Starts from the state after a loss: one engine was widened until it had almost no
+/// cache left, and the neighbours that returned have plenty.
 #[test]
 fn a_widened_engine_gives_layers_to_its_neighbour() {
     let model = model();
@@ -409,7 +413,8 @@
         if orders.is_empty() {
             break;
         }
-        // Until an engine has loaded, what it held before is all that counts.
+        // While an engine loads, it serves only those of its new layers that it held
+        // before.
         let mut loading = engines.clone();
         for order in &orders {
             let engine = loading
@@ -432,7 +437,7 @@
     let after = least_room(&model, &engines);
     assert!(after > before * 3.0, "{before} tokens, then {after}");
     let orders = LayoutPlanner::new(&model).plan(&engines);
-    assert!(orders.is_empty(), "it comes to rest: {orders:?}");
+    assert!(orders.is_empty(), "the layout is stable: {orders:?}");
 }
 
 #[test]
@@ -449,7 +454,7 @@
     arrivals.observe(&all, now);
     assert!(
         !arrivals.is_returning(&"a".into(), now),
-        "what is first seen was there"
+        "engines of the first observation didn't return"
     );
     now += Duration::from_secs(5);
     arrivals.observe(&without_a, now);
@@ -464,7 +469,10 @@
     }
     now += window;
     arrivals.observe(&all, now);
-    assert!(!arrivals.is_returning(&"a".into(), now), "all are back");
+    assert!(
+        !arrivals.is_returning(&"a".into(), now),
+        "all have returned"
+    );
 }
 
 #[test]
@@ -523,7 +531,7 @@
 }
 
 proptest! {
-    /// Whatever engines hold, orders fit in memory and settle after a few rounds.
+    /// From any layers that engines hold, orders fit in memory and end within 40 rounds.
     #[test]
     fn whatever_stands_orders_fit_and_come_to_an_end(
         held in vec((any::<bool>(), 0..80_u16, 1..9_u16), 37)
@@ -544,7 +552,7 @@
             carry_out(&mut engines, &orders);
             assert_fits(&model, &engines);
             rounds += 1;
-            assert!(rounds < 40, "orders go on and on: {orders:?}");
+            assert!(rounds < 40, "orders don't end: {orders:?}");
         }
     }
 }
@@ -560,7 +568,7 @@
         engine.held = Some(LayerRange { start, end });
     }
     let model = model();
-    // A few plans, each when the orders of the one before are carried out.
+    // Each plan follows after the orders of the previous one are carried out.
     for _ in 0..3 {
         for placement in LayoutPlanner::new(&model).plan(&engines) {
             let engine = engines
--- a/crates/rookferry_core/tests/lease.rs
+++ b/crates/rookferry_core/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases: never two holders that may order an engine at once.
+//! Leases: no two holders may send orders to an engine at once.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -43,7 +43,7 @@
     Lease::new(name.into(), 1, TIMING)
 }
 
-/// One turn of an instance: it reads, and writes what its lease asks for.
+/// One round of an instance: it reads the object, and writes it if its lease requires so.
 fn turn(lease: &mut Lease, platform: &mut Platform, now: Instant, is_answer_lost: bool) {
     lease.on_read(now, platform.object.as_ref());
     let LeaseAction::Write { expected, object } = lease.next_action(now) else {
@@ -104,7 +104,7 @@
     assert_eq!(
         rerun.fence_for(start, true),
         None,
-        "the former run may still send"
+        "the former incarnation may still send orders"
     );
 }
 
@@ -127,8 +127,8 @@
 proptest! {
     #![proptest_config(proptest::prelude::ProptestConfig { cases: 2_000, ..Default::default() })]
 
-    /// An order checked by one holder may leave up to the pause bound later;
-    /// no other holder's order to an engine without fences may come before.
+    /// A holder may send an order up to the pause bound after it checked its lease. Until
+    /// then no other holder may order an engine that checks no fences.
     #[test]
     fn no_two_holders_order_an_unfenced_engine(ops in vec(op(), 1..80)) {
         let mut now = Instant::now();
@@ -143,10 +143,10 @@
                 Op::Pass { ms } => now += Duration::from_millis(ms),
             }
             let holders: Vec<usize> = (0..3).filter(|who| leases[*who].fence_for(now, false).is_some()).collect();
-            assert!(holders.len() <= 1, "{holders:?} hold it at once");
+            assert!(holders.len() <= 1, "{holders:?} hold the lease at once");
             if let Some(holder) = holders.first() {
                 if let Some((former, at)) = last_order && former != *holder {
-                    assert!(now >= at + TIMING.pause_bound, "{former} may still be sending");
+                    assert!(now >= at + TIMING.pause_bound, "{former} may still send orders");
                 }
                 last_order = Some((*holder, now));
             }
@@ -183,7 +183,7 @@
     let mut rival = lease("b");
     turn(&mut holder, &mut platform, start, false);
     turn(&mut rival, &mut platform, start, false);
-    let (expected, object) = holder.release().expect("it was held");
+    let (expected, object) = holder.release().expect("a held lease");
     assert_eq!(holder.fence_for(start, true), None);
     platform.put(expected, &object).expect("its version");
     turn(&mut rival, &mut platform, start, false);
--- a/crates/rookferry_core/tests/pipeline_paths.rs
+++ b/crates/rookferry_core/tests/pipeline_paths.rs
@@ -1,4 +1,5 @@
-//! Paths over engines that forward themselves: every layer once, in order.
+//! Paths over engines that forward to the next one: every layer runs once and in order,
+//! on an engine that holds it.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -153,7 +154,8 @@
 fn a_request_holds_only_the_layers_that_an_engine_runs() {
     let mut engines = [engine(0, "a", 0, 18), engine(1, "a", 16, 20)];
     engines[0].layer_step_ms = 0.01;
-    // Half of the second engine's layers are run, so half a request fits.
+    // The path runs half of the second engine's layers, so a request needs half
+    // the cache.
     engines[1].used_tokens = engines[1].cache_tokens - TOKENS * 0.6;
     let finder = PathFinder::new(LAYERS, &engines);
     let path = PipelinePath::new(vec![stage(0, 0, 18), stage(1, 18, 20)], LAYERS).expect("a path");
@@ -220,7 +222,8 @@
 }
 
 proptest! {
-    /// Paths are exact by their type; their engines hold what they run.
+    /// The type ensures that a path runs each layer once and in order; the search has to
+    /// choose engines that hold them.
     #[test]
     fn whatever_the_fleet_a_path_runs_on_engines_that_hold_it(engines in fleets()) {
         let home: DomainId = "a".into();
@@ -233,8 +236,8 @@
         }
     }
 
-    /// An address that is listed twice, once for a former process, is no reason
-    /// to find nothing: a path is lacking only where a layer is.
+    /// An address that is listed twice, once for a former process, doesn't prevent a
+    /// path: the search fails only if no engine holds some layer.
     #[test]
     fn a_path_is_found_wherever_all_layers_are_held(
         engines in fleets(),
@@ -273,10 +276,10 @@
     }
 }
 
-/// A few layers, so that all ways through them can be looked at.
+/// Few enough layers to enumerate all routes through them.
 const FEW_LAYERS: u16 = 5;
 
-/// Engines whose costs all differ.
+/// Fleets whose engines all differ in cost.
 fn small_fleets() -> impl Strategy<Value = Vec<PipelineEngine>> {
     let drawn = (
         0..FEW_LAYERS,
@@ -299,8 +302,8 @@
     })
 }
 
-/// All ways that go on from some stages to the last layer; engines may come
-/// again, which a path's may not.
+/// All routes that continue `stages` to the last layer. Unlike a path, a route may use an
+/// engine more than once.
 fn all_ways(engines: &[PipelineEngine], stages: &[PathStage]) -> Vec<Vec<PathStage>> {
     let start = stages.last().map_or(0, |stage| stage.layers.end);
     if start == FEW_LAYERS {
@@ -322,8 +325,8 @@
 }
 
 proptest! {
-    /// Where the cheapest way comes back to an engine the search may miss the
-    /// next one; it has to be a path all the same.
+    /// If the cheapest route uses an engine more than once, the search may miss the next
+    /// cheapest; what it finds must still be a path.
     #[test]
     fn the_cheapest_way_is_found_where_it_is_a_path(engines in small_fleets()) {
         let finder = PathFinder::new(FEW_LAYERS, &engines);
@@ -344,7 +347,7 @@
         let found_ms = found.map(|path| cost_ms(path.stages()));
         if PipelinePath::new(cheapest, FEW_LAYERS).is_ok() {
             let found_ms = found_ms.expect("a path");
-            assert!((found_ms - best_ms).abs() < 1e-6, "{found_ms} ms, and {best_ms} is there");
+            assert!((found_ms - best_ms).abs() < 1e-6, "found {found_ms} ms, cheapest {best_ms} ms");
         } else if let Ok(found_ms) = found_ms {
             assert!(found_ms >= best_ms);
         }
@@ -377,7 +380,7 @@
         stages.map(PathStage::addr).collect::<Vec<_>>()
     };
     assert_eq!(taken(&engines), [addr(0), addr(1)]);
-    // A whole path elsewhere is better than waiting.
+    // A path within another domain is preferred to waiting.
     engines.push(engine(3, "b", 0, 10));
     assert_eq!(taken(&engines), [addr(3), addr(2)]);
 }
--- a/crates/rookferry_core/tests/routing.rs
+++ b/crates/rookferry_core/tests/routing.rs
@@ -1,4 +1,5 @@
-//! The choice of chains, learned figures, the bound, and placement.
+//! Choice of chains, measured engine statistics, cache events, the throughput bound and
+//! placement.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -150,7 +151,7 @@
         ["a"]
     );
     let now = Instant::now();
-    // Twice the slots: fewer would share its steps at no cost.
+    // Twice the slots: fewer streams would share the engine's steps at no cost.
     for _ in 0..8 {
         engines[0].stats.record_stream_start(now);
     }
@@ -160,7 +161,7 @@
     );
 }
 
-/// Equal engines are not all chosen by all instances at once.
+/// Instances don't all choose the same one of equal engines.
 #[test]
 fn equal_engines_share_the_work() {
     let engines: Vec<Engine> = (0..4)
@@ -180,7 +181,7 @@
     assert!(counts.iter().all(|count| *count > 50), "{counts:?}");
 }
 
-/// A report counts streams at its own time; what was sent since is added.
+/// A report counts the streams at its own time; those started since are added.
 #[test]
 fn a_late_report_is_corrected_by_what_was_sent_since() {
     let stats = EngineStats::new();
@@ -197,7 +198,11 @@
         ..LoadReport::default()
     };
     stats.record_report(start + Duration::from_millis(600), &report);
-    assert_eq!(stats.streams(), 5 + 5, "own now, and five of others");
+    assert_eq!(
+        stats.streams(),
+        5 + 5,
+        "five own streams and five of others"
+    );
 }
 
 #[test]
@@ -232,12 +237,12 @@
     index.on_events(&engine, &events(vec![event(9, 5, true)]));
     assert!(
         index.holders(8).is_empty(),
-        "what came before the gap is gone"
+        "prefixes from before the gap are removed"
     );
     assert_eq!(index.holders(5), [engine]);
 }
 
-/// The bound by a plain search over all chains of two layers, for comparison.
+/// The expected values are the minimum cuts of the layer graphs.
 #[test]
 fn the_bound_is_the_weakest_cut() {
     let rated = |start, end, tokens_per_s| RatedEngine {
@@ -264,8 +269,8 @@
 }
 
 proptest! {
-    /// Whatever the ranges, a chain covers each layer once and in order, and
-    /// one is found whenever the live engines cover all layers.
+    /// For any ranges, a chain covers each layer once and in order, and one is found
+    /// whenever the live engines cover all layers.
     #[test]
     fn a_chain_covers_every_layer_once(
         ranges in vec((0_u16..LAYERS, 1_u16..=LAYERS), 1..12),
@@ -295,10 +300,10 @@
         "placement": [{"name": "all", "selector": "", "model": "scribe", "version": version,
             "layers": {"start": 0, "end": LAYERS}}],
     });
-    SiteConfig::from_json(&config.to_string()).expect("no faults")
+    SiteConfig::from_json(&config.to_string()).expect("no errors")
 }
 
-/// Engines that do what they are told, at once.
+/// Carries out all orders at once.
 fn obey(engines: &mut [Engine], orders: &[rookferry_core::PlannedOrder]) {
     for needed in orders {
         let engine = engines
@@ -315,7 +320,7 @@
     }
 }
 
-/// A new version is rolled out while enough engines serve at all times.
+/// While a new version is rolled out, at least one engine serves at all times.
 #[test]
 fn a_new_version_never_takes_all_engines_out() {
     let mut engines = vec![engine("a", 0, 6), engine("b", 0, 6), engine("c", 0, 6)];
@@ -337,7 +342,7 @@
         let serving = engines
             .iter()
             .filter(|one| !rookferry_core::is_draining(one));
-        assert!(serving.count() >= 1, "every engine is out");
+        assert!(serving.count() >= 1, "no engine serves");
     }
     let done = |one: &Engine| one.info.model_version == "2" && !rookferry_core::is_draining(one);
     assert!(engines.iter().all(done), "{engines:?}");
@@ -367,8 +372,8 @@
         }
         obey(&mut engines, &orders);
     }
-    // Counted from when the engine says that it drains, a turn after the order.
-    assert_eq!(loaded_at, Some(31), "only when its streams' time is over");
+    // Counted from the engine's report that it drains, one plan after the order.
+    assert_eq!(loaded_at, Some(31), "loads only after the drain timeout");
 }
 
 #[test]
@@ -387,8 +392,8 @@
     );
 }
 
-/// Found by the policy experiment: own streams that had not changed for longer
-/// than the history were counted twice, as others' too.
+/// Own streams that hadn't changed for longer than the history were counted twice, also
+/// as streams of other instances.
 #[test]
 fn steady_own_streams_are_not_taken_for_others() {
     let stats = EngineStats::new();
--- a/crates/rookferry_core/tests/selector.rs
+++ b/crates/rookferry_core/tests/selector.rs
@@ -1,4 +1,4 @@
-//! Selectors: what they match, and where their faults are.
+//! Selectors: which labels they match, and the column of each parse error.
 
 use proptest::prelude::any;
 use proptest::prop_assert;
@@ -34,7 +34,7 @@
 #[case("(tier = silver or zone = k-1) and not absent", true)]
 #[case("note = \"two words\"", true)]
 fn matches_as_written(#[case] text: &str, #[case] expected: bool) {
-    let selector: Selector = text.parse().expect("a sound selector");
+    let selector: Selector = text.parse().expect("a valid selector");
     assert_eq!(selector.matches(&labels()), expected);
     assert_eq!(selector.text(), text);
 }
@@ -49,7 +49,7 @@
 #[case("note = \"open", 8)]
 #[case("a and", 6)]
 fn names_the_column_of_a_fault(#[case] text: &str, #[case] column: usize) {
-    let fault = text.parse::<Selector>().expect_err("a fault");
+    let fault = text.parse::<Selector>().expect_err("an error");
     assert_eq!(fault.column, column, "{fault}");
 }
 
--- a/crates/rookferry_core/tests/stream.rs
+++ b/crates/rookferry_core/tests/stream.rs
@@ -1,5 +1,5 @@
-//! Exactly once for each token and layer: every fault at every exchange of a
-//! stream, pairs of faults, and another instance that takes over.
+//! Each token runs through each layer exactly once: with every fault at every exchange of
+//! a stream with an engine, with pairs of faults, and after another instance takes over.
 
 mod support;
 
@@ -30,13 +30,15 @@
     Fault::Twice,
 ];
 
-/// Exchanges of a stream without faults: three stages for each token.
+/// Number of exchanges of a stream without faults: three stages for each token.
 const EXCHANGES: usize = 3 * TOKENS as usize;
 
 fn run(faults: Vec<(usize, Fault)>) -> (Pipeline, StreamDriver, Ending) {
     let mut pipeline = Pipeline::new(faults);
     let mut driver = StreamDriver::new(pipeline.spec());
-    let ending = pipeline.run(&mut driver, None).expect("it ends");
+    let ending = pipeline
+        .run(&mut driver, None)
+        .expect("the stream finishes or is abandoned");
     pipeline.wake();
     (pipeline, driver, ending)
 }
@@ -66,7 +68,7 @@
     pipeline.assert_no_repeats();
 }
 
-/// Stages that weren't lost run nothing again, wherever another one was.
+/// The other stages run no position again, whichever stage is lost.
 #[rstest]
 fn only_the_lost_stage_runs_its_prefix_again(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] exchange: usize,
@@ -106,7 +108,7 @@
     }
 }
 
-/// Another instance resumes after the first one vanished at any exchange.
+/// Another instance resumes the stream after the first one stopped at any exchange.
 #[rstest]
 fn a_resumed_stream_gives_the_whole_answer_and_runs_nothing_twice(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] vanished_after: usize,
@@ -125,7 +127,7 @@
     }
 }
 
-/// An owner that wakes up after it was taken over for dead is refused.
+/// An owner that continues after another instance took over its stream is refused.
 #[test]
 fn a_paused_owner_is_fenced_by_who_took_over() {
     let mut pipeline = Pipeline::new(Vec::new());
@@ -149,7 +151,7 @@
     assert!(!paused.nothing_ran());
 }
 
-/// Work that the engines don't hold is never begun by a resume.
+/// A resume abandons a stream that the engines don't hold.
 #[test]
 fn a_resume_never_begins_work() {
     let mut pipeline = Pipeline::new(Vec::new());
@@ -160,7 +162,7 @@
     assert!(!driver.nothing_ran(), "another instance may have run it");
 }
 
-/// "Not run" is claimed only while each step was refused before it ran.
+/// A stream counts as not run only while each step was refused before it ran.
 #[rstest]
 #[case(Fault::Leaving, true)]
 #[case(Fault::Overloaded, true)]
@@ -175,7 +177,7 @@
     assert_eq!(driver.nothing_ran(), expected);
 }
 
-/// Answers of another attempt, engine or moment reach nobody.
+/// Responses from another engine, for another attempt or at another time are dropped.
 #[test]
 fn late_and_crossed_answers_are_dropped() {
     let pipeline = Pipeline::new(Vec::new());
@@ -227,8 +229,8 @@
     }
 }
 
-/// Found by the schedules above: the owner had moved to a newer attempt before
-/// it vanished, and the resume counted its own attempts from above that one.
+/// The owner had moved to a newer attempt before it stopped, so the resume has to count
+/// its own attempts from above that one.
 #[test]
 fn a_resume_that_meets_a_newer_attempt_opens_above_it() {
     let faults = [(1, Fault::AnswerLost), (8, Fault::AnswerLost)];
@@ -242,8 +244,8 @@
     assert_eq!(pipeline.shown, reference());
 }
 
-/// An owner that was paused after any exchange goes on once another instance
-/// has finished its stream: the stages refuse it, and nothing runs again.
+/// An owner that was paused after any exchange continues once another instance has
+/// finished its stream: the stages refuse it, and nothing runs again.
 #[rstest]
 fn a_paused_owner_that_goes_on_is_refused_by_the_stages(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)] paused_after: usize,
@@ -255,7 +257,7 @@
     let mut resumed = StreamDriver::resume(pipeline.spec(), 1);
     assert_eq!(pipeline.run(&mut resumed, None), Some(Ending::Finished));
     pipeline.shown = shown;
-    // What it had heard before the pause it may still show.
+    // The owner may still emit what it had received before the pause.
     let ending = pipeline.resume(&mut owner);
     assert_eq!(ending, Some(Ending::Abandoned(AbandonReason::TakenOver)));
     pipeline.assert_no_repeats();
--- a/crates/rookferry_core/tests/tickets.rs
+++ b/crates/rookferry_core/tests/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets: only the run that minted one dispatches it, and once.
+//! Tickets: only the incarnation that minted a ticket dispatches its request, and once.
 
 use std::time::Duration;
 use std::time::Instant;
