--- a/crates/rookferry_core/tests/admission.rs
+++ b/crates/rookferry_core/tests/admission.rs
@@ -12,10 +12,10 @@
 use rookferry_core::FairQueue;
 use rookferry_core::RetryBudget;
 
-/// Dequeues up to `turns` requests and counts them by account.
-fn served(queue: &mut FairQueue<u32>, turns: usize) -> BTreeMap<String, usize> {
+/// Dequeues up to `count` requests and counts them by account.
+fn dequeue(queue: &mut FairQueue<u32>, count: usize) -> BTreeMap<String, usize> {
     let mut served = BTreeMap::new();
-    for _ in 0..turns {
+    for _ in 0..count {
         let Some(next) = queue.pop() else {
             break;
         };
@@ -25,40 +25,40 @@
 }
 
 #[test]
-fn turns_follow_weights() {
+fn accounts_are_served_in_proportion_to_their_weights() {
     let mut queue = FairQueue::new(1_000);
     for number in 0..100 {
         queue.push("large".into(), 3.0, 1.0, number);
         queue.push("small".into(), 1.0, 1.0, number);
     }
-    let served = served(&mut queue, 80);
+    let served = dequeue(&mut queue, 80);
     assert_eq!(served["large"], 60);
     assert_eq!(served["small"], 20);
 }
 
 #[test]
-fn a_flood_waits_behind_itself() {
+fn a_flooding_account_waits_behind_its_own_requests() {
     let mut queue = FairQueue::new(1_000);
     for number in 0..500 {
         queue.push("flood".into(), 1.0, 1.0, number);
     }
     queue.push("quiet".into(), 1.0, 1.0, 0);
-    assert!(served(&mut queue, 2).contains_key("quiet"));
+    assert!(dequeue(&mut queue, 2).contains_key("quiet"));
 }
 
 #[test]
-fn long_work_counts_by_its_cost() {
+fn long_requests_count_by_their_cost() {
     let mut queue = FairQueue::new(1_000);
     for number in 0..20 {
         queue.push("long".into(), 1.0, 100.0, number);
         queue.push("short".into(), 1.0, 10.0, number);
     }
-    let served = served(&mut queue, 11);
+    let served = dequeue(&mut queue, 11);
     assert!(served["short"] >= 9, "{served:?}");
 }
 
 #[test]
-fn when_full_the_one_furthest_over_its_share_is_turned_away() {
+fn a_full_queue_evicts_from_the_account_furthest_over_its_share() {
     let mut queue = FairQueue::new(10);
     for number in 0..10 {
         assert!(
@@ -78,27 +78,27 @@
 
 proptest! {
     #[test]
-    fn nothing_is_lost_or_doubled(
+    fn each_request_is_dequeued_or_evicted_exactly_once(
         pushes in vec((0_usize..5, 1_u32..50), 1..200),
         limit in 1_usize..50,
     ) {
         let mut queue = FairQueue::new(limit);
-        let mut seen = Vec::new();
+        let mut removed = Vec::new();
         for (number, (account, cost)) in pushes.iter().enumerate() {
             let account = format!("account-{account}");
             let pushed = queue.push(account.as_str().into(), 1.0, f64::from(*cost), number);
-            seen.extend(pushed.evicted.map(|waiting| waiting.item));
+            removed.extend(pushed.evicted.map(|waiting| waiting.item));
             prop_assert!(queue.len() <= limit);
             if number % 3 == 0 {
-                seen.extend(queue.pop().map(|waiting| waiting.item));
+                removed.extend(queue.pop().map(|waiting| waiting.item));
             }
         }
         while let Some(waiting) = queue.pop() {
-            seen.push(waiting.item);
+            removed.push(waiting.item);
         }
-        seen.sort_unstable();
+        removed.sort_unstable();
         let all: Vec<usize> = (0..pushes.len()).collect();
-        prop_assert!(seen == all, "{seen:?}");
+        prop_assert!(removed == all, "{removed:?}");
     }
 
     /// Equal accounts that always have queued requests are served equally often,
@@ -112,13 +112,13 @@
                 queue.push(name.as_str().into(), 1.0, 1.0, u32::try_from(number).unwrap_or(0));
             }
         }
-        let served = served(&mut queue, depths.len() * 30);
-        prop_assert!(served.values().all(|turns| *turns == 30), "{served:?}");
+        let served = dequeue(&mut queue, depths.len() * 30);
+        prop_assert!(served.values().all(|count| *count == 30), "{served:?}");
     }
 }
 
 #[test]
-fn the_wait_follows_the_drain() {
+fn the_expected_wait_follows_the_drain_rate() {
     let start = Instant::now();
     let mut drain = DrainRate::new();
     assert_eq!(drain.expected_wait(start, 5), None);
@@ -135,17 +135,17 @@
 }
 
 #[test]
-fn retries_are_a_share_of_fresh_work() {
+fn retries_are_limited_to_a_share_of_new_requests() {
     let budget = RetryBudget::new();
-    let saved = std::iter::repeat_with(|| budget.try_withdraw())
-        .take_while(|spent| *spent)
+    let initial = std::iter::repeat_with(|| budget.try_withdraw())
+        .take_while(|is_granted| *is_granted)
         .count();
-    assert_eq!(saved, 20);
+    assert_eq!(initial, 20);
     for _ in 0..100 {
         budget.deposit(0.1);
     }
-    let earned = std::iter::repeat_with(|| budget.try_withdraw())
-        .take_while(|spent| *spent)
+    let deposited = std::iter::repeat_with(|| budget.try_withdraw())
+        .take_while(|is_granted| *is_granted)
         .count();
-    assert_eq!(earned, 10);
+    assert_eq!(deposited, 10);
 }
--- a/crates/rookferry_core/tests/body_source.rs
+++ b/crates/rookferry_core/tests/body_source.rs
@@ -1,5 +1,6 @@
 //! Distribution of a new configuration when all members of a failure domain request it
-//! at once.
+//! at once. One source would send 58 bodies over its link, so members that have the body
+//! must serve the others.
 
 use std::net::SocketAddr;
 
@@ -23,63 +24,70 @@
 /// What a member does: it requests the body from `source` at some time, receives it from
 /// there for some remaining time, or has it.
 #[derive(Clone, Copy)]
-enum Doing {
-    Asks { source: usize, from_ms: u64 },
-    Gets { source: usize, left_ms: u64 },
-    HasIt,
+enum MemberState {
+    Requesting { source: usize, from_ms: u64 },
+    Receiving { source: usize, left_ms: u64 },
+    Complete,
 }
 
 /// Milliseconds until all members have the body that at first only one has. Concurrent
 /// transfers from one member share its link.
-fn spread_ms(seed: u64) -> u64 {
+fn distribution_ms(seed: u64) -> u64 {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut sources = vec![BodySource::new(); MEMBERS];
-    let mut doing = vec![
-        Doing::Asks {
+    let mut states = vec![
+        MemberState::Requesting {
             source: 0,
             from_ms: 0
         };
         MEMBERS
     ];
-    doing[0] = Doing::HasIt;
+    states[0] = MemberState::Complete;
     for now_ms in 0..60_000 {
-        if doing.iter().all(|doing| matches!(doing, Doing::HasIt)) {
+        if states
+            .iter()
+            .all(|state| matches!(state, MemberState::Complete))
+        {
             return now_ms;
         }
-        let mut sending = vec![0_u64; MEMBERS];
-        for member in &doing {
-            if let Doing::Gets { source, .. } = member {
-                sending[*source] += 1;
+        let mut transfers = vec![0_u64; MEMBERS];
+        for state in &states {
+            if let MemberState::Receiving { source, .. } = state {
+                transfers[*source] += 1;
             }
         }
-        for (member, doing) in doing.iter_mut().enumerate() {
-            *doing = match *doing {
-                Doing::Asks { source, from_ms } if from_ms <= now_ms => {
+        for (member, state) in states.iter_mut().enumerate() {
+            *state = match *state {
+                MemberState::Requesting { source, from_ms } if from_ms <= now_ms => {
                     match sources[source].offer(VERSION) {
                         // Concurrent transfers from the same source make it longer.
-                        BodyOffer::Body => Doing::Gets {
+                        BodyOffer::Body => MemberState::Receiving {
                             source,
                             left_ms: BODY_MS,
                         },
-                        BodyOffer::Elsewhere(others) if others.is_empty() => Doing::Asks {
-                            source,
-                            from_ms: now_ms + rng.random_range(PAUSE_MS / 2..PAUSE_MS * 3 / 2),
-                        },
+                        BodyOffer::Elsewhere(others) if others.is_empty() => {
+                            MemberState::Requesting {
+                                source,
+                                from_ms: now_ms + rng.random_range(PAUSE_MS / 2..PAUSE_MS * 3 / 2),
+                            }
+                        }
                         BodyOffer::Elsewhere(others) => {
                             let other = others[rng.random_range(0..others.len())];
-                            Doing::Asks {
+                            MemberState::Requesting {
                                 source: usize::from(other.port()) - 1_000,
                                 from_ms: now_ms + 2,
                             }
                         }
                     }
                 }
-                Doing::Gets { source, left_ms: 0 } => {
+                MemberState::Receiving { source, left_ms: 0 } => {
                     sources[source].finish_transfer(VERSION, Some(addr(member)));
-                    Doing::HasIt
+                    MemberState::Complete
                 }
-                Doing::Gets { source, left_ms } if now_ms % sending[source].max(1) == 0 => {
-                    Doing::Gets {
+                MemberState::Receiving { source, left_ms }
+                    if now_ms % transfers[source].max(1) == 0 =>
+                {
+                    MemberState::Receiving {
                         source,
                         left_ms: left_ms - 1,
                     }
@@ -92,19 +100,19 @@
 }
 
 #[test]
-fn a_body_reaches_all_of_a_large_domain_in_a_fraction_of_the_first_ones_time() {
-    let first_alone_ms = BODY_MS * u64::try_from(MEMBERS - 1).unwrap();
+fn a_body_reaches_a_large_domain_in_a_quarter_of_the_time_of_a_single_source() {
+    let single_source_ms = BODY_MS * u64::try_from(MEMBERS - 1).unwrap();
     for seed in 0..5 {
-        let spread_ms = spread_ms(seed);
+        let distribution_ms = distribution_ms(seed);
         assert!(
-            spread_ms * 4 < first_alone_ms,
-            "{spread_ms} ms of {first_alone_ms} ms"
+            distribution_ms * 4 < single_source_ms,
+            "{distribution_ms} ms of {single_source_ms} ms"
         );
     }
 }
 
 #[test]
-fn a_newer_version_is_not_asked_of_those_that_have_the_older() {
+fn holders_of_an_older_version_are_not_offered_as_sources_of_a_newer_one() {
     let mut source = BodySource::new();
     assert_eq!(source.offer(1), BodyOffer::Body);
     source.finish_transfer(1, Some(addr(1)));
--- a/crates/rookferry_core/tests/claims.rs
+++ b/crates/rookferry_core/tests/claims.rs
@@ -32,35 +32,35 @@
 
 /// Outcome of a call to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum CallOutcome {
     /// The call takes effect and its response arrives.
     Delivered,
     /// The call never arrives, which its caller can't tell from a lost response.
     RequestLost,
     /// The call takes effect and its response is lost.
-    AnswerLost,
-    /// The response is lost, and the call takes effect only at the next call.
-    Late,
+    ResponseLost,
+    /// The response is lost, and the call takes effect only just before the next call.
+    Delayed,
     /// The platform refuses the call.
     Rejected,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Op {
-    Ask {
+    Request {
         writer: usize,
         key: usize,
     },
     /// An instance requests another to write the claim; the response may be lost.
     Forward {
         writer: usize,
-        home: usize,
+        peer: usize,
         key: usize,
-        is_reply_lost: bool,
+        is_response_lost: bool,
     },
     Call {
         writer: usize,
-        fate: Fate,
+        outcome: CallOutcome,
     },
 }
 
@@ -68,7 +68,7 @@
 struct Platform {
     version: ObjectVersion,
     value: Option<Value>,
-    late: Vec<(ObjectVersion, Value)>,
+    delayed: Vec<(ObjectVersion, Value)>,
 }
 
 impl Platform {
@@ -90,8 +90,8 @@
         true
     }
 
-    fn land_late(&mut self) {
-        for (expected, value) in std::mem::take(&mut self.late) {
+    fn apply_delayed(&mut self) {
+        for (expected, value) in std::mem::take(&mut self.delayed) {
             let _ = self.put(expected, value);
         }
     }
@@ -105,12 +105,12 @@
 struct World {
     platform: Platform,
     instances: Vec<Instance>,
-    next_ask: ClaimRequestId,
+    next_request: ClaimRequestId,
     /// Key and nonce of each request.
     keys: BTreeMap<ClaimRequestId, (usize, u64)>,
     /// Forwarded requests: the instance that sent each, and whether the response is lost.
     forwards: BTreeMap<ClaimRequestId, (usize, bool)>,
-    answered: BTreeMap<ClaimRequestId, &'static str>,
+    responses: BTreeMap<ClaimRequestId, &'static str>,
     granted: BTreeMap<usize, Vec<u64>>,
 }
 
@@ -123,41 +123,41 @@
         Self {
             platform: Platform::default(),
             instances: (0..WRITERS).map(instance).collect(),
-            next_ask: 0,
+            next_request: 0,
             keys: BTreeMap::new(),
             forwards: BTreeMap::new(),
-            answered: BTreeMap::new(),
+            responses: BTreeMap::new(),
             granted: BTreeMap::new(),
         }
     }
 
     fn apply(&mut self, op: Op) {
         match op {
-            Op::Ask { writer, key } => self.ask(writer, key),
+            Op::Request { writer, key } => self.request(writer, key),
             Op::Forward {
                 writer,
-                home,
+                peer,
                 key,
-                is_reply_lost,
-            } => self.forward(writer, home, key, is_reply_lost),
-            Op::Call { writer, fate } => self.call(writer, fate),
+                is_response_lost,
+            } => self.forward(writer, peer, key, is_response_lost),
+            Op::Call { writer, outcome } => self.call(writer, outcome),
         }
     }
 
-    fn ask(&mut self, writer: usize, key: usize) {
-        let nonce = self.next_ask;
-        self.ask_with(writer, writer, key, nonce);
+    fn request(&mut self, writer: usize, key: usize) {
+        let nonce = self.next_request;
+        self.request_with(writer, writer, key, nonce);
     }
 
-    fn forward(&mut self, writer: usize, home: usize, key: usize, is_reply_lost: bool) {
-        let nonce = self.next_ask;
-        self.forwards.insert(nonce, (writer, is_reply_lost));
-        self.ask_with(writer, home, key, nonce);
+    fn forward(&mut self, writer: usize, peer: usize, key: usize, is_response_lost: bool) {
+        let nonce = self.next_request;
+        self.forwards.insert(nonce, (writer, is_response_lost));
+        self.request_with(writer, peer, key, nonce);
     }
 
-    fn ask_with(&mut self, owner: usize, writer: usize, key: usize, nonce: u64) {
-        let id = self.next_ask;
-        self.next_ask += 1;
+    fn request_with(&mut self, owner: usize, writer: usize, key: usize, nonce: u64) {
+        let id = self.next_request;
+        self.next_request += 1;
         self.keys.insert(id, (key, nonce));
         let event = ClaimEvent::Request {
             id,
@@ -165,52 +165,54 @@
             claim: claim(owner, nonce),
             is_forwarded: self.forwards.contains_key(&id),
         };
-        self.tell(writer, event);
-        self.tell(writer, ClaimEvent::Flush);
+        self.deliver(writer, event);
+        self.deliver(writer, ClaimEvent::Flush);
     }
 
-    fn call(&mut self, writer: usize, fate: Fate) {
+    fn call(&mut self, writer: usize, outcome: CallOutcome) {
         let Some(call) = self.instances[writer].call.take() else {
             return;
         };
-        self.platform.land_late();
+        self.platform.apply_delayed();
         let event = match call {
-            ClaimAction::Put { expected, value } => self.put(expected, value, fate),
-            _ => match fate {
-                Fate::Delivered => ClaimEvent::Read {
+            ClaimAction::Put { expected, value } => self.put(expected, value, outcome),
+            _ => match outcome {
+                CallOutcome::Delivered => ClaimEvent::Read {
                     current: self.platform.object(),
                 },
                 _ => ClaimEvent::ReadFailed,
             },
         };
-        self.tell(writer, event);
+        self.deliver(writer, event);
     }
 
-    fn put(&mut self, expected: ObjectVersion, value: Value, fate: Fate) -> ClaimEvent {
-        match fate {
-            Fate::Delivered if self.platform.put(expected, value.clone()) => ClaimEvent::Written {
-                version: self.platform.version,
-            },
-            Fate::Delivered => ClaimEvent::Conflict {
+    fn put(&mut self, expected: ObjectVersion, value: Value, outcome: CallOutcome) -> ClaimEvent {
+        match outcome {
+            CallOutcome::Delivered if self.platform.put(expected, value.clone()) => {
+                ClaimEvent::Written {
+                    version: self.platform.version,
+                }
+            }
+            CallOutcome::Delivered => ClaimEvent::Conflict {
                 current: self.platform.object(),
             },
-            Fate::AnswerLost => {
+            CallOutcome::ResponseLost => {
                 let _ = self.platform.put(expected, value);
                 ClaimEvent::WriteLost
             }
-            Fate::Late => {
-                self.platform.late.push((expected, value));
+            CallOutcome::Delayed => {
+                self.platform.delayed.push((expected, value));
                 ClaimEvent::WriteLost
             }
-            Fate::RequestLost => ClaimEvent::WriteLost,
-            Fate::Rejected => ClaimEvent::WriteRejected,
+            CallOutcome::RequestLost => ClaimEvent::WriteLost,
+            CallOutcome::Rejected => ClaimEvent::WriteRejected,
         }
     }
 
-    fn tell(&mut self, writer: usize, event: ClaimEvent) {
+    fn deliver(&mut self, writer: usize, event: ClaimEvent) {
         let actions = self.instances[writer].writer.on_event(NOW_MS, event);
         for action in actions {
-            let (id, word) = match action {
+            let (id, response) = match action {
                 ClaimAction::Put { .. } | ClaimAction::Get => {
                     let former = self.instances[writer].call.replace(action);
                     assert_eq!(former, None, "one call is in flight at a time");
@@ -220,21 +222,21 @@
                 ClaimAction::Taken { id, .. } => (id, "taken"),
                 ClaimAction::Refused { id, .. } => (id, "refused"),
             };
-            let former = self.answered.insert(id, word);
+            let former = self.responses.insert(id, response);
             assert_eq!(former, None, "a request gets one response");
-            self.on_answer(id, word);
+            self.on_response(id, response);
         }
     }
 
-    fn on_answer(&mut self, id: ClaimRequestId, word: &'static str) {
+    fn on_response(&mut self, id: ClaimRequestId, response: &'static str) {
         let (key, nonce) = self.keys[&id];
         match self.forwards.get(&id).copied() {
             // Without a response, the sender claims the key itself with the same nonce.
-            Some((owner, true)) => self.ask_with(owner, owner, key, nonce),
-            Some((owner, false)) if word == "refused" => {
-                self.tell(owner, ClaimEvent::Withdraw { nonce });
+            Some((owner, true)) => self.request_with(owner, owner, key, nonce),
+            Some((owner, false)) if response == "refused" => {
+                self.deliver(owner, ClaimEvent::Withdraw { nonce });
             }
-            _ if word == "granted" => self.granted.entry(key).or_default().push(nonce),
+            _ if response == "granted" => self.granted.entry(key).or_default().push(nonce),
             _ => {}
         }
     }
@@ -247,10 +249,10 @@
             .any(|instance| instance.call.is_some())
         {
             for writer in 0..WRITERS {
-                self.call(writer, Fate::Delivered);
+                self.call(writer, CallOutcome::Delivered);
             }
         }
-        self.platform.land_late();
+        self.platform.apply_delayed();
     }
 
     fn check(&self) {
@@ -259,28 +261,28 @@
         }
         for id in self.keys.keys() {
             assert!(
-                self.answered.contains_key(id),
+                self.responses.contains_key(id),
                 "request {id} got no response"
             );
         }
         let value = self.platform.value.clone().unwrap_or_default();
         let object: ClaimObject = serde_json::from_value(value).unwrap_or_default();
         for (key, grants) in &self.granted {
-            let kept = object.claims.get(&format!("key-{key}"));
-            let kept = kept.expect("a granted claim is stored");
+            let stored = object.claims.get(&format!("key-{key}"));
+            let stored = stored.expect("a granted claim is stored");
             assert!(
-                grants.contains(&kept.nonce),
+                grants.contains(&stored.nonce),
                 "key {key} is claimed with another nonce"
             );
         }
     }
 }
 
-fn claim(writer: usize, ask: ClaimRequestId) -> Claim {
+fn claim(writer: usize, id: ClaimRequestId) -> Claim {
     Claim {
         owner: format!("entry-{writer}").into(),
         incarnation: 1,
-        nonce: ask,
+        nonce: id,
         body_digest: String::new(),
         stream: None,
         chain: Vec::new(),
@@ -289,27 +291,27 @@
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let fate = prop_oneof![
-        4 => Just(Fate::Delivered),
-        1 => Just(Fate::RequestLost),
-        2 => Just(Fate::AnswerLost),
-        2 => Just(Fate::Late),
-        1 => Just(Fate::Rejected),
+    let outcome = prop_oneof![
+        4 => Just(CallOutcome::Delivered),
+        1 => Just(CallOutcome::RequestLost),
+        2 => Just(CallOutcome::ResponseLost),
+        2 => Just(CallOutcome::Delayed),
+        1 => Just(CallOutcome::Rejected),
     ];
     prop_oneof![
-        (0..WRITERS, 0_usize..3).prop_map(|(writer, key)| Op::Ask { writer, key }),
+        (0..WRITERS, 0_usize..3).prop_map(|(writer, key)| Op::Request { writer, key }),
         (0..WRITERS, 1..WRITERS, 0_usize..3, any::<bool>()).prop_map(
-            |(writer, step, key, is_reply_lost)| {
-                let home = (writer + step) % WRITERS;
+            |(writer, step, key, is_response_lost)| {
+                let peer = (writer + step) % WRITERS;
                 Op::Forward {
                     writer,
-                    home,
+                    peer,
                     key,
-                    is_reply_lost,
+                    is_response_lost,
                 }
             }
         ),
-        (0..WRITERS, fate).prop_map(|(writer, fate)| Op::Call { writer, fate }),
+        (0..WRITERS, outcome).prop_map(|(writer, outcome)| Op::Call { writer, outcome }),
     ]
 }
 
@@ -329,28 +331,28 @@
 
 /// Each outcome of the first write, and of the read that follows if its response is lost.
 #[rstest]
-fn a_write_is_settled_whatever_becomes_of_it(
+fn a_claim_is_settled_for_any_outcome_of_its_write(
     #[values(
-        Fate::Delivered,
-        Fate::RequestLost,
-        Fate::AnswerLost,
-        Fate::Late,
-        Fate::Rejected
+        CallOutcome::Delivered,
+        CallOutcome::RequestLost,
+        CallOutcome::ResponseLost,
+        CallOutcome::Delayed,
+        CallOutcome::Rejected
     )]
-    write: Fate,
-    #[values(Fate::Delivered, Fate::RequestLost)] read: Fate,
+    write: CallOutcome,
+    #[values(CallOutcome::Delivered, CallOutcome::RequestLost)] read: CallOutcome,
 ) {
     let mut world = World::new();
-    world.ask(0, 0);
-    world.call(0, Fate::Delivered);
+    world.request(0, 0);
+    world.call(0, CallOutcome::Delivered);
     world.call(0, write);
     world.call(0, read);
-    world.ask(1, 0);
+    world.request(1, 0);
     world.settle();
     world.check();
-    let first = world.answered[&0];
-    let is_settled = write != Fate::Rejected && read == Fate::Delivered;
-    let expected = if write == Fate::Delivered || is_settled {
+    let first = world.responses[&0];
+    let is_settled = write != CallOutcome::Rejected && read == CallOutcome::Delivered;
+    let expected = if write == CallOutcome::Delivered || is_settled {
         "granted"
     } else {
         "refused"
@@ -359,33 +361,33 @@
 }
 
 #[test]
-fn asks_that_wait_share_a_write() {
+fn pending_requests_share_a_write() {
     let mut world = World::new();
     for key in 0..50 {
-        world.ask(0, key);
+        world.request(0, key);
     }
-    world.call(0, Fate::Delivered);
-    world.call(0, Fate::Delivered);
+    world.call(0, CallOutcome::Delivered);
+    world.call(0, CallOutcome::Delivered);
     assert_eq!(world.platform.version, 1);
     assert_eq!(world.granted.len(), 50);
 }
 
 #[test]
-fn a_refused_key_is_free_after_the_outage() {
+fn a_key_refused_in_an_outage_can_be_claimed_afterwards() {
     let mut world = World::new();
-    world.ask(0, 0);
-    world.call(0, Fate::Delivered);
-    world.call(0, Fate::AnswerLost);
-    world.call(0, Fate::RequestLost);
-    assert_eq!(world.answered[&0], "refused");
-    world.ask(0, 0);
+    world.request(0, 0);
+    world.call(0, CallOutcome::Delivered);
+    world.call(0, CallOutcome::ResponseLost);
+    world.call(0, CallOutcome::RequestLost);
+    assert_eq!(world.responses[&0], "refused");
+    world.request(0, 0);
     world.settle();
-    assert_eq!(world.answered[&1], "granted");
+    assert_eq!(world.responses[&1], "granted");
     world.check();
 }
 
 #[test]
-fn a_full_object_takes_no_more() {
+fn a_full_object_refuses_new_claims() {
     let mut writer = ClaimWriter::new(WINDOW_MS);
     let mut object = ClaimObject::default();
     for number in 0..2_000 {
@@ -424,19 +426,23 @@
 }
 
 #[test]
-fn a_timed_key_lives_in_its_times_object_for_everyone() {
+fn a_timed_key_maps_to_one_object_until_that_expires() {
     let key = uuid_at(NOW_MS);
-    let one = ClaimKey::parse("desk", &key, NOW_MS, WINDOW_MS).expect("a key");
-    let other = ClaimKey::parse("desk", &key, NOW_MS + 900_000, WINDOW_MS).expect("a key");
-    assert_eq!(one, other);
-    assert!(!ClaimKey::is_object_expired(&one.object, NOW_MS, WINDOW_MS));
+    let first = ClaimKey::parse("desk", &key, NOW_MS, WINDOW_MS).expect("a key");
+    let later = ClaimKey::parse("desk", &key, NOW_MS + 900_000, WINDOW_MS).expect("a key");
+    assert_eq!(first, later);
+    assert!(!ClaimKey::is_object_expired(
+        &first.object,
+        NOW_MS,
+        WINDOW_MS
+    ));
     assert!(ClaimKey::is_object_expired(
-        &one.object,
+        &first.object,
         NOW_MS + 3_000_000,
         WINDOW_MS
     ));
     let another_account = ClaimKey::parse("other", &key, NOW_MS, WINDOW_MS).expect("a key");
-    assert_ne!(one.digest, another_account.digest);
+    assert_ne!(first.digest, another_account.digest);
 }
 
 #[rstest]
@@ -444,9 +450,9 @@
 #[case(uuid_at(NOW_MS + 120_000), ClaimKeyError::InFuture { ahead_ms: 120_000 })]
 #[case(String::new(), ClaimKeyError::Length { bytes: 0 })]
 #[case("x".repeat(300), ClaimKeyError::Length { bytes: 300 })]
-fn a_bad_key_is_refused(#[case] key: String, #[case] expected: ClaimKeyError) {
-    let fault = ClaimKey::parse("desk", &key, NOW_MS, WINDOW_MS);
-    assert_eq!(fault, Err(expected));
+fn an_invalid_key_is_refused_with_its_reason(#[case] key: String, #[case] expected: ClaimKeyError) {
+    let result = ClaimKey::parse("desk", &key, NOW_MS, WINDOW_MS);
+    assert_eq!(result, Err(expected));
 }
 
 /// A deleted object holds no key that an instance would still accept.
--- a/crates/rookferry_core/tests/config.rs
+++ b/crates/rookferry_core/tests/config.rs
@@ -10,7 +10,7 @@
 
 const DIGEST: &str = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08";
 
-fn sound() -> serde_json::Value {
+fn valid_config() -> serde_json::Value {
     json!({
         "models": {"scribe": {"layers": 12}},
         "accounts": {"desk": {"key_sha256": DIGEST}},
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn a_sound_one_is_read() {
-    let config = SiteConfig::from_json(&sound().to_string()).expect("no errors");
+fn a_valid_configuration_is_parsed() {
+    let config = SiteConfig::from_json(&valid_config().to_string()).expect("no errors");
     assert_eq!(config.routes[0].deadline_ms, 30_000);
 }
 
@@ -44,42 +44,42 @@
 #[case("/policy/overcommit", json!(0.0), "policy.overcommit")]
 #[case("/policy/queue_limit", json!(0), "policy.queue_limit")]
 #[case("/routes/0/pooll", json!("main"), "routes.0.pooll")]
-fn a_fault_is_named_with_its_path(
+fn an_error_names_its_path(
     #[case] pointer: &str,
     #[case] value: serde_json::Value,
     #[case] path: &str,
 ) {
-    let mut config = sound();
+    let mut config = valid_config();
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
     if parent == "/policy" {
         config["policy"] = json!({});
     }
     config.pointer_mut(parent).expect("its parent")[key] = value;
-    let faults = SiteConfig::from_json(&config.to_string())
+    let errors = SiteConfig::from_json(&config.to_string())
         .expect_err("an error")
         .errors;
-    assert!(faults.iter().any(|fault| fault.path == path), "{faults:?}");
+    assert!(errors.iter().any(|error| error.path == path), "{errors:?}");
 }
 
 #[test]
-fn all_faults_are_named_at_once() {
-    let mut config = sound();
+fn all_errors_are_reported_at_once() {
+    let mut config = valid_config();
     config["routes"][0]["pool"] = json!("other");
     config["accounts"]["desk"]["weight"] = json!(-1);
-    let faults = SiteConfig::from_json(&config.to_string()).expect_err("errors");
-    assert_eq!(faults.errors.len(), 2, "{faults}");
+    let errors = SiteConfig::from_json(&config.to_string()).expect_err("errors");
+    assert_eq!(errors.errors.len(), 2, "{errors}");
 }
 
 #[test]
 fn two_accounts_cannot_share_a_key() {
-    let mut config = sound();
+    let mut config = valid_config();
     config["accounts"]["other"] = json!({"key_sha256": DIGEST.to_uppercase()});
     assert!(SiteConfig::from_json(&config.to_string()).is_err());
 }
 
 #[test]
 fn only_a_higher_version_is_adopted() {
-    let body = sound().to_string();
+    let body = valid_config().to_string();
     let mut adopter = ConfigAdopter::new();
     assert!(matches!(adopter.offer(7, &body), AdoptOutcome::InForce(_)));
     assert!(matches!(adopter.offer(7, &body), AdoptOutcome::NotNewer));
@@ -88,8 +88,8 @@
 }
 
 #[test]
-fn a_bad_newer_one_leaves_the_old_in_force() {
-    let body = sound().to_string();
+fn an_invalid_newer_version_leaves_the_former_one_active() {
+    let body = valid_config().to_string();
     let mut adopter = ConfigAdopter::new();
     assert!(matches!(adopter.offer(7, &body), AdoptOutcome::InForce(_)));
     assert!(matches!(
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_conflict_shows_what_the_other_changed() {
+fn a_conflict_lists_the_paths_that_differ() {
     let before = json!({"a": {"b": 1, "c": [1, 2]}, "d": 0});
     let after = json!({"a": {"b": 2, "c": [1, 3]}, "e": 0});
     assert_eq!(changed_paths(&before, &after), ["a.b", "a.c[1]", "d", "e"]);
--- a/crates/rookferry_core/tests/census.rs
+++ b/crates/rookferry_core/tests/fleet_inventory.rs
@@ -11,7 +11,7 @@
 
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
 /// Interval at which the lease holder polls the list.
-const LOOK_EVERY: Duration = Duration::from_millis(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(60);
 
 /// An engine and the time at which its entry is listed.
 struct Listing {
@@ -31,11 +31,11 @@
 
 /// Engines that are listed at equal intervals until `last`, alternating between the
 /// domains.
-fn even(domains: usize, per_domain: usize, last: Duration) -> Vec<Listing> {
+fn evenly_listed(domains: usize, per_domain: usize, last: Duration) -> Vec<Listing> {
     let count = domains * per_domain;
-    let listing = |place: usize| Listing {
-        at: last.mul_f64(place as f64 / (count - 1) as f64),
-        engine: engine(place % domains, place / domains),
+    let listing = |index: usize| Listing {
+        at: last.mul_f64(index as f64 / (count - 1) as f64),
+        engine: engine(index % domains, index / domains),
     };
     (0..count).map(listing).collect()
 }
@@ -44,35 +44,35 @@
 /// there is no plan by `until`.
 fn first_plan(listings: &[Listing], until: Duration) -> Option<(Duration, usize)> {
     let start = Instant::now();
-    let mut census = FleetInventory::new(HEARTBEAT);
+    let mut inventory = FleetInventory::new(HEARTBEAT);
     let mut at = Duration::ZERO;
     while at <= until {
         let listed = listings.iter().filter(|listing| listing.at <= at);
         let engines = listed.map(|listing| listing.engine.clone()).collect();
-        let found = census.observe(engines, start + at);
-        if !found.is_empty() {
-            return Some((at, found.len()));
+        let planned = inventory.observe(engines, start + at);
+        if !planned.is_empty() {
+            return Some((at, planned.len()));
         }
-        at += LOOK_EVERY;
+        at += POLL_INTERVAL;
     }
     None
 }
 
 #[rstest]
 #[case::small(3, 10)]
-#[case::of_a_hundred(3, 33)]
-#[case::of_hundreds(5, 44)]
-fn the_first_plan_is_made_with_all(#[case] domains: usize, #[case] per_domain: usize) {
+#[case::hundred(3, 33)]
+#[case::hundreds(5, 44)]
+fn the_first_plan_includes_all_engines(#[case] domains: usize, #[case] per_domain: usize) {
     // Each engine's entry is written within a heartbeat of its start; a late list and a
     // slow store add half a heartbeat.
-    let listings = even(domains, per_domain, HEARTBEAT.mul_f64(1.5));
+    let listings = evenly_listed(domains, per_domain, HEARTBEAT.mul_f64(1.5));
     let (_, planned) = first_plan(&listings, HEARTBEAT * 10).expect("a plan is made");
     assert_eq!(planned, listings.len());
 }
 
 #[test]
-fn a_domain_that_is_listed_late_is_in_the_first_plan() {
-    let mut listings = even(2, 10, HEARTBEAT.mul_f64(0.5));
+fn the_first_plan_includes_a_domain_that_is_listed_late() {
+    let mut listings = evenly_listed(2, 10, HEARTBEAT.mul_f64(0.5));
     listings.extend((0..10).map(|number| Listing {
         at: HEARTBEAT.mul_f64(1.0 + 0.05 * number as f64),
         engine: engine(2, number),
@@ -82,9 +82,9 @@
 }
 
 #[test]
-fn engines_that_are_listed_long_before_the_others_wait_for_them() {
-    let mut listings = even(1, 2, Duration::ZERO);
-    let others = even(3, 10, HEARTBEAT.mul_f64(0.6));
+fn the_first_plan_waits_for_engines_listed_long_after_the_first_ones() {
+    let mut listings = evenly_listed(1, 2, Duration::ZERO);
+    let others = evenly_listed(3, 10, HEARTBEAT.mul_f64(0.6));
     listings.extend(others.into_iter().skip(2).map(|listing| Listing {
         at: listing.at + HEARTBEAT.mul_f64(0.9),
         ..listing
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn engines_that_go_on_coming_are_not_waited_for_without_end() {
+fn the_first_plan_is_made_in_bounded_time_while_engines_keep_arriving() {
     let listings: Vec<_> = (0..40)
         .map(|number| Listing {
             at: HEARTBEAT.mul_f64(0.5 * number as f64),
@@ -106,8 +106,8 @@
 }
 
 #[test]
-fn engines_that_hold_layers_are_planned_with_at_once() {
-    let mut listings = even(1, 1 + 1, Duration::ZERO);
+fn engines_that_hold_layers_are_planned_without_delay() {
+    let mut listings = evenly_listed(1, 1 + 1, Duration::ZERO);
     for listing in &mut listings {
         listing.engine.held = Some(LayerRange { start: 0, end: 10 });
     }
--- a/crates/rookferry_core/tests/forecast.rs
+++ b/crates/rookferry_core/tests/forecast.rs
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn requests_under_way_are_their_rate_times_their_time() {
+fn concurrent_requests_equal_their_rate_times_their_duration() {
     let found = chain(&kind(4.0), 4, 50.0);
-    let under_way = found.requests_per_s * found.request_ms / 1_000.0;
-    assert!((under_way - 50.0).abs() < 0.5, "{found:?}");
+    let concurrent = found.requests_per_s * found.request_ms / 1_000.0;
+    assert!((concurrent - 50.0).abs() < 0.5, "{found:?}");
 }
 
 #[test]
-fn a_lone_request_takes_what_the_engines_take() {
+fn a_single_request_takes_the_time_of_its_prefill_and_its_steps() {
     // Prefill: 800 tokens at 200 a millisecond and 0.32 million pairs. Decoding: 50
     // rounds of four steps of 1.0095 ms, and half as much again for passes in flight.
     let found = chain(&kind(1.0), 1, 1.0);
@@ -66,20 +66,20 @@
 #[case::slower_engines(chain(&kind(4.0), 4, 20.0), chain(&kind(8.0), 4, 20.0))]
 #[case::more_stages(chain(&kind(4.0), 4, 20.0), chain(&kind(4.0), 20, 20.0))]
 #[case::more_requests(chain(&kind(4.0), 4, 20.0), chain(&kind(4.0), 4, 80.0))]
-fn time_grows_with(#[case] less: ChainForecast, #[case] more: ChainForecast) {
+fn latency_grows_with(#[case] less: ChainForecast, #[case] more: ChainForecast) {
     assert!(less.round_ms < more.round_ms, "{less:?} {more:?}");
     assert!(less.request_ms < more.request_ms, "{less:?} {more:?}");
 }
 
 #[test]
-fn more_requests_under_way_carry_more_and_never_more_than_reading_allows() {
+fn throughput_grows_with_concurrency_up_to_the_prefill_limit() {
     let kind = kind(8.0);
-    let reading_ms = (800.0 / 200.0 + 0.32 * 0.2) * 8.0 / 4.0;
-    let mut before = 0.0;
+    let prefill_ms = (800.0 / 200.0 + 0.32 * 0.2) * 8.0 / 4.0;
+    let mut previous = 0.0;
     for requests in [10.0, 20.0, 40.0, 80.0, 160.0, 320.0] {
         let found = chain(&kind, 4, requests);
-        assert!(found.requests_per_s >= before, "{found:?}");
-        assert!(found.requests_per_s <= 1_000.0 / reading_ms, "{found:?}");
-        before = found.requests_per_s;
+        assert!(found.requests_per_s >= previous, "{found:?}");
+        assert!(found.requests_per_s <= 1_000.0 / prefill_ms, "{found:?}");
+        previous = found.requests_per_s;
     }
 }
--- a/crates/rookferry_core/tests/layout.rs
+++ b/crates/rookferry_core/tests/layout.rs
@@ -73,7 +73,7 @@
     fleet(&[("a", 3, 3, 5), ("b", 1, 5, 8), ("c", 1, 7, 5)])
 }
 
-fn carry_out(engines: &mut [LayoutEngine], orders: &[NeededPlacement]) {
+fn apply_orders(engines: &mut [LayoutEngine], orders: &[NeededPlacement]) {
     for order in orders {
         let engine = engines
             .iter_mut()
@@ -108,11 +108,11 @@
 }
 
 #[test]
-fn each_domain_holds_every_layer_by_itself() {
+fn each_domain_covers_all_layers_by_itself() {
     let model = model();
     let mut engines = site();
     let orders = LayoutPlanner::new(&model).plan(&engines);
-    carry_out(&mut engines, &orders);
+    apply_orders(&mut engines, &orders);
     for domain in ["a", "b", "c"] {
         assert!(covers(&engines, domain), "{domain}");
     }
@@ -127,7 +127,7 @@
     let mut engines = fleet(&names.map(|domain| (domain, 60, 270, 270)));
     let orders = LayoutPlanner::new(&model).plan(&engines);
     assert_eq!(orders.len(), engines.len());
-    carry_out(&mut engines, &orders);
+    apply_orders(&mut engines, &orders);
     for domain in names {
         assert!(covers(&engines, domain), "{domain} holds all layers");
     }
@@ -136,12 +136,12 @@
 }
 
 #[test]
-fn a_layout_that_stands_is_left_alone() {
+fn a_complete_layout_gets_no_orders() {
     let model = model();
     let mut engines = site();
     let planner = LayoutPlanner::new(&model);
     let first = planner.plan(&engines);
-    carry_out(&mut engines, &first);
+    apply_orders(&mut engines, &first);
     assert_eq!(planner.plan(&engines), vec![]);
 }
 
@@ -149,17 +149,17 @@
 #[case::large("a-large-0")]
 #[case::mid("b-mid-2")]
 #[case::small("c-small-0")]
-fn a_lost_engine_costs_loads_in_its_domain_only(#[case] lost: &str) {
+fn a_lost_engine_causes_loads_only_in_its_domain(#[case] lost: &str) {
     let model = model();
     let mut engines = site();
     let planner = LayoutPlanner::new(&model);
     let first = planner.plan(&engines);
-    carry_out(&mut engines, &first);
+    apply_orders(&mut engines, &first);
     let domain = lost.split('-').next().expect("a domain");
     engines.retain(|engine| &*engine.engine != lost);
     let before = engines.clone();
     let orders = planner.plan(&engines);
-    carry_out(&mut engines, &orders);
+    apply_orders(&mut engines, &orders);
     assert!(covers(&engines, domain), "{orders:?}");
     for order in &orders {
         assert!(order.engine.starts_with(domain), "{order:?}");
@@ -184,11 +184,11 @@
 }
 
 #[test]
-fn domains_that_are_too_small_hold_the_layers_together() {
+fn domains_too_small_for_all_layers_cover_them_together() {
     let model = model();
     let mut engines = fleet(&[("a", 1, 2, 0), ("b", 0, 2, 2), ("c", 0, 1, 1)]);
     let orders = LayoutPlanner::new(&model).plan(&engines);
-    carry_out(&mut engines, &orders);
+    apply_orders(&mut engines, &orders);
     let is_held = |layer: u16| {
         engines.iter().any(|engine| {
             engine
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn an_unknown_kind_gets_no_order() {
+fn an_engine_of_an_unknown_kind_gets_no_order() {
     let mut engines = site();
     engines[0].kind = "unheard of".to_owned();
     let orders = LayoutPlanner::new(&model()).plan(&engines);
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn the_faster_kinds_hold_what_they_can_and_the_slow_one_stands_by() {
+fn the_faster_kinds_cover_the_layers_and_the_slow_one_holds_copies() {
     let model = uneven_model();
     let engines = fleet(&[("a", 1, 4, 10)]);
     let orders = LayoutPlanner::new(&model).plan(&engines);
@@ -246,15 +246,15 @@
 }
 
 #[test]
-fn engines_beside_the_chain_can_stand_in_for_its_largest_stage() {
+fn engines_outside_the_chain_can_replace_its_largest_stage() {
     let model = uneven_model();
     let mut engines = fleet(&[("a", 1, 4, 10)]);
     let planner = LayoutPlanner::new(&model);
     let first = planner.plan(&engines);
-    carry_out(&mut engines, &first);
+    apply_orders(&mut engines, &first);
     engines.retain(|engine| &*engine.engine != "a-large-0");
     let orders = planner.plan(&engines);
-    carry_out(&mut engines, &orders);
+    apply_orders(&mut engines, &orders);
     assert!(covers(&engines, "a"), "{orders:?}");
     assert!(
         orders
@@ -266,7 +266,7 @@
 
 /// A shorter pause makes a chain of fewer concurrent requests and lower latency.
 #[test]
-fn a_short_pause_makes_a_chain_of_fewer_requests_and_less_time() {
+fn a_shorter_pause_limit_gives_the_fastest_engine_more_layers() {
     let model = uneven_model();
     let engines = fleet(&[("a", 1, 4, 10)]);
     let held_by_large = |pause_ms| {
@@ -280,12 +280,12 @@
 }
 
 #[test]
-fn a_fast_engine_stays_though_slow_ones_could_stand_in_for_it() {
+fn a_fast_engine_keeps_its_layers_though_slow_ones_could_replace_it() {
     let model = uneven_model();
     let mut engines = fleet(&[("a", 2, 4, 4)]);
     let planner = LayoutPlanner::new(&model);
     let first = planner.plan(&engines);
-    carry_out(&mut engines, &first);
+    apply_orders(&mut engines, &first);
     engines.remove(1);
     let orders = planner.plan(&engines);
     assert!(!orders.is_empty());
@@ -296,30 +296,32 @@
 }
 
 #[test]
-fn an_empty_engine_takes_the_layers_that_a_slower_one_stands_in_for() {
+fn an_empty_engine_takes_layers_over_from_a_slower_replacement() {
     let model = uneven_model();
     let mut engines = fleet(&[("a", 1, 4, 10)]);
     let planner = LayoutPlanner::new(&model);
     let first = planner.plan(&engines);
-    carry_out(&mut engines, &first);
+    apply_orders(&mut engines, &first);
     let lost = engines.remove(0);
     let held = lost.held.expect("layers");
     let orders = planner.plan(&engines);
-    carry_out(&mut engines, &orders);
+    apply_orders(&mut engines, &orders);
     engines.push(LayoutEngine { held: None, ..lost });
     let orders = planner.plan(&engines);
-    let back = orders
+    let returned = orders
         .iter()
         .find(|placement| &*placement.engine == "a-large-0");
-    let back = back.expect("an order for the engine that returned").layers;
+    let returned = returned
+        .expect("an order for the engine that returned")
+        .layers;
     assert!(
-        back.start < held.end && held.start < back.end,
-        "{back:?} for {held:?}"
+        returned.start < held.end && held.start < returned.end,
+        "{returned:?} for {held:?}"
     );
 }
 
 #[test]
-fn where_nothing_is_spare_neighbours_widen_their_ranges() {
+fn without_spare_engines_neighbours_widen_their_ranges() {
     let model = model();
     let held = |start, end| Some(LayerRange { start, end });
     let mut engines = fleet(&[("a", 5, 0, 0)]);
@@ -336,7 +338,7 @@
     engines.remove(2);
     let orders = LayoutPlanner::new(&model).plan(&engines);
     assert!(!orders.is_empty());
-    carry_out(&mut engines, &orders);
+    apply_orders(&mut engines, &orders);
     assert_fits(&model, &engines);
     let is_held = |layer: &u16| {
         let mut held = engines.iter().filter_map(|engine| engine.held);
@@ -349,7 +351,7 @@
 }
 
 #[test]
-fn a_copy_moves_to_where_next_to_no_room_is_left() {
+fn a_copy_moves_to_layers_whose_holder_has_little_free_cache() {
     let model = model();
     let held = |start, end| Some(LayerRange { start, end });
     let mut engines = fleet(&[("a", 4, 6, 0)]);
@@ -372,13 +374,13 @@
     let orders = LayoutPlanner::new(&model).plan(&engines);
     let relieving = orders.iter().find(|order| order.layers.start >= 48);
     assert!(relieving.is_some(), "{orders:?}");
-    carry_out(&mut engines, &orders);
+    apply_orders(&mut engines, &orders);
     assert!(covers(&engines, "a"));
 }
 
 /// The cache capacity, in tokens, of the layer whose holders have the least together.
-fn least_room(model: &ModelShape, engines: &[LayoutEngine]) -> f64 {
-    let room = |layer: u16| -> f64 {
+fn min_cache_tokens(model: &ModelShape, engines: &[LayoutEngine]) -> f64 {
+    let capacity = |layer: u16| -> f64 {
         let holders = engines.iter().filter_map(|engine| {
             let held = engine.held.filter(|held| held.contains(layer))?;
             let kind = model.kind(&engine.kind)?;
@@ -386,13 +388,13 @@
         });
         holders.sum()
     };
-    (0..80).map(room).fold(f64::INFINITY, f64::min)
+    (0..80).map(capacity).fold(f64::INFINITY, f64::min)
 }
 
 /// Starts from the state after a loss: one engine was widened until it had almost no
 /// cache left, and the neighbours that returned have plenty.
 #[test]
-fn a_widened_engine_gives_layers_to_its_neighbour() {
+fn a_widened_engine_hands_layers_over_to_its_neighbours() {
     let model = model();
     let held = |start, end| Some(LayerRange { start, end });
     let mut engines = fleet(&[("a", 6, 0, 0)]);
@@ -407,7 +409,7 @@
     for (engine, range) in engines.iter_mut().zip(ranges) {
         engine.held = range;
     }
-    let before = least_room(&model, &engines);
+    let before = min_cache_tokens(&model, &engines);
     for step in 0..8 {
         let orders = LayoutPlanner::new(&model).plan(&engines);
         if orders.is_empty() {
@@ -431,17 +433,17 @@
         assert!(covers(&loading, "a"), "step {step}: {orders:?}");
         let meanwhile = LayoutPlanner::new(&model).plan(&loading);
         assert!(meanwhile.is_empty(), "step {step}: {meanwhile:?}");
-        carry_out(&mut engines, &orders);
+        apply_orders(&mut engines, &orders);
         assert_fits(&model, &engines);
     }
-    let after = least_room(&model, &engines);
+    let after = min_cache_tokens(&model, &engines);
     assert!(after > before * 3.0, "{before} tokens, then {after}");
     let orders = LayoutPlanner::new(&model).plan(&engines);
     assert!(orders.is_empty(), "the layout is stable: {orders:?}");
 }
 
 #[test]
-fn a_domain_whose_engines_come_back_one_by_one_is_waited_for() {
+fn a_domain_is_returning_while_its_engines_return_one_by_one() {
     let window = Duration::from_millis(700);
     let all = site();
     let without_a: Vec<LayoutEngine> = all
@@ -459,12 +461,12 @@
     now += Duration::from_secs(5);
     arrivals.observe(&without_a, now);
     assert!(!arrivals.is_returning(&"a".into(), now));
-    for back in 2..=11 {
+    for returned in 2..=11 {
         now += Duration::from_millis(100);
         let mut listed = without_a.clone();
-        listed.extend(all.iter().take(back).cloned());
+        listed.extend(all.iter().take(returned).cloned());
         arrivals.observe(&listed, now);
-        assert!(arrivals.is_returning(&"a".into(), now), "{back}");
+        assert!(arrivals.is_returning(&"a".into(), now), "{returned}");
         assert!(!arrivals.is_returning(&"b".into(), now));
     }
     now += window;
@@ -476,7 +478,7 @@
 }
 
 #[test]
-fn an_engine_that_comes_alone_is_not_waited_for() {
+fn a_single_new_engine_does_not_make_its_domain_returning() {
     let mut arrivals = ArrivalTracker::new(Duration::from_millis(700));
     let all = site();
     let now = Instant::now();
@@ -487,12 +489,12 @@
 }
 
 #[rstest]
-#[case::no_speed(0.0, 1.0, 36_000.0)]
-#[case::no_reading(1.0, 0.0, 36_000.0)]
-#[case::not_a_number(f64::NAN, 1.0, 36_000.0)]
-#[case::endless(1.0, 1.0, f64::INFINITY)]
-#[case::below_one_layer(1.0, 1.0, 1_000.0)]
-fn a_kind_with_absurd_figures_gets_no_order(
+#[case::zero_step_factor(0.0, 1.0, 36_000.0)]
+#[case::zero_read_factor(1.0, 0.0, 36_000.0)]
+#[case::nan(f64::NAN, 1.0, 36_000.0)]
+#[case::infinite_memory(1.0, 1.0, f64::INFINITY)]
+#[case::memory_below_one_layer(1.0, 1.0, 1_000.0)]
+fn a_kind_with_invalid_figures_gets_no_order(
     #[case] step_factor: f64,
     #[case] read_factor: f64,
     #[case] memory_mb: f64,
@@ -518,22 +520,22 @@
 #[rstest]
 #[case::layer_mb(|model: &mut ModelShape| model.layer_mb = 0.0)]
 #[case::step_ms(|model: &mut ModelShape| model.step_ms = 0.0)]
-#[case::reading(|model: &mut ModelShape| model.read_tokens_per_ms = 0.0)]
+#[case::read_tokens_per_ms(|model: &mut ModelShape| model.read_tokens_per_ms = 0.0)]
 #[case::layers(|model: &mut ModelShape| model.layers = 0)]
-#[case::passes(|model: &mut ModelShape| model.steps_per_pass = 0.0)]
-fn a_model_with_absurd_figures_is_planned_without_a_fault(#[case] spoil: impl Fn(&mut ModelShape)) {
+#[case::steps_per_pass(|model: &mut ModelShape| model.steps_per_pass = 0.0)]
+fn planning_does_not_panic_on_invalid_model_figures(#[case] invalidate: impl Fn(&mut ModelShape)) {
     let mut model = model();
-    spoil(&mut model);
+    invalidate(&mut model);
     let mut engines = site();
     let orders = LayoutPlanner::new(&model).plan(&engines);
-    carry_out(&mut engines, &orders);
+    apply_orders(&mut engines, &orders);
     assert_fits(&model, &engines);
 }
 
 proptest! {
     /// From any layers that engines hold, orders fit in memory and end within 40 rounds.
     #[test]
-    fn whatever_stands_orders_fit_and_come_to_an_end(
+    fn orders_fit_and_end_from_any_layout(
         held in vec((any::<bool>(), 0..80_u16, 1..9_u16), 37)
     ) {
         let model = model();
@@ -549,7 +551,7 @@
             if orders.is_empty() {
                 break;
             }
-            carry_out(&mut engines, &orders);
+            apply_orders(&mut engines, &orders);
             assert_fits(&model, &engines);
             rounds += 1;
             assert!(rounds < 40, "orders don't end: {orders:?}");
@@ -558,10 +560,10 @@
 }
 
 #[rstest]
-#[case::last_layers_lacking(&[(0, 19), (19, 38), (34, 53), (53, 64), (64, 75), (70, 77)])]
-#[case::layers_between_lacking(&[(0, 19), (23, 42), (42, 61), (61, 72), (69, 80), (70, 77)])]
-#[case::first_layers_lacking(&[(4, 23), (23, 42), (42, 61), (58, 69), (69, 80), (66, 73)])]
-fn a_domain_whose_ranges_overlap_gets_whole_again(#[case] held: &[(u16, u16)]) {
+#[case::last_layers_missing(&[(0, 19), (19, 38), (34, 53), (53, 64), (64, 75), (70, 77)])]
+#[case::middle_layers_missing(&[(0, 19), (23, 42), (42, 61), (61, 72), (69, 80), (70, 77)])]
+#[case::first_layers_missing(&[(4, 23), (23, 42), (42, 61), (58, 69), (69, 80), (66, 73)])]
+fn a_domain_with_overlapping_ranges_covers_all_layers_again(#[case] held: &[(u16, u16)]) {
     let mut engines = fleet(&[("domain", 3, 2, 1)]);
     for (engine, (start, end)) in engines.iter_mut().zip(held) {
         let (start, end) = (*start, *end);
@@ -582,7 +584,7 @@
         let mut ranges = engines.iter().filter_map(|engine| engine.held);
         ranges.any(|range| range.contains(layer))
     };
-    let lacking: Vec<u16> = (0..80).filter(|layer| !is_held(*layer)).collect();
-    assert_eq!(lacking, Vec::<u16>::new(), "{engines:?}");
+    let missing: Vec<u16> = (0..80).filter(|layer| !is_held(*layer)).collect();
+    assert_eq!(missing, Vec::<u16>::new(), "{engines:?}");
     assert!(LayoutPlanner::new(&model).plan(&engines).is_empty());
 }
--- a/crates/rookferry_core/tests/lease.rs
+++ b/crates/rookferry_core/tests/lease.rs
@@ -1,4 +1,5 @@
-//! Leases: no two holders may send orders to an engine at once.
+//! Leases: no two holders may send orders to an engine at once, although instances pause
+//! and responses to writes are lost.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -44,65 +45,65 @@
 }
 
 /// One round of an instance: it reads the object, and writes it if its lease requires so.
-fn turn(lease: &mut Lease, platform: &mut Platform, now: Instant, is_answer_lost: bool) {
+fn run_round(lease: &mut Lease, platform: &mut Platform, now: Instant, is_response_lost: bool) {
     lease.on_read(now, platform.object.as_ref());
     let LeaseAction::Write { expected, object } = lease.next_action(now) else {
         return;
     };
     match platform.put(expected, &object) {
-        Ok(version) if !is_answer_lost => lease.on_written(now, version, object),
+        Ok(version) if !is_response_lost => lease.on_written(now, version, object),
         _ => {}
     }
 }
 
 #[test]
-fn the_first_takes_it_and_another_waits_it_out() {
+fn a_held_lease_is_taken_over_only_after_its_duration() {
     let start = Instant::now();
     let mut platform = Platform::default();
     let (mut one, mut two) = (lease("one"), lease("two"));
-    turn(&mut one, &mut platform, start, false);
+    run_round(&mut one, &mut platform, start, false);
     assert_eq!(one.fence_for(start, true), Some(1));
-    turn(&mut two, &mut platform, start, false);
+    run_round(&mut two, &mut platform, start, false);
     let later = start + TIMING.duration;
     assert_eq!(two.fence_for(later, true), None);
-    turn(&mut two, &mut platform, later, false);
+    run_round(&mut two, &mut platform, later, false);
     assert_eq!(two.fence_for(later, true), Some(2));
     assert_eq!(one.fence_for(later, true), None);
 }
 
 #[test]
-fn engines_that_check_no_fences_are_waited_for() {
+fn engines_without_fence_checks_get_orders_only_after_the_pause_bound() {
     let start = Instant::now();
     let mut platform = Platform::default();
     let mut one = lease("one");
-    turn(&mut one, &mut platform, start, false);
+    run_round(&mut one, &mut platform, start, false);
     assert_eq!(one.fence_for(start, false), None);
     let mut now = start;
     while now < start + TIMING.duration + TIMING.pause_bound {
         now += Duration::from_secs(3);
-        turn(&mut one, &mut platform, now, false);
+        run_round(&mut one, &mut platform, now, false);
     }
     assert_eq!(one.fence_for(now, false), Some(1));
 }
 
 #[test]
-fn a_holder_that_was_paused_sends_nothing() {
+fn a_holder_that_was_paused_sends_no_orders() {
     let start = Instant::now();
     let mut platform = Platform::default();
     let mut one = lease("one");
-    turn(&mut one, &mut platform, start, false);
+    run_round(&mut one, &mut platform, start, false);
     assert_eq!(one.fence_for(start + Duration::from_secs(8), true), None);
 }
 
 #[test]
-fn a_later_run_of_the_holder_takes_a_new_fence() {
+fn a_new_incarnation_does_not_inherit_the_lease() {
     let start = Instant::now();
     let mut platform = Platform::default();
-    turn(&mut lease("one"), &mut platform, start, false);
-    let mut rerun = Lease::new("one".into(), 2, TIMING);
-    turn(&mut rerun, &mut platform, start, false);
+    run_round(&mut lease("one"), &mut platform, start, false);
+    let mut restarted = Lease::new("one".into(), 2, TIMING);
+    run_round(&mut restarted, &mut platform, start, false);
     assert_eq!(
-        rerun.fence_for(start, true),
+        restarted.fence_for(start, true),
         None,
         "the former incarnation may still send orders"
     );
@@ -110,17 +111,22 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Op {
-    Turn { who: usize, is_answer_lost: bool },
-    Pass { ms: u64 },
+    Round {
+        instance: usize,
+        is_response_lost: bool,
+    },
+    Wait {
+        ms: u64,
+    },
 }
 
 fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
-        (0_usize..3, any::<bool>()).prop_map(|(who, is_answer_lost)| Op::Turn {
-            who,
-            is_answer_lost
+        (0_usize..3, any::<bool>()).prop_map(|(instance, is_response_lost)| Op::Round {
+            instance,
+            is_response_lost
         }),
-        (1_u64..6_000).prop_map(|ms| Op::Pass { ms }),
+        (1_u64..6_000).prop_map(|ms| Op::Wait { ms }),
     ]
 }
 
@@ -130,19 +136,19 @@
     /// A holder may send an order up to the pause bound after it checked its lease. Until
     /// then no other holder may order an engine that checks no fences.
     #[test]
-    fn no_two_holders_order_an_unfenced_engine(ops in vec(op(), 1..80)) {
+    fn no_two_holders_order_an_engine_without_fence_checks(ops in vec(op(), 1..80)) {
         let mut now = Instant::now();
         let mut platform = Platform::default();
         let mut leases = [lease("one"), lease("two"), lease("three")];
         let mut last_order: Option<(usize, Instant)> = None;
         for op in ops {
             match op {
-                Op::Turn { who, is_answer_lost } => {
-                    turn(&mut leases[who], &mut platform, now, is_answer_lost);
+                Op::Round { instance, is_response_lost } => {
+                    run_round(&mut leases[instance], &mut platform, now, is_response_lost);
                 }
-                Op::Pass { ms } => now += Duration::from_millis(ms),
+                Op::Wait { ms } => now += Duration::from_millis(ms),
             }
-            let holders: Vec<usize> = (0..3).filter(|who| leases[*who].fence_for(now, false).is_some()).collect();
+            let holders: Vec<usize> = (0..3).filter(|instance| leases[*instance].fence_for(now, false).is_some()).collect();
             assert!(holders.len() <= 1, "{holders:?} hold the lease at once");
             if let Some(holder) = holders.first() {
                 if let Some((former, at)) = last_order && former != *holder {
@@ -159,13 +165,13 @@
 }
 
 #[test]
-fn a_renewal_is_always_a_change_of_the_object() {
+fn a_renewal_always_changes_the_object() {
     let start = Instant::now();
     let mut platform = Platform::default();
     let mut holder = lease("a");
-    turn(&mut holder, &mut platform, start, false);
+    run_round(&mut holder, &mut platform, start, false);
     let before = platform.object.clone().expect("an object");
-    turn(
+    run_round(
         &mut holder,
         &mut platform,
         start + TIMING.duration / 2,
@@ -176,17 +182,17 @@
 }
 
 #[test]
-fn a_lease_that_is_given_up_is_taken_at_once_with_a_higher_fence() {
+fn a_released_lease_is_taken_at_once_with_a_higher_fence() {
     let start = Instant::now();
     let mut platform = Platform::default();
     let mut holder = lease("a");
     let mut rival = lease("b");
-    turn(&mut holder, &mut platform, start, false);
-    turn(&mut rival, &mut platform, start, false);
+    run_round(&mut holder, &mut platform, start, false);
+    run_round(&mut rival, &mut platform, start, false);
     let (expected, object) = holder.release().expect("a held lease");
     assert_eq!(holder.fence_for(start, true), None);
     platform.put(expected, &object).expect("its version");
-    turn(&mut rival, &mut platform, start, false);
+    run_round(&mut rival, &mut platform, start, false);
     assert!(rival.fence_for(start, true) > Some(object.fence));
     assert_eq!(holder.release(), None);
 }
--- a/crates/rookferry_core/tests/pipeline_paths.rs
+++ b/crates/rookferry_core/tests/pipeline_paths.rs
@@ -59,15 +59,12 @@
 #[case::long(vec![stage(0, 0, 21)], PathError::WrongEnd { found: 21, layers: 20 })]
 #[case::no_layer(vec![stage(0, 0, 0), stage(1, 0, 20)], PathError::EmptyStage { stage: 0 })]
 #[case::repeated(vec![stage(0, 0, 5), stage(1, 5, 10), stage(0, 10, 20)], PathError::DuplicateAddress { engine: "e0".into() })]
-fn a_path_that_is_not_exact_cannot_be_made(
-    #[case] stages: Vec<PathStage>,
-    #[case] fault: PathError,
-) {
-    assert_eq!(PipelinePath::new(stages, LAYERS), Err(fault));
+fn invalid_stages_make_no_path(#[case] stages: Vec<PathStage>, #[case] expected: PathError) {
+    assert_eq!(PipelinePath::new(stages, LAYERS), Err(expected));
 }
 
 #[test]
-fn a_path_may_be_as_long_as_engines_accept_and_no_longer() {
+fn a_path_has_at_most_as_many_stages_as_engines_accept() {
     let stages = |count: u16| -> Vec<PathStage> {
         (0..count)
             .map(|index| stage(usize::from(index), index, index + 1))
@@ -81,7 +78,7 @@
 }
 
 #[test]
-fn parts_of_ranges_join_where_ranges_overlap() {
+fn stages_join_where_the_ranges_of_engines_overlap() {
     let engines = [engine(0, "a", 0, 12), engine(1, "a", 8, 20)];
     let path = PathFinder::new(LAYERS, &engines)
         .find(&"a".into(), TOKENS)
@@ -90,7 +87,7 @@
 }
 
 #[test]
-fn a_former_start_at_an_address_does_not_hide_the_path_over_the_living_one() {
+fn a_former_incarnation_at_an_address_does_not_hide_a_path_over_the_live_one() {
     let former = |index: usize, start: u16, end: u16| PipelineEngine {
         server: ServerKey::new(addr(index), "former", None),
         ..engine(index, "a", start, end)
@@ -106,12 +103,12 @@
     let path = PathFinder::new(LAYERS, &engines)
         .find(&"a".into(), TOKENS)
         .expect("a path");
-    let taken: Vec<_> = path.stages().iter().map(PathStage::addr).collect();
-    assert_eq!(taken, [addr(0), addr(1)]);
+    let chosen: Vec<_> = path.stages().iter().map(PathStage::addr).collect();
+    assert_eq!(chosen, [addr(0), addr(1)]);
 }
 
 #[test]
-fn a_whole_path_elsewhere_goes_before_crossings() {
+fn a_path_within_another_domain_is_preferred_to_crossings() {
     let engines = [
         engine(0, "a", 0, 10),
         engine(1, "b", 10, 20),
@@ -124,7 +121,7 @@
 }
 
 #[test]
-fn a_full_engine_is_passed_over_while_another_holds_the_layers() {
+fn a_full_engine_is_avoided_while_another_holds_its_layers() {
     let mut engines = [engine(0, "a", 0, 20), engine(1, "a", 0, 20)];
     engines[0].layer_step_ms = 0.01;
     engines[0].used_tokens = engines[0].cache_tokens;
@@ -135,9 +132,9 @@
 }
 
 #[rstest]
-#[case::room(8_000.0, false)]
-#[case::none(9_950.0, true)]
-fn the_fullest_engine_of_a_path_tells_whether_a_request_fits(
+#[case::free_cache(8_000.0, false)]
+#[case::no_free_cache(9_950.0, true)]
+fn the_fullest_engine_of_a_path_decides_whether_a_request_fits(
     #[case] used_tokens: f64,
     #[case] is_over: bool,
 ) {
@@ -151,7 +148,7 @@
 }
 
 #[test]
-fn a_request_holds_only_the_layers_that_an_engine_runs() {
+fn a_request_uses_cache_only_for_the_layers_that_an_engine_runs() {
     let mut engines = [engine(0, "a", 0, 18), engine(1, "a", 16, 20)];
     engines[0].layer_step_ms = 0.01;
     // The path runs half of the second engine's layers, so a request needs half
@@ -164,7 +161,7 @@
 }
 
 #[test]
-fn a_repair_keeps_the_parts_that_are_not_lost() {
+fn a_repair_keeps_the_stages_that_are_not_lost() {
     let engines = [
         engine(0, "a", 0, 7),
         engine(2, "a", 14, 20),
@@ -225,7 +222,7 @@
     /// The type ensures that a path runs each layer once and in order; the search has to
     /// choose engines that hold them.
     #[test]
-    fn whatever_the_fleet_a_path_runs_on_engines_that_hold_it(engines in fleets()) {
+    fn in_any_fleet_the_engines_of_a_path_hold_its_layers(engines in fleets()) {
         let home: DomainId = "a".into();
         let path = PathFinder::new(LAYERS, &engines).find(&home, TOKENS);
         if let Ok(path) = &path {
@@ -252,14 +249,14 @@
         }
         let home: DomainId = "a".into();
         let path = PathFinder::new(LAYERS, &listed).find(&home, TOKENS);
-        if let Err(no_path) = &path {
-            assert_eq!(no_path, &PathSearchError::Uncovered);
+        if let Err(error) = &path {
+            assert_eq!(error, &PathSearchError::Uncovered);
             assert!(!is_covered(&engines), "{engines:?}");
         }
     }
 
     #[test]
-    fn whatever_is_lost_a_repair_uses_none_of_it(engines in fleets(), lost in vec(0..14_usize, 1..4)) {
+    fn a_repair_uses_no_lost_engine(engines in fleets(), lost in vec(0..14_usize, 1..4)) {
         let home: DomainId = "a".into();
         let Ok(old) = PathFinder::new(LAYERS, &engines).find(&home, TOKENS) else {
             return Ok(());
@@ -304,7 +301,7 @@
 
 /// All routes that continue `stages` to the last layer. Unlike a path, a route may use an
 /// engine more than once.
-fn all_ways(engines: &[PipelineEngine], stages: &[PathStage]) -> Vec<Vec<PathStage>> {
+fn all_routes(engines: &[PipelineEngine], stages: &[PathStage]) -> Vec<Vec<PathStage>> {
     let start = stages.last().map_or(0, |stage| stage.layers.end);
     if start == FEW_LAYERS {
         return vec![stages.to_vec()];
@@ -317,25 +314,25 @@
             layers: LayerRange { start, end },
         })
     });
-    let ways = next.flat_map(|stage| {
+    let routes = next.flat_map(|stage| {
         let stages: Vec<PathStage> = stages.iter().cloned().chain([stage]).collect();
-        all_ways(engines, &stages)
+        all_routes(engines, &stages)
     });
-    ways.collect()
+    routes.collect()
 }
 
 proptest! {
     /// If the cheapest route uses an engine more than once, the search may miss the next
     /// cheapest; what it finds must still be a path.
     #[test]
-    fn the_cheapest_way_is_found_where_it_is_a_path(engines in small_fleets()) {
+    fn the_cheapest_route_is_found_if_it_is_a_path(engines in small_fleets()) {
         let finder = PathFinder::new(FEW_LAYERS, &engines);
         let home = DomainId::from("d0");
         let cost_ms = |stages: &[PathStage]| {
             finder.cost_ms(stages, &home, TOKENS).expect("known engines")
         };
-        let ways = all_ways(&engines, &[]);
-        let cheapest = ways.into_iter().min_by(|left, right| {
+        let routes = all_routes(&engines, &[]);
+        let cheapest = routes.into_iter().min_by(|left, right| {
             cost_ms(left).total_cmp(&cost_ms(right))
         });
         let found = finder.find(&home, TOKENS);
@@ -355,7 +352,7 @@
 }
 
 #[test]
-fn of_full_engines_the_one_that_is_less_over_is_taken() {
+fn among_full_engines_the_least_overfilled_is_chosen() {
     let mut fast = engine(0, "a", 0, 20);
     let mut slow = engine(1, "a", 0, 20);
     fast.layer_step_ms = 0.05;
@@ -366,21 +363,21 @@
 }
 
 #[test]
-fn full_engines_are_waited_for_rather_than_the_link_taken() {
+fn waiting_for_full_engines_is_preferred_to_crossing_the_link() {
     let mut engines = vec![
         engine(0, "a", 0, 10),
         engine(1, "a", 10, 20),
         engine(2, "b", 10, 20),
     ];
     engines[1].used_tokens = 15_000.0;
-    let taken = |engines: &[PipelineEngine]| {
+    let chosen = |engines: &[PipelineEngine]| {
         let path = PathFinder::new(LAYERS, engines).find(&"a".into(), TOKENS);
         let path = path.expect("a path");
         let stages = path.stages().iter();
         stages.map(PathStage::addr).collect::<Vec<_>>()
     };
-    assert_eq!(taken(&engines), [addr(0), addr(1)]);
+    assert_eq!(chosen(&engines), [addr(0), addr(1)]);
     // A path within another domain is preferred to waiting.
     engines.push(engine(3, "b", 0, 10));
-    assert_eq!(taken(&engines), [addr(3), addr(2)]);
+    assert_eq!(chosen(&engines), [addr(3), addr(2)]);
 }
--- a/crates/rookferry_core/tests/routing.rs
+++ b/crates/rookferry_core/tests/routing.rs
@@ -36,7 +36,7 @@
 use serde_json::json;
 
 const LAYERS: u16 = 6;
-const ALL: [ChooserKind; 4] = [
+const ALL_CHOOSERS: [ChooserKind; 4] = [
     ChooserKind::ExpectedFinish,
     ChooserKind::Random,
     ChooserKind::RoundRobin,
@@ -64,7 +64,7 @@
     }
 }
 
-fn learned(engine: &Engine, round_trip_ms: u64) {
+fn record_steps(engine: &Engine, round_trip_ms: u64) {
     for _ in 0..20 {
         engine
             .stats
@@ -98,7 +98,7 @@
         engine("d", 3, 6),
     ];
     for (engine, ms) in engines.iter().zip([10, 10, 50, 30, 30]) {
-        learned(engine, ms);
+        record_steps(engine, ms);
     }
     let chain = choose(ChooserKind::ExpectedFinish, &engines, &[], 1);
     assert_eq!(names(&chain), ["a", "b"]);
@@ -107,12 +107,12 @@
 }
 
 #[rstest]
-fn no_policy_uses_engines_that_are_out(#[values(0, 1, 2, 3)] kind: usize) {
+fn no_chooser_uses_leaving_or_lost_engines(#[values(0, 1, 2, 3)] kind: usize) {
     let mut engines = vec![engine("a", 0, 6), engine("b", 0, 6), engine("c", 0, 6)];
     engines[0].state = EngineState::Leaving;
     engines[1].state = EngineState::Lost;
     for seed in 0..50 {
-        let chain = choose(ALL[kind], &engines, &[], seed);
+        let chain = choose(ALL_CHOOSERS[kind], &engines, &[], seed);
         assert_eq!(names(&chain), ["c"]);
         let verdicts: Vec<CandidateVerdict> =
             chain.candidates.iter().map(|one| one.verdict).collect();
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_full_pool_says_so_and_a_gap_does_not() {
+fn a_full_pool_is_reported_as_full_and_a_gap_is_not() {
     let engines = [engine("a", 0, 6)];
     let now = Instant::now();
     for _ in 0..100 {
@@ -142,10 +142,10 @@
 }
 
 #[test]
-fn load_moves_new_work_elsewhere() {
+fn new_requests_avoid_a_loaded_engine() {
     let engines = [engine("a", 0, 6), engine("b", 0, 6)];
-    learned(&engines[0], 10);
-    learned(&engines[1], 12);
+    record_steps(&engines[0], 10);
+    record_steps(&engines[1], 12);
     assert_eq!(
         names(&choose(ChooserKind::ExpectedFinish, &engines, &[], 1)),
         ["a"]
@@ -163,12 +163,12 @@
 
 /// Instances don't all choose the same one of equal engines.
 #[test]
-fn equal_engines_share_the_work() {
+fn equal_engines_share_the_requests() {
     let engines: Vec<Engine> = (0..4)
         .map(|number| engine(&format!("e{number}"), 0, 6))
         .collect();
     for engine in &engines {
-        learned(engine, 10);
+        record_steps(engine, 10);
     }
     let mut counts = [0; 4];
     for seed in 0..400 {
@@ -183,7 +183,7 @@
 
 /// A report counts the streams at its own time; those started since are added.
 #[test]
-fn a_late_report_is_corrected_by_what_was_sent_since() {
+fn an_old_report_is_corrected_by_the_streams_started_since() {
     let stats = EngineStats::new();
     let start = Instant::now();
     stats.record_stream_start(start);
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_timeout_follows_what_was_learned() {
+fn a_step_timeout_follows_the_measured_step_times() {
     let stats = EngineStats::new();
     let floor = Duration::from_millis(100);
     assert_eq!(stats.step_timeout(8.0, floor, 1), floor * 10);
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_gap_in_cache_events_forgets_the_engine() {
+fn a_gap_in_cache_events_removes_the_prefixes_of_the_engine() {
     let mut index = PrefixIndex::new();
     let event = |seq, prefix, stored| CacheEvent {
         seq,
@@ -244,7 +244,7 @@
 
 /// The expected values are the minimum cuts of the layer graphs.
 #[test]
-fn the_bound_is_the_weakest_cut() {
+fn the_bound_is_the_minimum_cut() {
     let rated = |start, end, tokens_per_s| RatedEngine {
         layers: LayerRange { start, end },
         tokens_per_s,
@@ -283,7 +283,7 @@
             .map(|(number, (start, length))| engine(&format!("e{number}"), *start, (*start + *length).min(LAYERS)))
             .collect();
         let graph = LayerGraph::new(LAYERS, &engines, 0..engines.len());
-        let chain = choose(ALL[kind], &engines, &[], seed);
+        let chain = choose(ALL_CHOOSERS[kind], &engines, &[], seed);
         prop_assert_eq!(!chain.stages.is_empty(), graph.is_covered(&engines));
         let mut next = 0;
         for stage in &chain.stages {
@@ -294,7 +294,7 @@
     }
 }
 
-fn placement(version: &str) -> SiteConfig {
+fn placement_config(version: &str) -> SiteConfig {
     let config = json!({
         "models": {"scribe": {"layers": LAYERS}},
         "placement": [{"name": "all", "selector": "", "model": "scribe", "version": version,
@@ -304,13 +304,13 @@
 }
 
 /// Carries out all orders at once.
-fn obey(engines: &mut [Engine], orders: &[rookferry_core::PlannedOrder]) {
-    for needed in orders {
+fn apply_orders(engines: &mut [Engine], orders: &[rookferry_core::PlannedOrder]) {
+    for planned in orders {
         let engine = engines
             .iter_mut()
-            .find(|engine| engine.info.engine == needed.engine);
+            .find(|engine| engine.info.engine == planned.engine);
         let info = &mut engine.expect("a known engine").info;
-        match &needed.order {
+        match &planned.order {
             Order::Load { version, .. } => info.model_version.clone_from(version),
             Order::SetRole { role } => {
                 info.labels.insert("role".to_owned(), role.clone());
@@ -322,9 +322,9 @@
 
 /// While a new version is rolled out, at least one engine serves at all times.
 #[test]
-fn a_new_version_never_takes_all_engines_out() {
+fn a_rollout_never_drains_all_engines() {
     let mut engines = vec![engine("a", 0, 6), engine("b", 0, 6), engine("c", 0, 6)];
-    let config = placement("2");
+    let config = placement_config("2");
     let limits = PlacementLimits {
         at_once: 2,
         load_interval: Duration::from_secs(1),
@@ -338,7 +338,7 @@
             &config,
             &engines,
         );
-        obey(&mut engines, &orders);
+        apply_orders(&mut engines, &orders);
         let serving = engines
             .iter()
             .filter(|one| !rookferry_core::is_draining(one));
@@ -363,21 +363,21 @@
     for second in 0..60 {
         let orders = planner.plan(
             start + Duration::from_secs(second),
-            &placement("2"),
+            &placement_config("2"),
             &engines,
         );
         let loads = |one: &rookferry_core::PlannedOrder| matches!(one.order, Order::Load { .. });
         if orders.iter().any(loads) && loaded_at.is_none() {
             loaded_at = Some(second);
         }
-        obey(&mut engines, &orders);
+        apply_orders(&mut engines, &orders);
     }
     // Counted from the engine's report that it drains, one plan after the order.
     assert_eq!(loaded_at, Some(31), "loads only after the drain timeout");
 }
 
 #[test]
-fn without_cover_by_others_nothing_is_taken_out() {
+fn an_engine_whose_layers_no_other_holds_is_not_drained() {
     let engines = vec![engine("a", 0, 6)];
     let limits = PlacementLimits {
         at_once: 4,
@@ -387,7 +387,7 @@
     let mut planner = PlacementPlanner::new(limits);
     assert!(
         planner
-            .plan(Instant::now(), &placement("2"), &engines)
+            .plan(Instant::now(), &placement_config("2"), &engines)
             .is_empty()
     );
 }
@@ -395,7 +395,7 @@
 /// Own streams that hadn't changed for longer than the history were counted twice, also
 /// as streams of other instances.
 #[test]
-fn steady_own_streams_are_not_taken_for_others() {
+fn unchanged_own_streams_are_not_counted_as_those_of_others() {
     let stats = EngineStats::new();
     let start = Instant::now();
     stats.record_stream_start(start);
--- a/crates/rookferry_core/tests/selector.rs
+++ b/crates/rookferry_core/tests/selector.rs
@@ -33,7 +33,7 @@
 #[case("tier = silver or zone = k-1 and absent", false)]
 #[case("(tier = silver or zone = k-1) and not absent", true)]
 #[case("note = \"two words\"", true)]
-fn matches_as_written(#[case] text: &str, #[case] expected: bool) {
+fn a_selector_matches_as_written(#[case] text: &str, #[case] expected: bool) {
     let selector: Selector = text.parse().expect("a valid selector");
     assert_eq!(selector.matches(&labels()), expected);
     assert_eq!(selector.text(), text);
@@ -48,9 +48,9 @@
 #[case("tier & zone", 6)]
 #[case("note = \"open", 8)]
 #[case("a and", 6)]
-fn names_the_column_of_a_fault(#[case] text: &str, #[case] column: usize) {
-    let fault = text.parse::<Selector>().expect_err("an error");
-    assert_eq!(fault.column, column, "{fault}");
+fn a_parse_error_names_its_column(#[case] text: &str, #[case] column: usize) {
+    let error = text.parse::<Selector>().expect_err("an error");
+    assert_eq!(error.column, column, "{error}");
 }
 
 #[test]
@@ -61,9 +61,9 @@
 
 proptest! {
     #[test]
-    fn any_text_is_read_or_refused(text in any::<String>()) {
-        if let Err(fault) = text.parse::<Selector>() {
-            prop_assert!(fault.column >= 1 && fault.column <= text.chars().count() + 1);
+    fn any_text_is_parsed_or_refused(text in any::<String>()) {
+        if let Err(error) = text.parse::<Selector>() {
+            prop_assert!(error.column >= 1 && error.column <= text.chars().count() + 1);
         }
     }
 }
--- a/crates/rookferry_core/tests/stream.rs
+++ b/crates/rookferry_core/tests/stream.rs
@@ -58,7 +58,7 @@
 /// Each fault at each exchange: prefill, each stage, between tokens, the last
 /// token.
 #[rstest]
-fn a_fault_at_any_exchange_changes_nothing_for_the_caller(
+fn a_fault_at_any_exchange_leaves_the_response_unchanged(
     #[values(0, 1, 2, 3, 4, 5, 6, 7)] fault: usize,
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] exchange: usize,
 ) {
@@ -70,7 +70,7 @@
 
 /// The other stages run no position again, whichever stage is lost.
 #[rstest]
-fn only_the_lost_stage_runs_its_prefix_again(
+fn only_the_lost_stage_reruns_its_prefix(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] exchange: usize,
 ) {
     let (pipeline, ..) = run(vec![(exchange, Fault::DiesBefore)]);
@@ -91,7 +91,7 @@
 
 /// The second fault hits the recovery from the first.
 #[rstest]
-fn a_second_fault_during_recovery_changes_nothing_for_the_caller(
+fn a_second_fault_during_recovery_leaves_the_response_unchanged(
     #[values(0, 1, 2, 3, 4, 5, 6, 7)] first: usize,
     #[values(0, 1, 2, 3, 4, 5, 6, 7)] second: usize,
     #[values(2, 6, 10)] exchange: usize,
@@ -110,12 +110,12 @@
 
 /// Another instance resumes the stream after the first one stopped at any exchange.
 #[rstest]
-fn a_resumed_stream_gives_the_whole_answer_and_runs_nothing_twice(
-    #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] vanished_after: usize,
+fn a_resumed_stream_gives_the_whole_response_and_runs_nothing_twice(
+    #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] stopped_after: usize,
 ) {
     let mut pipeline = Pipeline::new(Vec::new());
     let mut first = StreamDriver::new(pipeline.spec());
-    assert_eq!(pipeline.run(&mut first, Some(vanished_after)), None);
+    assert_eq!(pipeline.run(&mut first, Some(stopped_after)), None);
     pipeline.shown.clear();
     let mut second = StreamDriver::resume(pipeline.spec(), 1);
     assert_eq!(pipeline.run(&mut second, None), Some(Ending::Finished));
@@ -129,7 +129,7 @@
 
 /// An owner that continues after another instance took over its stream is refused.
 #[test]
-fn a_paused_owner_is_fenced_by_who_took_over() {
+fn a_paused_owner_is_fenced_after_a_takeover() {
     let mut pipeline = Pipeline::new(Vec::new());
     let mut paused = StreamDriver::new(pipeline.spec());
     assert_eq!(pipeline.run(&mut paused, Some(5)), None);
@@ -153,7 +153,7 @@
 
 /// A resume abandons a stream that the engines don't hold.
 #[test]
-fn a_resume_never_begins_work() {
+fn a_resume_never_starts_a_stream() {
     let mut pipeline = Pipeline::new(Vec::new());
     let mut driver = StreamDriver::resume(pipeline.spec(), 1);
     let ending = pipeline.run(&mut driver, None);
@@ -168,7 +168,7 @@
 #[case(Fault::Overloaded, true)]
 #[case(Fault::DiesBefore, false)]
 #[case(Fault::Frozen, false)]
-fn not_run_needs_the_engines_own_refusal(#[case] fault: Fault, #[case] expected: bool) {
+fn not_run_requires_a_refusal_by_the_engine(#[case] fault: Fault, #[case] expected: bool) {
     let mut pipeline = Pipeline::new([(1, fault)]);
     let mut driver = StreamDriver::new(pipeline.spec());
     assert_eq!(pipeline.run(&mut driver, Some(1)), None);
@@ -179,7 +179,7 @@
 
 /// Responses from another engine, for another attempt or at another time are dropped.
 #[test]
-fn late_and_crossed_answers_are_dropped() {
+fn unexpected_responses_are_dropped() {
     let pipeline = Pipeline::new(Vec::new());
     let mut driver = StreamDriver::new(pipeline.spec());
     let _ = driver.start();
@@ -195,7 +195,7 @@
 
 proptest! {
     #[test]
-    fn any_schedule_of_faults_gives_the_reference_or_none(
+    fn any_schedule_of_faults_emits_only_the_reference_output(
         faults in vec((1_usize..EXCHANGES * 3, select(ALL_FAULTS.to_vec())), 0..8),
     ) {
         let (pipeline, _, ending) = run(faults);
@@ -208,18 +208,18 @@
     }
 
     #[test]
-    fn any_two_drivers_in_turn_run_nothing_twice(
-        vanished_after in 1_usize..EXCHANGES,
+    fn two_sequential_drivers_run_nothing_twice(
+        stopped_after in 1_usize..EXCHANGES,
         faults in vec((1_usize..EXCHANGES * 2, select(vec![Fault::AnswerLost, Fault::Frozen, Fault::Twice])), 0..4),
-        also_wakes in any::<bool>(),
+        wakes_frozen_engines in any::<bool>(),
     ) {
         let mut pipeline = Pipeline::new(faults);
         let mut first = StreamDriver::new(pipeline.spec());
-        let _ = pipeline.run(&mut first, Some(vanished_after));
+        let _ = pipeline.run(&mut first, Some(stopped_after));
         pipeline.shown.clear();
         let mut second = StreamDriver::resume(pipeline.spec(), 1);
         let ending = pipeline.run(&mut second, None);
-        if also_wakes {
+        if wakes_frozen_engines {
             pipeline.wake();
         }
         if ending == Some(Ending::Finished) {
@@ -232,7 +232,7 @@
 /// The owner had moved to a newer attempt before it stopped, so the resume has to count
 /// its own attempts from above that one.
 #[test]
-fn a_resume_that_meets_a_newer_attempt_opens_above_it() {
+fn a_resume_opens_its_attempt_above_a_newer_one_of_the_owner() {
     let faults = [(1, Fault::AnswerLost), (8, Fault::AnswerLost)];
     let mut pipeline = Pipeline::new(faults);
     let mut first = StreamDriver::new(pipeline.spec());
@@ -247,7 +247,7 @@
 /// An owner that was paused after any exchange continues once another instance has
 /// finished its stream: the stages refuse it, and nothing runs again.
 #[rstest]
-fn a_paused_owner_that_goes_on_is_refused_by_the_stages(
+fn a_paused_owner_that_continues_is_refused_by_the_stages(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)] paused_after: usize,
 ) {
     let mut pipeline = Pipeline::new(Vec::new());
--- a/crates/rookferry_core/tests/tickets.rs
+++ b/crates/rookferry_core/tests/tickets.rs
@@ -1,4 +1,5 @@
-//! Tickets: only the incarnation that minted a ticket dispatches its request, and once.
+//! Tickets: only the incarnation that minted a ticket dispatches its request, and
+//! only once. Otherwise a request could run twice while the platform is unavailable.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,7 +8,7 @@
 use rookferry_core::TicketError;
 use rookferry_core::TicketIssuer;
 
-fn book(instance: &str, incarnation: u64) -> TicketIssuer {
+fn issuer(instance: &str, incarnation: u64) -> TicketIssuer {
     TicketIssuer::new(
         instance.into(),
         incarnation,
@@ -18,7 +19,7 @@
 #[test]
 fn a_ticket_is_dispatched_once() {
     let now = Instant::now();
-    let mut own = book("entry-1", 5);
+    let mut own = issuer("entry-1", 5);
     let ticket = own.mint(now).expect("a ticket");
     assert!(TicketIssuer::is_ticket(&ticket));
     assert_eq!(
@@ -36,26 +37,26 @@
 }
 
 #[test]
-fn nobody_else_dispatches_it() {
+fn only_the_minting_incarnation_dispatches_a_ticket() {
     let now = Instant::now();
-    let ticket = book("entry-1", 5).mint(now).expect("a ticket");
-    let elsewhere = TicketError::OtherInstance {
+    let ticket = issuer("entry-1", 5).mint(now).expect("a ticket");
+    let other_instance = TicketError::OtherInstance {
         instance: "entry-1".into(),
     };
     assert_eq!(
-        book("entry-2", 5).redeem(now, &ticket, "body"),
-        Err(elsewhere)
+        issuer("entry-2", 5).redeem(now, &ticket, "body"),
+        Err(other_instance)
     );
     assert_eq!(
-        book("entry-1", 6).redeem(now, &ticket, "body"),
+        issuer("entry-1", 6).redeem(now, &ticket, "body"),
         Err(TicketError::EarlierIncarnation)
     );
 }
 
 #[test]
-fn a_changed_or_foreign_one_is_refused() {
+fn a_changed_or_foreign_ticket_is_refused() {
     let now = Instant::now();
-    let mut own = book("entry-1", 5);
+    let mut own = issuer("entry-1", 5);
     let ticket = own.mint(now).expect("a ticket");
     let changed = ticket.replacen(".1.", ".2.", 1);
     assert_eq!(own.redeem(now, &changed, "body"), Err(TicketError::Invalid));
@@ -68,9 +69,9 @@
 }
 
 #[test]
-fn an_old_one_never_runs() {
+fn an_expired_ticket_is_refused() {
     let now = Instant::now();
-    let mut own = book("entry-1", 5);
+    let mut own = issuer("entry-1", 5);
     let ticket = own.mint(now).expect("a ticket");
     let later = now + Duration::from_hours(2);
     assert_eq!(
