--- a/crates/rookferry_core/examples/embed.rs
+++ b/crates/rookferry_core/examples/embed.rs
@@ -39,7 +39,7 @@
 }"#;
 
 fn main() {
-    let config = SiteConfig::from_json(CONFIG).expect("no faults");
+    let config = SiteConfig::from_json(CONFIG).expect("no errors");
     let engines =
         [("a1", 0), ("a2", 0), ("b1", 1), ("b2", 1)].map(|(name, layer)| engine(name, layer));
     let fleet = Fleet::new(&config, engines.into());
--- a/crates/rookferry_entry/src/main.rs
+++ b/crates/rookferry_entry/src/main.rs
@@ -16,17 +16,17 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// An entry instance of rookferry.
+/// Run an entry instance of rookferry.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// The instance's settings, as JSON.
+    /// Path of the instance's settings (JSON).
     #[arg(long)]
     config: PathBuf,
-    /// Where to write the addresses, as JSON, once everything listens.
+    /// File to write the listening addresses to, as JSON, after startup.
     #[arg(long)]
     addresses: Option<PathBuf>,
-    /// Checks the settings, prints every fault, and exits.
+    /// Validate the settings, print all errors and exit without starting.
     #[arg(long)]
     check: bool,
 }
@@ -46,9 +46,9 @@
 
 async fn run(args: Args) -> Result<bool, String> {
     let text = read_text(&args.config).map_err(|error| error.to_string())?;
-    let settings = EntrySettings::from_json(&text).map_err(|faults| faults.to_string())?;
+    let settings = EntrySettings::from_json(&text).map_err(|errors| errors.to_string())?;
     if args.check {
-        println!("{}: no faults", args.config.display());
+        println!("{}: no errors", args.config.display());
         return Ok(true);
     }
     let log = root_logger(settings.log_format, settings.log_level, &settings.instance);
--- a/crates/rookferry_standin/src/bin/rookferry-standin.rs
+++ b/crates/rookferry_standin/src/bin/rookferry-standin.rs
@@ -18,7 +18,7 @@
     /// Stand-ins to start, a JSON file; see `SiteSpec`.
     #[arg(long)]
     config: PathBuf,
-    /// File to write the bound addresses to, as JSON, once all stand-ins listen.
+    /// File to write the listening addresses to, as JSON, after startup.
     #[arg(long)]
     addresses: Option<PathBuf>,
 }
