--- a/crates/rookferry_core/src/member/adopt.rs
+++ b/crates/rookferry_core/src/member/adopt.rs
@@ -1,4 +1,4 @@
-//! Adoption of configurations: only a valid one with a higher version comes into force.
+//! Adoption of configurations: only a valid one with a higher version becomes active.
 
 use std::sync::Arc;
 
@@ -10,15 +10,15 @@
 /// Result of offering a configuration.
 #[derive(Debug)]
 pub enum AdoptOutcome {
-    /// It is in force now.
-    InForce(Arc<SiteConfig>),
-    /// Its version isn't higher than the highest one in force or rejected so far.
+    /// It is active now.
+    Activated(Arc<SiteConfig>),
+    /// Its version isn't higher than the highest one activated or rejected so far.
     NotNewer,
-    /// It is newer but invalid; the one in force stays.
+    /// It is newer but invalid; the active one stays.
     Invalid(ConfigErrors),
 }
 
-/// Tracks the version in force and the highest rejected version.
+/// Tracks the active version and the highest rejected version.
 #[derive(Debug, Default)]
 pub struct ConfigAdopter {
     version: ObjectVersion,
@@ -32,13 +32,13 @@
         Self::default()
     }
 
-    /// The version in force, 0 if none.
+    /// The active version, 0 if none.
     #[must_use]
     pub const fn version(&self) -> ObjectVersion {
         self.version
     }
 
-    /// The highest version seen, in force or rejected.
+    /// The highest version seen, active or rejected.
     #[must_use]
     pub fn seen(&self) -> ObjectVersion {
         self.version.max(self.rejected)
@@ -53,7 +53,7 @@
         match SiteConfig::from_json(body) {
             Ok(config) => {
                 self.version = version;
-                AdoptOutcome::InForce(Arc::new(config))
+                AdoptOutcome::Activated(Arc::new(config))
             }
             Err(faults) => {
                 self.rejected = version;
--- a/crates/rookferry_core/tests/config.rs
+++ b/crates/rookferry_core/tests/config.rs
@@ -81,7 +81,10 @@
 fn only_a_higher_version_is_adopted() {
     let body = valid_config().to_string();
     let mut adopter = ConfigAdopter::new();
-    assert!(matches!(adopter.offer(7, &body), AdoptOutcome::InForce(_)));
+    assert!(matches!(
+        adopter.offer(7, &body),
+        AdoptOutcome::Activated(_)
+    ));
     assert!(matches!(adopter.offer(7, &body), AdoptOutcome::NotNewer));
     assert!(matches!(adopter.offer(3, &body), AdoptOutcome::NotNewer));
     assert_eq!(adopter.version(), 7);
@@ -91,13 +94,19 @@
 fn an_invalid_newer_version_leaves_the_former_one_active() {
     let body = valid_config().to_string();
     let mut adopter = ConfigAdopter::new();
-    assert!(matches!(adopter.offer(7, &body), AdoptOutcome::InForce(_)));
+    assert!(matches!(
+        adopter.offer(7, &body),
+        AdoptOutcome::Activated(_)
+    ));
     assert!(matches!(
         adopter.offer(8, "{\"x\": 1}"),
         AdoptOutcome::Invalid(_)
     ));
     assert_eq!((adopter.version(), adopter.seen()), (7, 8));
-    assert!(matches!(adopter.offer(9, &body), AdoptOutcome::InForce(_)));
+    assert!(matches!(
+        adopter.offer(9, &body),
+        AdoptOutcome::Activated(_)
+    ));
 }
 
 #[test]
--- a/crates/rookferry_entry/src/config_sync.rs
+++ b/crates/rookferry_entry/src/config_sync.rs
@@ -87,7 +87,7 @@
     fn offer(&self, version: ObjectVersion, body: &str) -> AdoptOutcome {
         let mut current = self.lock();
         let adopted = current.adopter.offer(version, body);
-        if let AdoptOutcome::InForce(config) = &adopted {
+        if let AdoptOutcome::Activated(config) = &adopted {
             current.body = Arc::from(body);
             current.config = config.clone();
         }
@@ -102,7 +102,7 @@
 /// Adopts a configuration if it is newer and valid; `source` is logged.
 pub(crate) fn offer(entry: &Arc<EntryState>, source: &str, version: ObjectVersion, body: &str) {
     match entry.config.offer(version, body) {
-        AdoptOutcome::InForce(_) => {
+        AdoptOutcome::Activated(_) => {
             discovery::rebuild(entry);
             entry.peers.wake.notify_waiters();
             info!(entry.log, "config: version is active"; "part" => "config", "version" => version, "source" => source);
