--- a/crates/rookferry_core/tests/stream.rs
+++ b/crates/rookferry_core/tests/stream.rs
@@ -13,41 +13,41 @@
 use rookferry_core::StreamDriver;
 use rstest::rstest;
 
-use support::Ending;
 use support::Fault;
 use support::Pipeline;
+use support::StreamOutcome;
 use support::TOKENS;
 use support::reference;
 
 const ALL_FAULTS: [Fault; 8] = [
-    Fault::DiesBefore,
-    Fault::DiesAfter,
-    Fault::AnswerLost,
+    Fault::CrashBefore,
+    Fault::CrashAfter,
+    Fault::ResponseLost,
     Fault::Frozen,
     Fault::Leaving,
     Fault::Overloaded,
     Fault::Evicted,
-    Fault::Twice,
+    Fault::Duplicated,
 ];
 
 /// Number of exchanges of a stream without faults: three stages for each token.
 const EXCHANGES: usize = 3 * TOKENS as usize;
 
-fn run(faults: Vec<(usize, Fault)>) -> (Pipeline, StreamDriver, Ending) {
+fn run(faults: Vec<(usize, Fault)>) -> (Pipeline, StreamDriver, StreamOutcome) {
     let mut pipeline = Pipeline::new(faults);
     let mut driver = StreamDriver::new(pipeline.spec());
-    let ending = pipeline
+    let outcome = pipeline
         .run(&mut driver, None)
         .expect("the stream finishes or is abandoned");
     pipeline.wake();
-    (pipeline, driver, ending)
+    (pipeline, driver, outcome)
 }
 
 #[test]
 fn without_faults_each_layer_runs_once() {
-    let (pipeline, _, ending) = run(Vec::new());
-    assert_eq!(ending, Ending::Finished);
-    assert_eq!(pipeline.shown, reference());
+    let (pipeline, _, outcome) = run(Vec::new());
+    assert_eq!(outcome, StreamOutcome::Finished);
+    assert_eq!(pipeline.emitted, reference());
     for start in [0, 2, 4] {
         for position in 0..5 {
             assert_eq!(pipeline.runs_at(start, position), 1);
@@ -62,9 +62,9 @@
     #[values(0, 1, 2, 3, 4, 5, 6, 7)] fault: usize,
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] exchange: usize,
 ) {
-    let (pipeline, _, ending) = run(vec![(exchange, ALL_FAULTS[fault])]);
-    assert_eq!(ending, Ending::Finished);
-    assert_eq!(pipeline.shown, reference());
+    let (pipeline, _, outcome) = run(vec![(exchange, ALL_FAULTS[fault])]);
+    assert_eq!(outcome, StreamOutcome::Finished);
+    assert_eq!(pipeline.emitted, reference());
     pipeline.assert_no_repeats();
 }
 
@@ -73,7 +73,7 @@
 fn only_the_lost_stage_reruns_its_prefix(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] exchange: usize,
 ) {
-    let (pipeline, ..) = run(vec![(exchange, Fault::DiesBefore)]);
+    let (pipeline, ..) = run(vec![(exchange, Fault::CrashBefore)]);
     let lost = ((exchange - 1) % 3) * 2;
     for start in [0, 2, 4]
         .into_iter()
@@ -101,9 +101,9 @@
             (exchange, ALL_FAULTS[first]),
             (exchange + gap, ALL_FAULTS[second]),
         ];
-        let (pipeline, _, ending) = run(faults);
-        assert_eq!(ending, Ending::Finished, "gap {gap}");
-        assert_eq!(pipeline.shown, reference(), "gap {gap}");
+        let (pipeline, _, outcome) = run(faults);
+        assert_eq!(outcome, StreamOutcome::Finished, "gap {gap}");
+        assert_eq!(pipeline.emitted, reference(), "gap {gap}");
         pipeline.assert_no_repeats();
     }
 }
@@ -116,10 +116,13 @@
     let mut pipeline = Pipeline::new(Vec::new());
     let mut first = StreamDriver::new(pipeline.spec());
     assert_eq!(pipeline.run(&mut first, Some(stopped_after)), None);
-    pipeline.shown.clear();
+    pipeline.emitted.clear();
     let mut second = StreamDriver::resume(pipeline.spec(), 1);
-    assert_eq!(pipeline.run(&mut second, None), Some(Ending::Finished));
-    assert_eq!(pipeline.shown, reference());
+    assert_eq!(
+        pipeline.run(&mut second, None),
+        Some(StreamOutcome::Finished)
+    );
+    assert_eq!(pipeline.emitted, reference());
     for start in [0, 2, 4] {
         for position in 0..5 {
             assert_eq!(pipeline.runs_at(start, position), 1);
@@ -133,9 +136,12 @@
     let mut pipeline = Pipeline::new(Vec::new());
     let mut paused = StreamDriver::new(pipeline.spec());
     assert_eq!(pipeline.run(&mut paused, Some(5)), None);
-    pipeline.shown.clear();
+    pipeline.emitted.clear();
     let mut resumed = StreamDriver::resume(pipeline.spec(), 1);
-    assert_eq!(pipeline.run(&mut resumed, None), Some(Ending::Finished));
+    assert_eq!(
+        pipeline.run(&mut resumed, None),
+        Some(StreamOutcome::Finished)
+    );
     let stale = StageEvent::Refused {
         engine: "c1".into(),
         attempt: paused.attempt(),
@@ -156,8 +162,11 @@
 fn a_resume_never_starts_a_stream() {
     let mut pipeline = Pipeline::new(Vec::new());
     let mut driver = StreamDriver::resume(pipeline.spec(), 1);
-    let ending = pipeline.run(&mut driver, None);
-    assert_eq!(ending, Some(Ending::Abandoned(AbandonReason::NotHeld)));
+    let outcome = pipeline.run(&mut driver, None);
+    assert_eq!(
+        outcome,
+        Some(StreamOutcome::Abandoned(AbandonReason::NotHeld))
+    );
     assert_eq!(pipeline.runs_at(0, 0), 0);
     assert!(!driver.nothing_ran(), "another instance may have run it");
 }
@@ -166,7 +175,7 @@
 #[rstest]
 #[case(Fault::Leaving, true)]
 #[case(Fault::Overloaded, true)]
-#[case(Fault::DiesBefore, false)]
+#[case(Fault::CrashBefore, false)]
 #[case(Fault::Frozen, false)]
 fn not_run_requires_a_refusal_by_the_engine(#[case] fault: Fault, #[case] expected: bool) {
     let mut pipeline = Pipeline::new([(1, fault)]);
@@ -198,32 +207,32 @@
     fn any_schedule_of_faults_emits_only_the_reference_output(
         faults in vec((1_usize..EXCHANGES * 3, select(ALL_FAULTS.to_vec())), 0..8),
     ) {
-        let (pipeline, _, ending) = run(faults);
-        if ending == Ending::Finished {
-            prop_assert_eq!(&pipeline.shown, &reference());
+        let (pipeline, _, outcome) = run(faults);
+        if outcome == StreamOutcome::Finished {
+            prop_assert_eq!(&pipeline.emitted, &reference());
         }
-        let shown = pipeline.shown.len();
-        prop_assert_eq!(&pipeline.shown[..], &reference()[..shown]);
+        let emitted = pipeline.emitted.len();
+        prop_assert_eq!(&pipeline.emitted[..], &reference()[..emitted]);
         pipeline.assert_no_repeats();
     }
 
     #[test]
     fn two_sequential_drivers_run_nothing_twice(
         stopped_after in 1_usize..EXCHANGES,
-        faults in vec((1_usize..EXCHANGES * 2, select(vec![Fault::AnswerLost, Fault::Frozen, Fault::Twice])), 0..4),
+        faults in vec((1_usize..EXCHANGES * 2, select(vec![Fault::ResponseLost, Fault::Frozen, Fault::Duplicated])), 0..4),
         wakes_frozen_engines in any::<bool>(),
     ) {
         let mut pipeline = Pipeline::new(faults);
         let mut first = StreamDriver::new(pipeline.spec());
         let _ = pipeline.run(&mut first, Some(stopped_after));
-        pipeline.shown.clear();
+        pipeline.emitted.clear();
         let mut second = StreamDriver::resume(pipeline.spec(), 1);
-        let ending = pipeline.run(&mut second, None);
+        let outcome = pipeline.run(&mut second, None);
         if wakes_frozen_engines {
             pipeline.wake();
         }
-        if ending == Some(Ending::Finished) {
-            prop_assert_eq!(&pipeline.shown, &reference());
+        if outcome == Some(StreamOutcome::Finished) {
+            prop_assert_eq!(&pipeline.emitted, &reference());
         }
         pipeline.assert_no_repeats();
     }
@@ -233,15 +242,18 @@
 /// its own attempts from above that one.
 #[test]
 fn a_resume_opens_its_attempt_above_a_newer_one_of_the_owner() {
-    let faults = [(1, Fault::AnswerLost), (8, Fault::AnswerLost)];
+    let faults = [(1, Fault::ResponseLost), (8, Fault::ResponseLost)];
     let mut pipeline = Pipeline::new(faults);
     let mut first = StreamDriver::new(pipeline.spec());
     assert_eq!(pipeline.run(&mut first, Some(9)), None);
-    pipeline.shown.clear();
+    pipeline.emitted.clear();
     let mut second = StreamDriver::resume(pipeline.spec(), 1);
-    assert_eq!(pipeline.run(&mut second, None), Some(Ending::Finished));
+    assert_eq!(
+        pipeline.run(&mut second, None),
+        Some(StreamOutcome::Finished)
+    );
     assert!(second.attempt() > first.attempt());
-    assert_eq!(pipeline.shown, reference());
+    assert_eq!(pipeline.emitted, reference());
 }
 
 /// An owner that was paused after any exchange continues once another instance has
@@ -253,13 +265,19 @@
     let mut pipeline = Pipeline::new(Vec::new());
     let mut owner = StreamDriver::new(pipeline.spec());
     assert_eq!(pipeline.run(&mut owner, Some(paused_after)), None);
-    let shown = std::mem::take(&mut pipeline.shown);
+    let emitted = std::mem::take(&mut pipeline.emitted);
     let mut resumed = StreamDriver::resume(pipeline.spec(), 1);
-    assert_eq!(pipeline.run(&mut resumed, None), Some(Ending::Finished));
-    pipeline.shown = shown;
+    assert_eq!(
+        pipeline.run(&mut resumed, None),
+        Some(StreamOutcome::Finished)
+    );
+    pipeline.emitted = emitted;
     // The owner may still emit what it had received before the pause.
-    let ending = pipeline.resume(&mut owner);
-    assert_eq!(ending, Some(Ending::Abandoned(AbandonReason::TakenOver)));
+    let outcome = pipeline.resume(&mut owner);
+    assert_eq!(
+        outcome,
+        Some(StreamOutcome::Abandoned(AbandonReason::TakenOver))
+    );
     pipeline.assert_no_repeats();
     for start in [0, 2, 4] {
         for position in 0..5 {
--- a/crates/rookferry_core/tests/support/mod.rs
+++ b/crates/rookferry_core/tests/support/mod.rs
@@ -28,11 +28,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The engine crashes before it runs the step.
-    DiesBefore,
-    /// The engine crashes after it ran the step; its answer is lost.
-    DiesAfter,
-    /// The step runs and only its answer is lost.
-    AnswerLost,
+    CrashBefore,
+    /// The engine crashes after it ran the step; its response is lost.
+    CrashAfter,
+    /// The step runs and only its response is lost.
+    ResponseLost,
     /// The engine is frozen and runs the step only when it wakes, at the end of the test.
     Frozen,
     /// The engine refuses the step because it is leaving.
@@ -41,8 +41,8 @@
     Overloaded,
     /// The engine has dropped the stream's KV.
     Evicted,
-    /// The answer arrives twice.
-    Twice,
+    /// The response arrives twice.
+    Duplicated,
 }
 
 fn fold(former: u64, activation: u64, layer: u16, position: u32) -> u64 {
@@ -150,7 +150,7 @@
 
 /// Outcome of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum StreamOutcome {
     Finished,
     Abandoned(rookferry_core::AbandonReason),
 }
@@ -158,7 +158,7 @@
 /// Two engines for each third of the layers, and the tokens emitted to the caller.
 pub struct Pipeline {
     pub engines: BTreeMap<EngineId, FakeEngine>,
-    pub shown: Vec<u64>,
+    pub emitted: Vec<u64>,
     /// Steps that frozen engines run when they wake.
     deferred_steps: Vec<(EngineId, Step)>,
     /// Pending actions of a driver that was stopped.
@@ -179,7 +179,7 @@
         }
         Self {
             engines,
-            shown: Vec::new(),
+            emitted: Vec::new(),
             deferred_steps: Vec::new(),
             pending_actions: Vec::new(),
             exchanges: 0,
@@ -209,13 +209,17 @@
     }
 
     /// Runs a driver until it finishes, or stops it after `stop_after` requests.
-    pub fn run(&mut self, driver: &mut StreamDriver, stop_after: Option<usize>) -> Option<Ending> {
+    pub fn run(
+        &mut self,
+        driver: &mut StreamDriver,
+        stop_after: Option<usize>,
+    ) -> Option<StreamOutcome> {
         let actions = driver.start();
         self.drive(driver, actions, stop_after)
     }
 
     /// Continues a driver that was stopped, with its pending actions.
-    pub fn resume(&mut self, driver: &mut StreamDriver) -> Option<Ending> {
+    pub fn resume(&mut self, driver: &mut StreamDriver) -> Option<StreamOutcome> {
         let actions = std::mem::take(&mut self.pending_actions);
         self.drive(driver, actions, None)
     }
@@ -225,7 +229,7 @@
         driver: &mut StreamDriver,
         mut actions: Vec<StreamAction>,
         stop_after: Option<usize>,
-    ) -> Option<Ending> {
+    ) -> Option<StreamOutcome> {
         loop {
             let mut events = Vec::new();
             let mut due = std::mem::take(&mut actions).into_iter();
@@ -238,13 +242,15 @@
                     StreamAction::Emit { index, token } => {
                         assert_eq!(
                             index as usize,
-                            self.shown.len(),
+                            self.emitted.len(),
                             "each position is emitted once"
                         );
-                        self.shown.push(token);
+                        self.emitted.push(token);
+                    }
+                    StreamAction::Finish => return Some(StreamOutcome::Finished),
+                    StreamAction::Abandon { reason } => {
+                        return Some(StreamOutcome::Abandoned(reason));
                     }
-                    StreamAction::Finish => return Some(Ending::Finished),
-                    StreamAction::Abandon { reason } => return Some(Ending::Abandoned(reason)),
                     other => events.extend(self.execute(other)),
                 }
             }
@@ -289,12 +295,12 @@
         self.exchanges += 1;
         let fault = self.faults.remove(&self.exchanges);
         let target = self.engines.get_mut(&engine).expect("a known engine");
-        if matches!(fault, Some(Fault::DiesBefore | Fault::DiesAfter)) {
+        if matches!(fault, Some(Fault::CrashBefore | Fault::CrashAfter)) {
             target.crash();
             return StageEvent::Lost { engine, attempt };
         }
         let answer = target.open(request);
-        if matches!(fault, Some(Fault::AnswerLost | Fault::Frozen)) {
+        if matches!(fault, Some(Fault::ResponseLost | Fault::Frozen)) {
             return StageEvent::Lost { engine, attempt };
         }
         match answer {
@@ -326,16 +332,16 @@
             refusal,
         };
         match fault {
-            Some(Fault::DiesBefore) => {
+            Some(Fault::CrashBefore) => {
                 target.crash();
                 return vec![lost];
             }
-            Some(Fault::DiesAfter) => {
+            Some(Fault::CrashAfter) => {
                 let _ = target.step(step);
                 target.crash();
                 return vec![lost];
             }
-            Some(Fault::AnswerLost) => {
+            Some(Fault::ResponseLost) => {
                 let _ = target.step(step);
                 return vec![lost];
             }
@@ -346,7 +352,7 @@
             Some(Fault::Leaving) => return vec![refused(Refusal::Leaving)],
             Some(Fault::Overloaded) => return vec![refused(Refusal::Overloaded)],
             Some(Fault::Evicted) => target.crash(),
-            Some(Fault::Twice) | None => {}
+            Some(Fault::Duplicated) | None => {}
         }
         let event = match target.step(step) {
             Ok(output) => StageEvent::Done {
@@ -356,7 +362,7 @@
             },
             Err(refusal) => refused(refusal),
         };
-        if fault == Some(Fault::Twice) {
+        if fault == Some(Fault::Duplicated) {
             return vec![event.clone(), event];
         }
         vec![event]
