--- a/crates/rookferry_core/src/lib.rs
+++ b/crates/rookferry_core/src/lib.rs
@@ -99,7 +99,7 @@
 pub use limits::ServerLimits;
 pub use member::AdoptOutcome;
 pub use member::ConfigAdopter;
-pub use member::HeartbeatFault;
+pub use member::HeartbeatError;
 pub use member::HeartbeatPlan;
 pub use member::Member;
 pub use member::MemberState;
--- a/crates/rookferry_core/src/member/mod.rs
+++ b/crates/rookferry_core/src/member/mod.rs
@@ -27,7 +27,7 @@
 pub use poll::info_tag;
 pub use poll::poll_interval;
 pub use poll::poll_reason;
-pub use table::HeartbeatFault;
+pub use table::HeartbeatError;
 pub use table::Member;
 pub use table::MemberState;
 pub use table::MemberTable;
--- a/crates/rookferry_core/src/member/table.rs
+++ b/crates/rookferry_core/src/member/table.rs
@@ -52,7 +52,7 @@
 
 /// Why a heartbeat is dropped.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum HeartbeatFault {
+pub enum HeartbeatError {
     /// It is the instance's own.
     #[snafu(display("received this instance's own heartbeat"))]
     Own,
@@ -109,7 +109,7 @@
         &mut self,
         now: Instant,
         heartbeat: Heartbeat,
-    ) -> Result<bool, HeartbeatFault> {
+    ) -> Result<bool, HeartbeatError> {
         if heartbeat.instance == self.own {
             ensure!(
                 heartbeat.incarnation == self.own_incarnation,
--- a/crates/rookferry_core/tests/members.rs
+++ b/crates/rookferry_core/tests/members.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::any;
 use proptest::prop_assert;
 use proptest::proptest;
-use rookferry_core::HeartbeatFault;
+use rookferry_core::HeartbeatError;
 use rookferry_core::HeartbeatPlan;
 use rookferry_core::MemberState;
 use rookferry_core::MemberTable;
@@ -54,7 +54,7 @@
     assert_eq!(table.on_heartbeat(now, heartbeat("a", 5, 8)), Ok(false));
     for (incarnation, seq) in [(5, 8), (5, 2), (4, 100)] {
         let stale = table.on_heartbeat(now, heartbeat("a", incarnation, seq));
-        assert!(matches!(stale, Err(HeartbeatFault::Stale { .. })));
+        assert!(matches!(stale, Err(HeartbeatError::Stale { .. })));
     }
     assert_eq!(table.on_heartbeat(now, heartbeat("a", 6, 1)), Ok(true));
 }
@@ -65,10 +65,10 @@
     let now = Instant::now();
     assert_eq!(
         table.on_heartbeat(now, heartbeat("own", 9, 1)),
-        Err(HeartbeatFault::Own)
+        Err(HeartbeatError::Own)
     );
     let other = table.on_heartbeat(now, heartbeat("own", 10, 1));
-    assert_eq!(other, Err(HeartbeatFault::SameName { incarnation: 10 }));
+    assert_eq!(other, Err(HeartbeatError::SameName { incarnation: 10 }));
 }
 
 #[test]
--- a/crates/rookferry_entry/src/peers/heartbeat.rs
+++ b/crates/rookferry_entry/src/peers/heartbeat.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use metrics::counter;
-use rookferry_core::HeartbeatFault;
+use rookferry_core::HeartbeatError;
 use rookferry_core::HeartbeatPlan;
 use rookferry_core::SuspectObservation;
 use rookferry_net::clock;
@@ -154,12 +154,12 @@
             }
             discovery::merge_digests(entry, &engines);
         }
-        Err(fault @ HeartbeatFault::SameName { .. }) => {
-            warn!(entry.log, "peers: {}", fault; "part" => "peers");
+        Err(error @ HeartbeatError::SameName { .. }) => {
+            warn!(entry.log, "peers: {}", error; "part" => "peers");
         }
-        Err(fault) => {
+        Err(error) => {
             counter!("rookferry_datagrams_dropped_total", "why" => "stale").increment(1);
-            debug!(entry.log, "heartbeat::take: {}", fault; "part" => "peers");
+            debug!(entry.log, "heartbeat::take: {}", error; "part" => "peers");
         }
     }
 }
--- a/crates/rookferry_relay/src/exchange.rs
+++ b/crates/rookferry_relay/src/exchange.rs
@@ -139,7 +139,7 @@
             answer.collect(addr).await
         };
         let Ok(answer) = tokio::time::timeout(wait, whole).await else {
-            let message = format!("no whole answer within {} ms", wait.as_millis());
+            let message = format!("timed out after {} ms", wait.as_millis());
             return Err(UpstreamError::Lost { addr, message });
         };
         answer
@@ -153,11 +153,11 @@
         headers: &HeaderMap,
     ) -> ServerNotice {
         let mut notice = ServerNotice::default();
-        match self.protocol.says_leaving(headers) {
+        match self.protocol.reports_leaving(headers) {
             Ok(is_leaving) => notice.is_leaving = is_leaving,
             Err(error) => self.log_invalid_notice(server, &error),
         }
-        match self.protocol.named_limit(headers) {
+        match self.protocol.reported_limit(headers) {
             Ok(named) => {
                 let rate = named.and_then(RequestRate::from_per_s);
                 notice.limit = rate.map_or(LimitNotice::None, LimitNotice::Named);
--- a/crates/rookferry_relay/src/path_supervisor/repair.rs
+++ b/crates/rookferry_relay/src/path_supervisor/repair.rs
@@ -232,7 +232,7 @@
                 RepathOutcome::Unknown
             }
             status => {
-                let refused_by = protocol.refused_stage(&answer.body);
+                let refused_by = protocol.refusing_stage_addr(&answer.body);
                 self.log_failed_order(status.as_str(), refused_by);
                 RepathOutcome::Refused(refused_by.and_then(|addr| self.relay.engine_at(addr, path)))
             }
--- a/crates/rookferry_relay/src/protocol.rs
+++ b/crates/rookferry_relay/src/protocol.rs
@@ -153,7 +153,7 @@
     /// # Errors
     ///
     /// If the header can't be parsed.
-    fn says_leaving(&self, headers: &HeaderMap) -> Result<bool, FormatError>;
+    fn reports_leaving(&self, headers: &HeaderMap) -> Result<bool, FormatError>;
 
     /// The requests per second that a server accepts from all instances together, if an
     /// answer states them.
@@ -161,7 +161,7 @@
     /// # Errors
     ///
     /// If the header can't be parsed.
-    fn named_limit(&self, headers: &HeaderMap) -> Result<Option<f64>, FormatError>;
+    fn reported_limit(&self, headers: &HeaderMap) -> Result<Option<f64>, FormatError>;
 
     /// Encodes a path as a header value.
     fn path_value(&self, path: &PipelinePath) -> HeaderValue;
@@ -183,6 +183,6 @@
     /// The order to move a running request to another path with the same first stage.
     fn repath_call(&self, attempt: &str, path: &PipelinePath) -> EngineCall;
 
-    /// The engine that a refused order names.
-    fn refused_stage(&self, body: &[u8]) -> Option<SocketAddr>;
+    /// The address of the engine that refused an order, if the response names it.
+    fn refusing_stage_addr(&self, body: &[u8]) -> Option<SocketAddr>;
 }
--- a/crates/rookferry_relay/src/relay.rs
+++ b/crates/rookferry_relay/src/relay.rs
@@ -87,7 +87,7 @@
     /// Engines that have restarted and whose entries don't show it yet.
     pub(crate) restarts: RestartQueue,
     /// Limits what this instance sends over the link between failure domains.
-    pub(crate) link_pace: Mutex<LinkRateLimiter>,
+    pub(crate) link_rate: Mutex<LinkRateLimiter>,
     /// Transfers of the configuration, and of the server list, to peers.
     pub(crate) config_source: Mutex<BodySource<u64>>,
     pub(crate) servers_source: Mutex<BodySource<ListVersion>>,
@@ -136,7 +136,7 @@
             list_history: Mutex::default(),
             peer_servers: watch::Sender::new(None),
             restarts: RestartQueue::default(),
-            link_pace: Mutex::new(LinkRateLimiter::new(rand::random())),
+            link_rate: Mutex::new(LinkRateLimiter::new(rand::random())),
             config_source: Mutex::new(BodySource::new().link_mbps(link_mbps)),
             servers_source: Mutex::new(BodySource::new().link_mbps(link_mbps)),
             offered_at: Mutex::default(),
--- a/crates/rookferry_relay/src/stream_opener/admission.rs
+++ b/crates/rookferry_relay/src/stream_opener/admission.rs
@@ -113,7 +113,7 @@
             return CacheCheck::Free(path);
         }
         let instances = relay.instances.load(Ordering::Relaxed);
-        let taken = lock(&relay.link_pace).reserve(needed_ms, instances, clock::now());
+        let taken = lock(&relay.link_rate).reserve(needed_ms, instances, clock::now());
         match taken {
             Ok(()) => CacheCheck::Free(path),
             Err(wait) => CacheCheck::LinkFull(wait),
