--- a/crates/rookferry_relay/tests/settings.rs
+++ b/crates/rookferry_relay/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Settings that don't hold are refused, each fault by name.
+//! Validation of a relay's settings: each invalid field is reported by name.
 
 use rookferry_relay::RelaySettings;
 use rstest::rstest;
 use serde_json::Value;
 use serde_json::json;
 
-fn settings() -> Value {
+fn valid_settings() -> Value {
     json!({
         "instance": "n1", "domain": "a",
         "listen": {"callers": "127.0.0.1:1", "readiness": "127.0.0.1:2",
@@ -17,41 +17,45 @@
 }
 
 #[test]
-fn good_settings_read() {
-    let read = RelaySettings::from_json(&settings().to_string()).expect("settings");
-    let age = read.bounds.max_config_age();
-    assert!(age.as_millis() < u128::from(read.bounds.revoke_ms));
+fn valid_settings_are_accepted() {
+    let settings = RelaySettings::from_json(&valid_settings().to_string()).expect("no errors");
+    let age = settings.bounds.max_config_age();
+    assert!(age.as_millis() < u128::from(settings.bounds.revoke_ms));
 }
 
 #[rstest]
-#[case::no_name("/instance", json!(""), "instance")]
-#[case::no_domain("/domain", json!(""), "domain")]
-#[case::no_bound("/bounds/revoke_ms", json!(0), "bounds.revoke_ms")]
-#[case::no_drain("/bounds/drain_ms", json!(0), "bounds.drain_ms")]
-#[case::no_grace("/bounds/grace_s", json!(0.0), "bounds.grace_s")]
-#[case::no_window("/bounds/retry_window_s", json!(-1.0), "bounds.retry_window_s")]
-#[case::below_zero("/bounds/retry_ratio", json!(-0.1), "bounds.retry_ratio")]
-#[case::no_address("/store", json!("somewhere"), "don't read")]
-#[case::wrong_kind("/seeds", json!("none"), "don't read")]
-fn a_fault_is_named(#[case] pointer: &str, #[case] value: Value, #[case] named: &str) {
-    let mut faulty = settings();
-    *faulty.pointer_mut(pointer).expect("a field") = value;
-    let error = RelaySettings::from_json(&faulty.to_string()).expect_err("a fault");
-    assert!(error.to_string().contains(named), "{error}");
+#[case::empty_instance("/instance", json!(""), "instance")]
+#[case::empty_domain("/domain", json!(""), "domain")]
+#[case::zero_revoke("/bounds/revoke_ms", json!(0), "bounds.revoke_ms")]
+#[case::zero_drain("/bounds/drain_ms", json!(0), "bounds.drain_ms")]
+#[case::zero_grace("/bounds/grace_s", json!(0.0), "bounds.grace_s")]
+#[case::negative_window("/bounds/retry_window_s", json!(-1.0), "bounds.retry_window_s")]
+#[case::negative_ratio("/bounds/retry_ratio", json!(-0.1), "bounds.retry_ratio")]
+#[case::invalid_address("/store", json!("somewhere"), "don't read")]
+#[case::wrong_type("/seeds", json!("none"), "don't read")]
+fn an_error_names_the_invalid_field(
+    #[case] pointer: &str,
+    #[case] value: Value,
+    #[case] expected: &str,
+) {
+    let mut invalid = valid_settings();
+    *invalid.pointer_mut(pointer).expect("an existing field") = value;
+    let error = RelaySettings::from_json(&invalid.to_string()).expect_err("an invalid field");
+    assert!(error.to_string().contains(expected), "{error}");
 }
 
 #[test]
-fn all_faults_are_named_at_once() {
-    let mut faulty = settings();
-    faulty["instance"] = json!("");
-    faulty["bounds"]["grace_s"] = json!(0);
-    let error = RelaySettings::from_json(&faulty.to_string()).expect_err("faults");
+fn all_errors_are_reported_at_once() {
+    let mut invalid = valid_settings();
+    invalid["instance"] = json!("");
+    invalid["bounds"]["grace_s"] = json!(0);
+    let error = RelaySettings::from_json(&invalid.to_string()).expect_err("two invalid fields");
     assert_eq!(error.to_string().lines().count(), 2, "{error}");
 }
 
 #[test]
-fn an_unknown_field_is_refused() {
-    let mut faulty = settings();
-    faulty["bounds"]["revoke"] = json!(1);
-    assert!(RelaySettings::from_json(&faulty.to_string()).is_err());
+fn an_unknown_field_is_rejected() {
+    let mut invalid = valid_settings();
+    invalid["bounds"]["revoke"] = json!(1);
+    assert!(RelaySettings::from_json(&invalid.to_string()).is_err());
 }
