--- a/crates/rookferry_burn/src/history.rs
+++ b/crates/rookferry_burn/src/history.rs
@@ -39,7 +39,8 @@
 }
 
 impl History {
-    /// Reads a file of samples; an error names the line that can't be parsed.
+    /// Reads a file of samples. Fails if the file can't be read or a line can't be parsed;
+    /// the error then names the line.
     pub(crate) fn read(file: &Path) -> Result<Self, String> {
         let text = read_text(file).map_err(|error| error.to_string())?;
         let mut samples = Vec::new();
@@ -72,7 +73,8 @@
                 let key = (sample.instance.clone(), series.clone());
                 let previous_count = previous.insert(key, count);
                 // It is unknown when events before an instance's first sample
-                // occurred, so they are left out.
+                // occurred, so they are left out. A series that appears after the first
+                // sample started at 0.
                 let increment = match previous_count {
                     Some(previous_count) => WindowCount::between(previous_count, count),
                     None if is_first => continue,
@@ -89,7 +91,7 @@
         history
     }
 
-    /// Client accounts with events for an objective.
+    /// Client accounts with samples for an objective.
     pub(crate) fn accounts(&self, objective: &str) -> Vec<String> {
         let series = self.increments.keys().filter(|(name, _)| name == objective);
         series.map(|(_, account)| account.clone()).collect()
--- a/crates/rookferry_controller/src/controller.rs
+++ b/crates/rookferry_controller/src/controller.rs
@@ -2,8 +2,8 @@
 //! finds due.
 //!
 //! Each round reads the configuration and the engines from the local entry instance.
-//! The platform is called only for the lease, `POLLS_PER_LEASE` times per lease
-//! duration or slightly more often.
+//! The platform is called only for the lease, which is polled `POLLS_PER_LEASE` times per
+//! lease duration or slightly more often; a poll reads the lease and may write it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Runs until the future is dropped. Failed calls are logged and repeated in a later
-    /// round.
+    /// Runs until the future is dropped. Failed calls are repeated in a later round. Failed
+    /// platform and engine calls are logged; failed reads from the entry instance are not.
     pub async fn run(mut self) {
         let interval = Duration::from_millis(self.settings.interval_ms);
         loop {
--- a/crates/rookferry_core/src/pipeline/finder.rs
+++ b/crates/rookferry_core/src/pipeline/finder.rs
@@ -130,8 +130,8 @@
             let engine = engine
                 .copied()
                 .find(|engine| engine.server == stage.server)?;
-            let EngineCost { entry_ms, layer_ms } = engine_cost(engine, tokens);
-            cost_ms += entry_ms + f64::from(stage.layers.len()) * layer_ms;
+            let EngineCost { stage_ms, layer_ms } = engine_cost(engine, tokens);
+            cost_ms += stage_ms + f64::from(stage.layers.len()) * layer_ms;
             if engine.domain != *domain {
                 cost_ms += CROSSING_COST.before(stage.layers.start);
             }
@@ -262,7 +262,7 @@
         0.0
     };
     EngineCost {
-        entry_ms: STAGE_OVERHEAD_MS
+        stage_ms: STAGE_OVERHEAD_MS
             + refusing_ms
             + overfill_ms
             + crowding * crowding * FULL_CACHE_PENALTY_MS,
--- a/crates/rookferry_core/src/pipeline/path_search.rs
+++ b/crates/rookferry_core/src/pipeline/path_search.rs
@@ -4,15 +4,15 @@
 //! the engine before it. An engine is an edge from any boundary within its range
 //! to any later one. Only boundaries at which some engine's range starts or ends
 //! are nodes, since splitting elsewhere gains nothing. Nodes are visited in the
-//! order of the layers, and each keeps its cheapest path only.
+//! order of the layers, and only the cheapest path to each is stored.
 //!
 //! A path may use an address only once, so the search skips edges whose address the
 //! path to their node already uses. It can therefore miss a path that reaches some
 //! node by other engines than the cheapest ones.
 //!
-//! Load pattern: every try of every request runs a search over all engines of
-//! the site, on an eighth of a core. To bound its time, only the cheapest few
-//! engines of a domain are kept for each pair of boundaries.
+//! Load pattern: each attempt of a request runs a search over all engines of the site, on
+//! an eighth of a core, so its cost is bounded: only the cheapest few engines of a domain
+//! are kept for each pair of boundaries.
 
 use std::collections::BTreeSet;
 
@@ -22,15 +22,15 @@
 use super::PipelineEngine;
 
 /// Number of engines of a domain that are kept for each pair of boundaries: the
-/// cheapest, and two alternatives for paths that already use it. Only a path that
-/// returns three times to an engine that it left could need more.
+/// cheapest, and two alternatives for paths that already use it. A cheaper path may be
+/// missed if the path to the first boundary already uses the addresses of all three.
 const MAX_PARALLEL_EDGES: usize = 3;
 
 /// What an engine adds to the cost of a path, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EngineCost {
     /// Once per stage.
-    pub(super) entry_ms: f64,
+    pub(super) stage_ms: f64,
     /// Per layer that it runs.
     pub(super) layer_ms: f64,
 }
@@ -185,8 +185,8 @@
             for (offset, parallel_edges) in candidate_edges.iter().enumerate() {
                 let to_domain = offset % self.domains.len();
                 let to = self.node(boundary + 1, 0) + offset;
-                let unused = parallel_edges.iter().flatten();
-                let edge = unused
+                let kept_edges = parallel_edges.iter().flatten();
+                let edge = kept_edges
                     .copied()
                     .find(|(_, engine)| !self.uses(from, *engine));
                 let Some((edge_ms, engine)) = edge else {
@@ -215,7 +215,7 @@
             let within = later.iter().take_while(|boundary| **boundary <= end);
             for (ahead, boundary) in within.enumerate() {
                 let layers = f64::from(boundary - position);
-                let cost_ms = holder.cost.entry_ms + layers * holder.cost.layer_ms;
+                let cost_ms = holder.cost.stage_ms + layers * holder.cost.layer_ms;
                 let offset = ahead * self.domains.len() + holder.domain;
                 insert_cheapest(&mut candidate_edges[offset], (cost_ms, holder.engine));
             }
--- a/crates/rookferry_core/src/serving/departed.rs
+++ b/crates/rookferry_core/src/serving/departed.rs
@@ -2,9 +2,9 @@
 //! on to each other.
 //!
 //! A list of servers shows this too, but it comes as a whole from one store reader, and
-//! an older list may arrive after a newer one. That a start of a server is leaving never
-//! becomes untrue, so it is stored and advertised on its own, whichever list is in use.
-//! That its entry was removed is true until a later list contains it again.
+//! an older list may arrive after a newer one. A leaving incarnation never returns
+//! to service, so this is stored and advertised regardless of the active list. A removal
+//! holds until a later list contains the server.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,10 +18,11 @@
 use super::rotation::rotation_batch;
 use crate::millis::millis;
 
-/// How long a leaving server without an entry is remembered. Entries are removed and come
-/// back during outages of the store, which last some ten seconds.
+/// Minimum time for which an announced departure is stored; longer while the server's
+/// entry exists. Entries are removed and restored during outages of the store, which last
+/// some ten seconds.
 const LEAVING_TTL: Duration = Duration::from_mins(10);
-/// How long the removal of an entry is remembered if no list confirms it meanwhile.
+/// How long the removal of an entry is stored; checked when a list is adopted.
 const REMOVED_TTL: Duration = Duration::from_secs(30);
 /// How long a departure is advertised: several times the longest bound within which all
 /// instances must know it.
--- a/crates/rookferry_core/src/serving/store_contact.rs
+++ b/crates/rookferry_core/src/serving/store_contact.rs
@@ -1,7 +1,7 @@
 //! How old an instance's knowledge of the platform's store is.
 //!
-//! Versions play no part here: a restored store may have an older configuration than the
-//! one in use, and has been read all the same. Times of this instance's calls and of
+//! Ages are independent of versions: after a restore the store may return an older
+//! configuration than the active one. Times of this instance's calls and of
 //! reports by peers of its failure domain come in; the age decides whether requests are
 //! still served and whether the instance reads the store itself.
 
@@ -12,8 +12,8 @@
 const DELAY_DECAY: f64 = 0.875;
 /// An answer is overdue after this many times the usual delay.
 const OVERDUE_DELAYS: u32 = 2;
-/// Longest time until an answer is overdue, however slow the store has been.
-const LONGEST_OVERDUE: Duration = Duration::from_millis(600);
+/// Upper bound on the allowance for a slow store; a longer planned delay still applies.
+const MAX_DELAY_ALLOWANCE: Duration = Duration::from_millis(600);
 
 /// When the store was last known to answer all reads.
 #[derive(Clone, Copy, Debug, Default)]
@@ -54,7 +54,7 @@
 
     /// Records that a watch is overdue: peers must not rely on this instance until its
     /// next read.
-    pub fn watch_overdue(&mut self) {
+    pub fn record_watch_overdue(&mut self) {
         self.is_overdue = true;
     }
 
@@ -67,7 +67,7 @@
     #[must_use]
     pub fn overdue_after(&self, planned: Duration) -> Duration {
         let by_delay = self.delay.saturating_mul(OVERDUE_DELAYS);
-        planned.max(by_delay.min(LONGEST_OVERDUE))
+        planned.max(by_delay.min(MAX_DELAY_ALLOWANCE))
     }
 
     /// Age of the knowledge of the store; `None` if nothing is known.
@@ -84,9 +84,9 @@
         self.age(now).filter(|_| !self.is_overdue)
     }
 
-    /// Whether the age is below `bound`.
+    /// Whether the age is below `max_age`.
     #[must_use]
-    pub fn is_fresh(&self, now: Instant, bound: Duration) -> bool {
-        self.age(now).is_some_and(|age| age < bound)
+    pub fn is_fresh(&self, now: Instant, max_age: Duration) -> bool {
+        self.age(now).is_some_and(|age| age < max_age)
     }
 }
--- a/crates/rookferry_core/tests/propagation_budget.rs
+++ b/crates/rookferry_core/tests/propagation_budget.rs
@@ -68,7 +68,7 @@
     contact.record_config_read(start);
     contact.record_servers_read(start);
     contact.merge_peer(start);
-    contact.watch_overdue();
+    contact.record_watch_overdue();
     assert_eq!(contact.advertised_age(start), None);
     assert!(
         contact.age(start).is_some(),
--- a/crates/rookferry_core/tests/support/propagation_site.rs
+++ b/crates/rookferry_core/tests/support/propagation_site.rs
@@ -165,7 +165,7 @@
                 let contact = &mut self.site.instances[index].contact;
                 let overdue_ms = millis(contact.overdue_after(self.budget.overdue()));
                 if now_ms >= sent_ms + wait_ms + overdue_ms {
-                    contact.watch_overdue();
+                    contact.record_watch_overdue();
                     self.calls += 1;
                     self.read_states[index] = ReadState::Checking {
                         sent_ms: now_ms,
--- a/crates/rookferry_ctl/src/main.rs
+++ b/crates/rookferry_ctl/src/main.rs
@@ -1,5 +1,7 @@
-//! Command-line tool for operators: applies configurations, shows the state of
-//! instances and sites, and explains how requests were routed.
+//! Command-line tool for operators. Subcommands: `check`, `apply` and `get` validate,
+//! write and print configurations; `status` and `site` show the state of an instance and
+//! of a site; `explain` and `trace` show how a request was handled; `digest` computes the
+//! digest of a client account's key.
 #![forbid(unsafe_code)]
 
 mod apply;
--- a/crates/rookferry_entry/src/http/service.rs
+++ b/crates/rookferry_entry/src/http/service.rs
@@ -316,7 +316,7 @@
         sent_at: Instant,
     ) {
         let quarantine = &entry.quarantine;
-        let server = quarantine.plain_server(&instance.instance, instance.addr);
+        let server = quarantine.plain_incarnation(&instance.instance, instance.addr);
         let run = BrokenRun {
             signature: self.signature,
             request: self.request_id.to_string(),
--- a/crates/rookferry_entry/src/quarantine.rs
+++ b/crates/rookferry_entry/src/quarantine.rs
@@ -2,8 +2,8 @@
 //!
 //! When a call's connection to a server breaks, the server is probed to find out
 //! whether it crashed. Crashes are counted by call signature in [`Quarantine`] and
-//! exchanged with peers in heartbeats. Callers ask here before each dispatch or
-//! retry; a call with too many crashes is refused for a time.
+//! exchanged with peers in heartbeats. The request path checks the quarantine before each
+//! dispatch or retry; a call with too many crashes is refused for a time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
 
 use crate::entry::EntryState;
 
-/// How long the retry of a suspected call waits for the probe of the last server. A
+/// How long the retry of a suspected call waits for the pending probes of its servers. A
 /// crashed engine is recognized by its new incarnation at the latest.
 const PROBE_WAIT: Duration = Duration::from_millis(500);
 /// Pause before each probe of a server, in order. A crashed server refuses the
@@ -88,7 +88,7 @@
     broken: Mutex<BrokenRuns>,
     /// Number of detected crashes of each plain server.
     plain_exits: Mutex<BTreeMap<InstanceId, u64>>,
-    /// Notified when a probe has finished.
+    /// Notified when a probe has decided whether its server crashed.
     probe_finished: Notify,
 }
 
@@ -107,7 +107,7 @@
     }
 
     /// The current incarnation of a plain service's server.
-    pub(crate) fn plain_server(&self, name: &InstanceId, addr: SocketAddr) -> ProbedServer {
+    pub(crate) fn plain_incarnation(&self, name: &InstanceId, addr: SocketAddr) -> ProbedServer {
         ProbedServer::Plain {
             name: name.clone(),
             exits: self.plain_exits().get(name).copied().unwrap_or_default(),
@@ -146,12 +146,12 @@
     }
 
     /// Whether a call may be retried after a broken run. A call with earlier crashes
-    /// first waits for the probe of the last server.
+    /// first waits up to `PROBE_WAIT` for the pending probes of its servers.
     pub(crate) async fn is_retry_allowed(&self, signature: RequestSignature) -> bool {
         let suspicion = self.quarantine.calls().suspicion(signature, clock::now());
         if let Suspicion::Suspected { .. } = suspicion {
             let probes = self.quarantine.wait_for_probes(signature);
-            // If the probe isn't finished in time, the run doesn't count as a crash
+            // If the probes aren't finished in time, the run doesn't count as a crash
             // for this decision.
             let _ = tokio::time::timeout(PROBE_WAIT, probes).await;
         }
@@ -172,8 +172,8 @@
         }
     }
 
-    /// Probes a server until it is known whether it crashed, or the pauses are used
-    /// up.
+    /// Probes a server until it is known whether it crashed, or the pauses are used up. If
+    /// the result is inconclusive, the run stays undecided until it expires.
     async fn probe_server(&self, server: &ProbedServer) {
         let mut has_connected = false;
         for pause in PROBE_PAUSES {
--- a/crates/rookferry_experiment/src/control.rs
+++ b/crates/rookferry_experiment/src/control.rs
@@ -55,6 +55,7 @@
 #[derive(Serialize)]
 struct EngineCost {
     engines: usize,
+    /// Building the fleet, including a clone of its engines.
     rebuild_us: f64,
     choose_us: f64,
     bytes_an_engine: f64,
@@ -63,6 +64,7 @@
 #[derive(Serialize)]
 struct MemberCost {
     members: usize,
+    /// Recording a heartbeat, including sealing and opening its datagram.
     heartbeat_taken_us: f64,
     tick_us: f64,
     datagram_bytes: usize,
--- a/crates/rookferry_net/src/log.rs
+++ b/crates/rookferry_net/src/log.rs
@@ -29,14 +29,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// A component can't work.
+    /// A component has failed.
     Error,
     /// A condition that an operator should check.
     Warning,
     /// State changes of instances and engines, and failed requests.
     #[default]
     Info,
-    /// Individual messages.
+    /// Individual requests and messages, for debugging.
     Debug,
 }
 
--- a/crates/rookferry_relay/src/peers/fetch.rs
+++ b/crates/rookferry_relay/src/peers/fetch.rs
@@ -31,7 +31,8 @@
     servers: Arc<FetchGate<ListVersion>>,
 }
 
-/// Admits one fetch of a version at a time, however many peers advertise it.
+/// Blocks fetches of the same or an older version while one is in progress, for at most
+/// `FETCH_RETRY_AFTER`, however many peers advertise it.
 #[derive(Debug, Default)]
 struct FetchGate<V> {
     begun: Mutex<Option<(V, Instant)>>,
@@ -118,8 +119,8 @@
     /// Handles the configuration version of a peer: a newer one is fetched, an equal one
     /// is confirmed as of the peer's own confirmation.
     ///
-    /// The peer's age counts from when it received this instance's own clock, which
-    /// counts from `epoch`, so a delayed message only makes the confirmation look older.
+    /// The peer echoes a timestamp of this instance, relative to `epoch`; the age is
+    /// subtracted from it, so a delayed message only makes the confirmation look older.
     pub(super) fn handle_config(&self, beat: &Heartbeat, from: SocketAddr, epoch: Instant) {
         let Some(config) = beat.config else {
             return;
@@ -150,8 +151,8 @@
     }
 
     /// Handles the ages in a peer's heartbeat: when its server list was last the newest,
-    /// and when it last knew the store's content. The latter counts only within the own
-    /// domain, each of which reads the store for itself.
+    /// and when it last knew the store's content. The latter counts only from peers
+    /// of the same failure domain, since each domain reads the store itself.
     pub(super) fn handle_ages(&self, beat: &Heartbeat, epoch: Instant) {
         let servers = beat.servers;
         let list_at = servers
--- a/crates/rookferry_relay/src/quarantine_sync.rs
+++ b/crates/rookferry_relay/src/quarantine_sync.rs
@@ -22,15 +22,15 @@
 use crate::store::StoreError;
 use crate::tracked_store::Versioned;
 
-/// How long a watch waits: three calls per minute and failure domain, a fortieth of those
-/// for the configuration.
+/// How long a watch waits. Three calls per minute per failure domain, a fortieth of those
+/// for the configuration, keep the store's load low; peers report changes sooner.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 /// Pause after a failed call, and between checks whether this instance reads the store.
-const PAUSE: Duration = Duration::from_secs(1);
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
 /// The same while the instance has just started and has no state, and after a refused
 /// watch.
-const START_PAUSE: Duration = Duration::from_millis(50);
-/// Most write attempts against concurrent writes.
+const SHORT_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum attempts of one write when others write concurrently.
 const MAX_WRITE_ATTEMPTS: usize = 4;
 
 /// Synchronises the quarantined requests until the process exits.
@@ -40,15 +40,15 @@
         stored: Stored::default(),
     };
     loop {
-        let may_differ = tokio::select! {
+        let needs_write = tokio::select! {
             () = relay.quarantine.store_pending.notified() => true,
-            // Otherwise starting instances would read a released request from the store
-            // and every instance would quarantine it again.
+            // Removes a released request from the store; otherwise a starting instance
+            // would read it, and every instance would quarantine it again.
             () = relay.quarantine.released.notified() => syncer.stores_cleared(),
             has_read = syncer.read_next() => has_read,
         };
-        if may_differ {
-            syncer.write_missing().await;
+        if needs_write {
+            syncer.write_changes().await;
         }
     }
 }
@@ -74,15 +74,15 @@
     async fn read_next(&mut self) -> bool {
         if self.relay.skips_store() || self.relay.is_store_unavailable.load(Ordering::Relaxed) {
             let pause = if self.relay.awaits_peers() {
-                START_PAUSE
+                SHORT_PAUSE
             } else {
-                PAUSE
+                RETRY_PAUSE
             };
             tokio::time::sleep(pause).await;
             return false;
         }
         let read = match self.stored.after {
-            None => return self.read_anew().await,
+            None => return self.reload().await,
             Some(after) => self.relay.store.watch_quarantine(after, WATCH_WAIT).await,
         };
         match read {
@@ -93,22 +93,22 @@
                 }
                 return true;
             }
-            // It is read again after a pause, since a store may refuse each watch.
+            // Pauses first: if the store refuses every watch, this would be a busy loop.
             Err(StoreError::Forgotten | StoreError::Outdated) => {
                 self.stored.after = None;
-                tokio::time::sleep(START_PAUSE).await;
+                tokio::time::sleep(SHORT_PAUSE).await;
             }
             // The outage is logged by the tasks that read configuration and servers.
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
         }
         false
     }
 
     /// Reads what the store has, in its current era; returns whether it was read.
-    async fn read_anew(&mut self) -> bool {
+    async fn reload(&mut self) -> bool {
         let Ok(Versioned { version, value, .. }) = self.relay.store.quarantine().await else {
             // The outage is logged by the tasks that read configuration and servers.
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
             return false;
         };
         self.stored = Stored {
@@ -156,9 +156,9 @@
     }
 
     /// Writes quarantined requests that the store lacks, and removes released ones.
-    async fn write_missing(&mut self) {
+    async fn write_changes(&mut self) {
         for _ in 0..MAX_WRITE_ATTEMPTS {
-            let Some(quarantine) = self.missing() else {
+            let Some(quarantine) = self.object_to_write() else {
                 return;
             };
             let store = &self.relay.store;
@@ -174,26 +174,26 @@
                 }) => self.apply(&current),
                 // The write may have replaced an object that wasn't read.
                 Err(StoreError::Outdated) => {
-                    self.read_anew().await;
+                    self.reload().await;
                 }
                 // The write may have taken effect all the same.
                 Err(_) => {
-                    tokio::time::sleep(PAUSE).await;
-                    self.read_anew().await;
+                    tokio::time::sleep(RETRY_PAUSE).await;
+                    self.reload().await;
                 }
             }
         }
-        // The next pass tries again.
+        // The next pass starts at once.
         self.relay.quarantine.store_pending.notify_one();
     }
 
     /// The object to write, if the stored one lacks a quarantined request or contains one
     /// that has succeeded since.
-    fn missing(&self) -> Option<QuarantineObject> {
+    fn object_to_write(&self) -> Option<QuarantineObject> {
         let now = clock::now();
         let unix_now = clock::unix_now();
         let quarantine = self.relay.quarantine.lock();
-        let held: Vec<_> = quarantine
+        let quarantined: Vec<_> = quarantine
             .quarantined(now)
             .map(|(signature, at)| {
                 let since = unix_now.saturating_sub(now.saturating_duration_since(at));
@@ -202,7 +202,7 @@
             .collect();
         let is_cleared = |signature| quarantine.is_cleared(signature);
         let stored = self.stored.quarantine.without(is_cleared);
-        let wanted = stored.with(held, unix_now);
+        let wanted = stored.with(quarantined, unix_now);
         let is_changed = signatures(&wanted) != signatures(&self.stored.quarantine);
         is_changed.then_some(wanted)
     }
--- a/crates/rookferry_relay/src/request.rs
+++ b/crates/rookferry_relay/src/request.rs
@@ -51,11 +51,11 @@
     pub(crate) body: Bytes,
     /// Values parsed from the headers.
     pub(crate) head: CallerHead,
-    /// The client account; none on public routes and without keys.
+    /// The client account; none if the caller sent no known key.
     pub(crate) account: Option<AccountId>,
     pub(crate) urgency: Urgency,
     pub(crate) route: ServingRoute,
-    /// The route's target that was drawn for this request.
+    /// The route's target that was randomly selected for this request.
     pub(crate) service: ServiceId,
     pub(crate) received_at: Instant,
     /// End of the route's timeout or of the caller's, whichever is earlier.
@@ -67,7 +67,7 @@
 }
 
 impl CallerRequest {
-    /// A digest that is equal for repeats of the same request.
+    /// A digest that is equal for retries of the same request.
     pub(crate) fn signature(&self) -> RequestSignature {
         *self.signature.get_or_init(|| {
             let path = self.uri.path_and_query();
@@ -123,8 +123,8 @@
 
     /// Builds the request for a server.
     ///
-    /// Hop-by-hop headers, the caller's key and the caller's own account and path
-    /// headers are removed; the time left, the expected server, the account and
+    /// Hop-by-hop headers, content-length, expect, the caller's key and the caller's own
+    /// account and path headers are removed; the time left, the expected server, the account and
     /// `extra` are set.
     pub(crate) fn to_server(
         &self,
@@ -181,8 +181,8 @@
         .collect()
 }
 
-/// Sets a header. A text that is no valid header value leaves the header out, and
-/// the server then refuses the request.
+/// Sets a header. An invalid value leaves the header unset, and the server then refuses
+/// the request.
 fn insert_header(headers: &mut HeaderMap, name: &HeaderName, text: &Arc<str>) {
     headers.remove(name);
     if let Ok(value) = HeaderValue::from_str(text) {
--- a/crates/rookferry_relay/src/request_handler.rs
+++ b/crates/rookferry_relay/src/request_handler.rs
@@ -1,5 +1,5 @@
 //! Handles callers' HTTP requests: reads the body, admits the request under the
-//! configuration in force, has it served as a stream or as a single answer, and
+//! active configuration, has it served as a stream or as a single answer, and
 //! turns a refusal into a problem response.
 //!
 //! A request whose admission is outdated before anything was sent, because the
@@ -33,11 +33,11 @@
 use crate::request::host_header;
 use crate::stream;
 
-/// Admissions of one request, counting the repeats after a change of the
-/// configuration or the list of servers before it was sent.
+/// Maximum admissions of one request; it is admitted again if the configuration or the
+/// list of servers changes before it is sent.
 const MAX_ADMISSIONS: usize = 3;
 /// How long new requests are accepted after the order to stop. Callers' idle
-/// keep-alive connections are closed with their next answer.
+/// keep-alive connections are closed with their next served answer.
 const NEW_WORK_WHILE_LEAVING: Duration = Duration::from_millis(1_500);
 /// Outcome of serving an admitted request.
 pub(crate) enum ServeOutcome {
@@ -53,7 +53,8 @@
 pub(crate) async fn handle(relay: Arc<Relay>, mut inbound: InboundRequest) -> Response<Body> {
     let received_at = clock::now();
     let head = relay.protocol.caller_head(&inbound.headers);
-    // Callers of plain services have less time; they get a retry time at once.
+    // Requests with token counts (streams) can wait for the first configuration and list of
+    // servers; others have less time and are refused with a retry time.
     if head.answer_tokens > 0
         && relay.is_starting()
         && let Some(longest) = relay.start_wait()
@@ -122,7 +123,7 @@
     })
 }
 
-/// Admits a request under the configuration in force.
+/// Admits a request under the active configuration.
 fn admit(
     relay: &Relay,
     inbound: &InboundRequest,
--- a/crates/rookferry_relay/src/tracked_store.rs
+++ b/crates/rookferry_relay/src/tracked_store.rs
@@ -193,7 +193,7 @@
             self.record_delay(sent_at, wait);
             return answer;
         }
-        lock(&self.contact).watch_overdue();
+        lock(&self.contact).record_watch_overdue();
         if let Some(log) = self.events.line(Weight::Notable) {
             warn!(log, "store: a watch is overdue"; "event" => "store_watch_overdue",
                 "waited_ms" => millis(clock::since(sent_at)),
--- a/crates/rookferry_standin/src/bin/rookferry-load.rs
+++ b/crates/rookferry_standin/src/bin/rookferry-load.rs
@@ -1,7 +1,8 @@
 //! Sends a planned load to entry instances and reports latencies and outcomes.
 //!
-//! Exits with 0 if requests were sent and none was answered wrong or cut, with 2
-//! otherwise, and with 1 if it can't run.
+//! Exit codes: 0 if requests were sent and none was answered wrong or cut; 1 if the plan
+//! can't be read or is invalid, or the report can't be written; 2 if an answer was wrong
+//! or cut, no request was sent, or the arguments are invalid.
 
 use std::fs;
 use std::path::PathBuf;
@@ -13,17 +14,17 @@
 use rookferry_standin::LoadPlan;
 use rookferry_standin::LoadRun;
 
-/// Sends open-loop load and compares each complete answer with the reference.
+/// Send open-loop load and compare each complete answer with the reference.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// Load plan, a JSON file; see `LoadPlan`.
+    /// Path of the load plan (JSON).
     #[arg(long)]
     plan: PathBuf,
     /// File to write the report to, as JSON.
     #[arg(long)]
     report: Option<PathBuf>,
-    /// Prints the outcome of each request.
+    /// Print the outcome of each request.
     #[arg(long)]
     show: bool,
 }
--- a/crates/rookferry_wire/src/caller.rs
+++ b/crates/rookferry_wire/src/caller.rs
@@ -10,7 +10,7 @@
 pub struct CompletionRequest {
     /// Name of the model.
     pub model: String,
-    /// The prompt; stand-in engines treat each byte as a token.
+    /// The prompt's text.
     pub prompt: String,
     /// Maximum number of tokens to generate.
     #[serde(default = "default_max_tokens")]
@@ -94,13 +94,13 @@
     ClaimUnavailable,
     /// The idempotency key was used with another body.
     KeyReused,
-    /// The idempotency key is older than the retention window.
+    /// The idempotency key is older than the time for which keys are stored.
     KeyExpired,
     /// A request with the same idempotency key is running.
     KeyRunning,
-    /// The engines lost the request.
+    /// The engines that executed the request became unavailable.
     EngineLost,
-    /// Servers crashed each time they executed the request.
+    /// The request is quarantined because several servers crashed while executing it.
     Quarantined,
     /// The request's deadline has passed.
     DeadlinePassed,
