--- a/crates/rookferry_relay/src/request.rs
+++ b/crates/rookferry_relay/src/request.rs
@@ -124,8 +124,8 @@
     /// Builds the request for a server.
     ///
     /// Hop-by-hop headers, content-length, expect, the caller's key and the caller's own
-    /// account and path headers are removed; the time left, the expected server, the account and
-    /// `extra` are set.
+    /// account and path headers are removed; the time left, the expected server, the
+    /// account and `extra` are set.
     pub(crate) fn to_server(
         &self,
         names: &HeaderNames,
