--- a/crates/rookferry_burn/src/history.rs
+++ b/crates/rookferry_burn/src/history.rs
@@ -39,8 +39,8 @@
 }
 
 impl History {
-    /// Reads a file of samples. Fails if the file can't be read or a line can't be parsed;
-    /// the error then names the line.
+    /// Reads a file of samples. Fails if the file can't be read or a line can't be
+    /// parsed; the error then names the line.
     pub(crate) fn read(file: &Path) -> Result<Self, String> {
         let text = read_text(file).map_err(|error| error.to_string())?;
         let mut samples = Vec::new();
--- a/crates/rookferry_controller/src/controller.rs
+++ b/crates/rookferry_controller/src/controller.rs
@@ -89,8 +89,9 @@
         }
     }
 
-    /// Runs until the future is dropped. Failed calls are repeated in a later round. Failed
-    /// platform and engine calls are logged; failed reads from the entry instance are not.
+    /// Runs until the future is dropped. Failed calls are repeated in a later round.
+    /// Failed platform and engine calls are logged; failed reads from the entry instance
+    /// are not.
     pub async fn run(mut self) {
         let interval = Duration::from_millis(self.settings.interval_ms);
         loop {
--- a/crates/rookferry_entry/src/quarantine.rs
+++ b/crates/rookferry_entry/src/quarantine.rs
@@ -172,8 +172,8 @@
         }
     }
 
-    /// Probes a server until it is known whether it crashed, or the pauses are used up. If
-    /// the result is inconclusive, the run stays undecided until it expires.
+    /// Probes a server until it is known whether it crashed, or the pauses are used up.
+    /// If the result is inconclusive, the run stays undecided until it expires.
     async fn probe_server(&self, server: &ProbedServer) {
         let mut has_connected = false;
         for pause in PROBE_PAUSES {
--- a/crates/rookferry_relay/src/request_handler.rs
+++ b/crates/rookferry_relay/src/request_handler.rs
@@ -53,8 +53,8 @@
 pub(crate) async fn handle(relay: Arc<Relay>, mut inbound: InboundRequest) -> Response<Body> {
     let received_at = clock::now();
     let head = relay.protocol.caller_head(&inbound.headers);
-    // Requests with token counts (streams) can wait for the first configuration and list of
-    // servers; others have less time and are refused with a retry time.
+    // Requests with token counts (streams) can wait for the first configuration and list
+    // of servers; others have less time and are refused with a retry time.
     if head.answer_tokens > 0
         && relay.is_starting()
         && let Some(longest) = relay.start_wait()
