--- a/crates/rookferry_core/src/pipeline/path_search.rs
+++ b/crates/rookferry_core/src/pipeline/path_search.rs
@@ -22,8 +22,9 @@
 use super::PipelineEngine;
 
 /// Number of engines of a domain that are kept for each pair of boundaries: the
-/// cheapest, and two alternatives for paths that already use it. A cheaper path may be
-/// missed if the path to the first boundary already uses the addresses of all three.
+/// cheapest, and two alternatives for paths that already use it. Only a path that would
+/// return three times to engines that it has left could need a fourth. A cheaper path may
+/// be missed if the path to the first boundary already uses the addresses of all three.
 const MAX_PARALLEL_EDGES: usize = 3;
 
 /// What an engine adds to the cost of a path, in milliseconds.
