--- a/crates/rookferry_entry/src/claims.rs
+++ b/crates/rookferry_entry/src/claims.rs
@@ -52,7 +52,7 @@
 
 /// A command for an object's task.
 enum WriterMessage {
-    Ask {
+    Request {
         digest: String,
         claim: Claim,
         is_forwarded: bool,
@@ -168,7 +168,7 @@
         is_forwarded: bool,
     ) -> ClaimResponse {
         let (answer, reply) = oneshot::channel();
-        let message = WriterMessage::Ask {
+        let message = WriterMessage::Request {
             digest: key.digest.clone(),
             claim,
             is_forwarded,
@@ -204,7 +204,7 @@
             object: object.to_owned(),
             writer: ClaimWriter::new(window_ms),
             waiting: HashMap::new(),
-            next_ask: 0,
+            next_id: 0,
             next_write: Instant::now(),
         };
         tokio::spawn(task.run(messages));
@@ -218,7 +218,7 @@
     object: String,
     writer: ClaimWriter,
     waiting: HashMap<ClaimRequestId, oneshot::Sender<ClaimResponse>>,
-    next_ask: ClaimRequestId,
+    next_id: ClaimRequestId,
     next_write: Instant,
 }
 
@@ -277,14 +277,14 @@
     fn on_message(&mut self, message: WriterMessage) {
         let event = match message {
             WriterMessage::Withdraw { nonce } => ClaimEvent::Withdraw { nonce },
-            WriterMessage::Ask {
+            WriterMessage::Request {
                 digest,
                 claim,
                 is_forwarded,
                 answer,
             } => {
-                let id = self.next_ask;
-                self.next_ask += 1;
+                let id = self.next_id;
+                self.next_id += 1;
                 self.waiting.insert(id, answer);
                 ClaimEvent::Request {
                     id,
